--- a/rehearsal/__main__.py
+++ b/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""The rehearsal's command line: stories by default; check, point, scale, history, isolation and report by name."""
+"""The simulator's command line: stories by default; check, point, scale, history, isolation and report by name."""
 
 import os
 import sys
@@ -75,9 +75,9 @@
     :param out: a JSON file to write; a CSV goes beside it
     """
     from .fleet import Size
-    from .hollow import Load
     from .point import point as play_point
     from .results import save
+    from .simulated_router import Load
 
     points = []
     for n in nodes or (25,):
@@ -217,14 +217,14 @@
     }
     if sys.argv[1:2] in (["point"], ["history"], ["isolation"]) and "PYTHONHASHSEED" not in os.environ:
         os.execve(
-            sys.executable, [sys.executable, "-m", "rehearsal", *sys.argv[1:]], {**os.environ, "PYTHONHASHSEED": "0"}
+            sys.executable, [sys.executable, "-m", "simulator", *sys.argv[1:]], {**os.environ, "PYTHONHASHSEED": "0"}
         )
     argv = (
         sys.argv[1:]
         if sys.argv[1:2] and sys.argv[1] in (*named, "--help", "-h", "--version")
         else ["play", *sys.argv[1:]]
     )
-    sys.exit(defopt.run(named, argv=argv, version=f"rehearsal {__version__}"))
+    sys.exit(defopt.run(named, argv=argv, version=f"simulator {__version__}"))
 
 
 main()
--- a/rehearsal/check/__init__.py
+++ b/simulator/check/__init__.py
@@ -6,8 +6,8 @@
 """
 
 from .history import Violation
+from .model_state import Scope, World
 from .search import Bounds, Report, search, walk
 from .show import timeline
-from .world import Scope, World
 
 __all__ = ["Bounds", "Report", "Scope", "Violation", "World", "search", "timeline", "walk"]
--- a/rehearsal/check/adapter.py
+++ b/simulator/check/adapter.py
@@ -4,7 +4,7 @@
 
 from attrs import frozen
 
-from sparloom.ledger import EMPTY, Spans
+from sparloom.consensus import EMPTY, Spans
 
 SPANS = Spans.of(timedelta(seconds=3))
 
@@ -31,7 +31,7 @@
 def start(machine, member, kept, first_start, luck, replicas, genesis, now):
     """A machine as its disk left it; ``machine`` is ``Ledger`` or a mutation of it.
 
-    >>> from sparloom.ledger import Ledger, Member
+    >>> from sparloom.consensus import Ledger, Member
     >>> me = Member(1, "a", 1, "z", "")
     >>> start(Ledger, me, None, True, FixedLuck(0.5), 1, {("a", 1)}, timedelta(0)).leading()
     False
@@ -47,7 +47,7 @@
 def on_disk(save, before):
     """What a disk holds after a save: the register, and the data if the save had any.
 
-    >>> from sparloom.ledger import Save
+    >>> from sparloom.consensus import Save
     >>> on_disk(Save("register", None, 1), None) == ("register", EMPTY)
     True
     """
@@ -59,7 +59,7 @@
 def leading_view(ledger):
     """The view that a machine leads, or None.
 
-    >>> from sparloom.ledger import Ledger, Member
+    >>> from sparloom.consensus import Ledger, Member
     >>> leading_view(start(Ledger, Member(1, "a", 1, "z", ""), None, True, 0.5, 1, {("a", 1)}, timedelta(0)))
     """
     return ledger.leadership.view if ledger.leading() else None
--- a/rehearsal/check/command.py
+++ b/simulator/check/command.py
@@ -1,11 +1,11 @@
 """The ``check`` command: searches from each start, then seeded walks; prints what was explored and what was found."""
 
 from .history import Violation
+from .model_state import Scope
 from .search import Bounds, search, walk
 from .show import timeline
 from .shrink import shrink
 from .starts import STARTS
-from .world import Scope
 
 NAMES = "abcdefghi"
 
--- a/rehearsal/check/copying.py
+++ b/simulator/check/copying.py
@@ -6,7 +6,7 @@
 
 from attrs import fields, has
 
-from sparloom.ledger import Spans
+from sparloom.consensus import Spans
 
 OLD = timedelta(seconds=8)
 _CLONERS, _FORMS, _REMEMBERED = {}, {}, {}
--- a/rehearsal/check/durable.py
+++ b/simulator/check/durable.py
@@ -2,8 +2,8 @@
 
 from functools import singledispatch
 
-from sparloom.ledger import EMPTY, Register
-from sparloom.ledger.records import Activated, Kept, Promise
+from sparloom.consensus import EMPTY, Register
+from sparloom.consensus.records import Activated, Kept, Promise
 
 from .history import Violation
 
@@ -14,7 +14,7 @@
 def holds(record, register, data):
     """Whether a disk bears out what a record says; records of other kinds claim nothing.
 
-    >>> from sparloom.ledger import EMPTY, Register
+    >>> from sparloom.consensus import EMPTY, Register
     >>> register = Register(1, False, 5, [], False, 0)
     >>> holds(Kept(1, 5, 0, True, 5), register, EMPTY), holds(Kept(1, 5, 0, False, 5), register, EMPTY)
     (False, True)
--- a/rehearsal/check/history.py
+++ b/simulator/check/history.py
@@ -18,7 +18,7 @@
     >>> History().leads(7, ("a", 1)).leads(7, ("b", 2))
     Traceback (most recent call last):
     ...
-    rehearsal.check.history.Violation: two primaries in one epoch: a and b
+    simulator.check.history.Violation: two primaries in one epoch: a and b
     """
 
     primaries: tuple = ()
@@ -40,7 +40,7 @@
         >>> History().acknowledge(1, b"1.").new_primary(2, b"")
         Traceback (most recent call last):
         ...
-        rehearsal.check.history.Violation: acknowledged change 1. is not in the new primary's state ''
+        simulator.check.history.Violation: acknowledged change 1. is not in the new primary's state ''
         """
         for when, kept in self.acknowledged:
             if when < epoch and not blob.startswith(kept):
@@ -55,7 +55,7 @@
         >>> History().acknowledge(1, b"1.").acknowledge(1, b"2.")
         Traceback (most recent call last):
         ...
-        rehearsal.check.history.Violation: acknowledged changes 1. and 2. stand on one base
+        simulator.check.history.Violation: acknowledged changes 1. and 2. stand on one base
         """
         for _, kept in self.acknowledged:
             if not blob.startswith(kept) and not kept.startswith(blob):
@@ -77,7 +77,7 @@
         >>> History().show(b"1.", b"")
         Traceback (most recent call last):
         ...
-        rehearsal.check.history.Violation: a confirmed read went back from 1. to ''
+        simulator.check.history.Violation: a confirmed read went back from 1. to ''
         """
         if not blob.startswith(floor):
             raise Violation(f"a confirmed read went back from {floor.decode()} to {blob.decode()!r}")
--- a/rehearsal/check/world.py
+++ b/simulator/check/model_state.py
@@ -7,7 +7,19 @@
 
 from attrs import define, evolve, field, frozen
 
-from sparloom.ledger import CONTROLLERS, SEEDS, Confirmed, Decided, Ledger, Left, Lost, Member, Save, Send, founder_id
+from sparloom.consensus import (
+    CONTROLLERS,
+    SEEDS,
+    Confirmed,
+    Decided,
+    Ledger,
+    Left,
+    Lost,
+    Member,
+    Save,
+    Send,
+    founder_id,
+)
 
 from . import adapter, durable
 from .copying import Interner, canonical, clone
@@ -93,7 +105,7 @@
     >>> ask({}.popitem)
     Traceback (most recent call last):
     ...
-    rehearsal.check.history.Violation: the machine raises KeyError
+    simulator.check.history.Violation: the machine raises KeyError
     """
     try:
         return method(*arguments)
@@ -368,7 +380,7 @@
     # -- the fair schedule -----------------------------------------------------
     def run(self, ms, until=None):
         """Plays the fair schedule for a number of ms, or until something holds."""
-        from .moves import Pass, fair
+        from .transitions import Pass, fair
 
         passed = timedelta(0)
         for _ in range(MOST_MOVES + 100 * ms):
--- a/rehearsal/check/settle.py
+++ b/simulator/check/recovery.py
@@ -3,8 +3,8 @@
 from itertools import combinations
 
 from .history import Violation
-from .moves import At, disks_lost, whole
-from .world import NEWCOMERS
+from .model_state import NEWCOMERS
+from .transitions import At, disks_lost, whole
 
 PRIMARY_MS = 8000
 WRITE_MS = 4000
@@ -88,7 +88,7 @@
     So it must after a closing fault right now, too.
 
     >>> from .starts import ready
-    >>> from .world import Scope
+    >>> from .model_state import Scope
     >>> settle(ready(Scope()), then_lose=False)
     """
     for names in closing_losses(world):
--- a/rehearsal/check/search.py
+++ b/simulator/check/search.py
@@ -13,9 +13,9 @@
 
 from .copying import Interner
 from .history import Violation
-from .moves import deviations, fair
-from .settle import settle
-from .world import World
+from .model_state import World
+from .recovery import settle
+from .transitions import deviations, fair
 
 
 @frozen
@@ -52,7 +52,7 @@
     """Explores from a world; stops at the first violation.
 
     >>> from .starts import ready
-    >>> from .world import Scope
+    >>> from .model_state import Scope
     >>> search(ready(Scope()), Bounds(depth=3, deviations=1)).found
     """
     report = Report(start=start)
@@ -129,7 +129,7 @@
     """One long seeded walk: mostly fair moves, now and then a deviation; at the end all troubles end.
 
     >>> from .starts import ready
-    >>> from .world import Scope
+    >>> from .model_state import Scope
     >>> walk(ready(Scope()), seed=1, steps=30).states
     30
     """
--- a/rehearsal/check/show.py
+++ b/simulator/check/show.py
@@ -1,6 +1,6 @@
 """A counterexample as a timeline: the member clocks' time in ms, then a column for each node."""
 
-from .moves import Pass
+from .transitions import Pass
 
 STEP_MS = 100
 
@@ -8,8 +8,8 @@
 def timeline(start, trace):
     """The moves from a world as text; fair moves of one kind at one place are not folded, only time is.
 
-    >>> from .moves import At
-    >>> from .world import Scope, World
+    >>> from .transitions import At
+    >>> from .model_state import Scope, World
     >>> print(timeline(World.begin(Scope()), [At("kill", "a"), Pass(), At("boot", "a")]))
     ms    a     b  c
     0     kill  .  .
--- a/rehearsal/check/shrink.py
+++ b/simulator/check/shrink.py
@@ -1,8 +1,8 @@
 """Shortens a long walk that found a fault: fewer deviations, then fewer fair moves, with the same kind of fault."""
 
 from .history import Violation
-from .moves import Deliver, Drop, deviations, fair
-from .settle import settle
+from .recovery import settle
+from .transitions import Deliver, Drop, deviations, fair
 
 
 def kind(fault):
@@ -53,8 +53,8 @@
 def as_plan(start, trace):
     """The plan of a trace: None for each fair move.
 
-    >>> from .moves import At
-    >>> from .world import Scope, World
+    >>> from .transitions import At
+    >>> from .model_state import Scope, World
     >>> as_plan(World.begin(Scope()), [At("saved", "a"), At("kill", "b")])
     [None, At(what='kill', node='b')]
     """
--- a/rehearsal/check/starts.py
+++ b/simulator/check/starts.py
@@ -1,8 +1,8 @@
 """States from which searches and walks begin: each is reached by the fair schedule and a few set moves."""
 
 from .history import Violation
-from .moves import At
-from .world import STEP, World
+from .model_state import STEP, World
+from .transitions import At
 
 START_MS = 3000
 
@@ -23,7 +23,7 @@
 def ready(scope):
     """A primary in a settled view, with one acknowledged change.
 
-    >>> from .world import Scope
+    >>> from .model_state import Scope
     >>> len(ready(Scope()).history.acknowledged)
     1
     """
--- a/rehearsal/check/moves.py
+++ b/simulator/check/transitions.py
@@ -3,7 +3,7 @@
 from attrs import frozen
 
 from . import adapter
-from .world import NEWCOMERS, STEP, Message
+from .model_state import NEWCOMERS, STEP, Message
 
 
 @frozen
--- a/rehearsal/core.py
+++ b/simulator/core.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from itertools import count
 
-from sparloom.ledger import (
+from sparloom.consensus import (
     CONTROLLERS,
     SEEDS,
     Confirmed,
@@ -18,7 +18,7 @@
     Spans,
     founder_id,
 )
-from sparloom.ledger.records import Copy
+from sparloom.consensus.records import Copy
 
 from .clock import MS, Clock
 
--- a/rehearsal/fleet.py
+++ b/simulator/fleet.py
@@ -7,13 +7,13 @@
 
 from attrs import define
 
-from sparloom.controller.poller import Poller
+from sparloom.controller.endpoint_poller import Poller
 from sparloom.controller.program import Controller
-from sparloom.link import steady
-from sparloom.members import ALIVE, DEAD
-from sparloom.startup import from_dict
+from sparloom.membership import ALIVE, DEAD
+from sparloom.settings import from_dict
+from sparloom.transport import steady
 
-from .hollow import DEFAULT_LOAD, HollowRouter
+from .simulated_router import DEFAULT_LOAD, HollowRouter
 from .virtual import HOST
 
 SERVICE = "hollow"
--- a/rehearsal/growth.py
+++ b/simulator/growth.py
@@ -1,6 +1,6 @@
 """What each node of a simulated fleet sends and takes, by kind of record: to measure what grows with the fleet.
 
-The fleet is that of ``rehearsal.fleet``: the real controllers and hollow
+The fleet is that of ``simulator.fleet``: the real controllers and hollow
 routers, in simulated time. Each host has a meter of its own; only a quiet part
 after the start is counted.
 """
@@ -9,11 +9,11 @@
 from collections import Counter
 from contextlib import contextmanager
 
-from sparloom.link import sockets
-from sparloom.meter import Meter
+from sparloom.metrics import Meter
+from sparloom.transport import sockets
 
 from .fleet import Fleet, Size
-from .hollow import Load
+from .simulated_router import Load
 from .virtual import HOST, START, swapped, world
 
 # A growing fleet's usual call: a fifth of a second at its runner, one in nine with a long shared part.
--- a/rehearsal/host.py
+++ b/simulator/host.py
@@ -12,11 +12,11 @@
 
 from absl import logging
 
-from sparloom.link import Datagrams, steady
-from sparloom.members import ALIVE, DEAD
-from sparloom.startup import from_dict
+from sparloom.membership import ALIVE, DEAD
+from sparloom.settings import from_dict
+from sparloom.transport import Datagrams, steady
 
-from .hollow import HollowRouter, Load
+from .simulated_router import HollowRouter, Load
 from .tally import Tally, kind
 
 STEP = 0.05
--- a/rehearsal/isolation.py
+++ b/simulator/isolation.py
@@ -14,7 +14,7 @@
 from scipy.stats import mannwhitneyu
 
 from sparloom.router.program import Router
-from sparloom.startup import from_dict
+from sparloom.settings import from_dict
 
 from .fleet import SERVICE, Fleet, Size, entries, startup
 from .rivals import Books, Clients, KeepingRunner, Seen
--- a/rehearsal/net.py
+++ b/simulator/net.py
@@ -3,7 +3,7 @@
 import random
 from itertools import count
 
-from sparloom.members import ALIVE, CONTROLLER, ROUTER, Peer, Swim, Times
+from sparloom.membership import ALIVE, CONTROLLER, ROUTER, Peer, Swim, Times
 
 from .clock import MS, Clock
 
--- a/rehearsal/pieces.py
+++ b/simulator/pieces.py
@@ -7,15 +7,15 @@
 import zlib
 from datetime import timedelta
 
-from sparloom.choice import Kept, Standing, choose, lean
-from sparloom.controller.state import State
-from sparloom.members import ROUTER, Peer, Swim, Times
-from sparloom.platform import RunnerList, read_page
-from sparloom.policy import build, check
-from sparloom.router.fleet import Fleet
-from sparloom.shares import Gate, Need, Room
-from sparloom.timeouts import Counts, Held, Holding
-from sparloom.wire import pack, unpack
+from sparloom.admission import Gate, Need, Room
+from sparloom.codec import pack, unpack
+from sparloom.configuration import build, check
+from sparloom.controller.control_state import State
+from sparloom.discovery import RunnerList, read_page
+from sparloom.dynamic_timeout import Counts, Held, Holding
+from sparloom.load_balancing import Kept, Standing, choose, lean
+from sparloom.membership import ROUTER, Peer, Swim, Times
+from sparloom.router.backends import Fleet
 
 from .fleet import entries, policy
 
--- a/rehearsal/plan.py
+++ b/simulator/plan.py
@@ -4,10 +4,10 @@
 from returns.result import Failure, Success
 from schema import And, Optional, Schema, SchemaError
 
-from sparloom.startup import read_toml
+from sparloom.settings import read_toml
 
 from .fleet import BOUNDS, Size
-from .hollow import Load
+from .simulated_router import Load
 
 _WHOLE = And(int, lambda v: type(v) is not bool and v >= 0, error="{!r} must be a whole number, 0 or more")
 _SOME = And(int, lambda v: type(v) is not bool and v >= 1, error="{!r} must be a whole number above 0")
--- a/rehearsal/point.py
+++ b/simulator/point.py
@@ -7,11 +7,11 @@
 
 from attrs import asdict
 
-from sparloom.link import steady
-from sparloom.members import DEAD
+from sparloom.membership import DEAD
+from sparloom.transport import steady
 
 from .fleet import BOUNDS, Fleet, entries, patch
-from .hollow import DEFAULT_LOAD, SKIPS
+from .simulated_router import DEFAULT_LOAD, SKIPS
 from .tally import HEADER
 from .virtual import world
 
--- a/rehearsal/rivals.py
+++ b/simulator/rivals.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-from standins.runner import Runner
+from fakes.runner import Runner
 
 from .clients import Client, Outcome
 
--- a/rehearsal/scale.py
+++ b/simulator/scale.py
@@ -10,12 +10,12 @@
 import aiohttp
 from attrs import asdict
 
-from sparloom.link import steady
+from sparloom.transport import steady
 
 from .children import Children
 from .fleet import patch, policy, startup
-from .hollow import SKIPS
 from .point import three
+from .simulated_router import SKIPS
 from .tally import HEADER
 from .traffic import GIVEN, SERVICE, Traffic
 
@@ -111,7 +111,7 @@
         n = max(1, -(-len(rest) // per))
         for h in range(n):
             mine = rest[h::n]
-            self.hosts.append(await self.kids.start("hollow", ["rehearsal.host"], len(mine), asked=True))
+            self.hosts.append(await self.kids.start("hollow", ["simulator.host"], len(mine), asked=True))
             self.place |= {i: self.hosts[-1] for i in mine}
         self.empty = [(await h.ask("figures"), h.used()) for h in self.hosts]
         await asyncio.gather(
--- a/rehearsal/hollow.py
+++ b/simulator/simulated_router.py
@@ -12,9 +12,9 @@
 from attrs import define
 from mode import Service
 
-from sparloom.link import steady
-from sparloom.router.know import Know
-from sparloom.router.tiers import buckets_for
+from sparloom.router.router_state import Know
+from sparloom.router.timeout_buckets import buckets_for
+from sparloom.transport import steady
 
 SKIPS = "requests, replies, connections to runners, the choice among runners, readiness answers"
 
--- a/rehearsal/site.py
+++ b/simulator/site.py
@@ -6,9 +6,9 @@
 from itertools import count
 from unittest import mock
 
-from sparloom.controller import core
+from sparloom.controller import consensus_service as core
 from sparloom.controller.program import Controller
-from sparloom.startup import from_dict
+from sparloom.settings import from_dict
 
 from . import virtual
 from .fleet import Size, startup
--- a/rehearsal/slopes.py
+++ b/simulator/slopes.py
@@ -90,4 +90,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(defopt.run(main, version=f"rehearsal {__version__}"))
+    sys.exit(defopt.run(main, version=f"simulator {__version__}"))
--- a/rehearsal/tally.py
+++ b/simulator/tally.py
@@ -2,7 +2,7 @@
 
 from attrs import define, field
 
-from sparloom.wire.records import _BY_TAG, MAGIC
+from sparloom.codec.records import _BY_TAG, MAGIC
 
 HEADER = 28
 
@@ -10,8 +10,8 @@
 def kind(raw, at=0):
     """The name of the record that starts at a place in some bytes.
 
-    >>> from sparloom.timeouts import Read
-    >>> from sparloom.wire import pack
+    >>> from sparloom.dynamic_timeout import Read
+    >>> from sparloom.codec import pack
     >>> kind(pack(Read(1, 2, 3))), kind(b"GET /")
     ('Read', '?')
     """
--- a/rehearsal/traffic.py
+++ b/simulator/traffic.py
@@ -6,9 +6,9 @@
 import aiohttp
 from hdrh.histogram import HdrHistogram
 
-from sparloom.link import steady
-from standins.platform import Platform
-from standins.runner import Runner
+from fakes.platform import Platform
+from fakes.runner import Runner
+from sparloom.transport import steady
 
 from .fleet import entries
 
--- a/rehearsal/virtual.py
+++ b/simulator/virtual.py
@@ -18,9 +18,9 @@
 
 from aiohttp.connector import aiohappyeyeballs
 
-from sparloom.controller import core
-from sparloom.ledger.records import EMPTY
-from sparloom.link import clock, sockets
+from sparloom.consensus.records import EMPTY
+from sparloom.controller import consensus_service as core
+from sparloom.transport import clock, sockets
 
 from .tally import Tally, kind
 
@@ -342,7 +342,7 @@
 
     ``turn``: the seconds that each turn of the loop takes at least, as on a busy machine.
 
-    >>> from sparloom.link import steady
+    >>> from sparloom.transport import steady
     >>> with world(1) as loop:
     ...     steady().total_seconds()
     1000.0
--- a/sparloom/__init__.py
+++ b/sparloom/__init__.py
@@ -1,12 +1,10 @@
 """sparloom: a router fleet for a language model.
 
-The programs live beside this file; the small libraries that they are made of
-live under ``libs/`` and are imported as ``sparloom.<name>``.
+Two programs, ``sparloom.router`` (data plane) and ``sparloom.controller``
+(control plane), stand on a workspace of small libraries, each a package beside
+them. ``docs/architecture.md`` lists the packages from bottom to top.
 
->>> from sparloom.policy import Policy
+>>> from sparloom.configuration import Policy
 """
 
-import os
-
 __version__ = "0.1.0"
-__path__.append(os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "libs"))
--- a/libs/sums/__init__.py
+++ b/sparloom/aggregation/__init__.py
@@ -1,7 +1,7 @@
 """In-flight counts through the tier of relays: sums up, across and down, no call counted twice."""
 
-from .machine import Send, Sums
+from .aggregator import Send, Sums
 from .parent import Parent
-from .words import Cover, Single, Sum, Total, Up, coded, decoded, holder, short
+from .records import Cover, Single, Sum, Total, Up, coded, decoded, holder, short
 
 __all__ = ["Cover", "Parent", "Send", "Single", "Sum", "Sums", "Total", "Up", "coded", "decoded", "holder", "short"]
--- a/libs/sums/told.py
+++ b/sparloom/aggregation/acknowledged.py
@@ -3,8 +3,8 @@
 A relay without a group tells its own calls:
 
 >>> from sparloom.relay import Tier
->>> from .machine import Sums
->>> from .words import decoded
+>>> from .aggregator import Sums
+>>> from .records import decoded
 >>> start = timedelta(0)
 >>> relay = Sums("a", 1, timedelta(seconds=3))
 >>> relay.see(start, Tier(("a",), (), True), {})
@@ -19,8 +19,8 @@
 
 from attrs import define
 
-from .pieces import add, within
-from .words import ROOM, Cover, Single, Sum, Total, coded, ranges
+from .records import ROOM, Cover, Single, Sum, Total, coded, ranges
+from .shards import add, within
 
 MOST_READS = 20
 # A newcomer is told by itself for so many contact bounds, and then in the sum.
--- a/libs/sums/machine.py
+++ b/sparloom/aggregation/aggregator.py
@@ -24,11 +24,11 @@
 
 from attrs import define, field
 
+from .acknowledged import some, sums, totals
 from .neighbours import Member, RelaySums, Send
 from .parent import Parent
-from .pieces import Piece, add, gather, replace, within
-from .told import some, sums, totals
-from .words import LAST, UNIT, Sum, Total, Up, coded, decoded, holder
+from .records import LAST, UNIT, Sum, Total, Up, coded, decoded, holder
+from .shards import Piece, add, gather, replace, within
 
 MS = timedelta(milliseconds=1)
 ZERO = timedelta(0)
--- a/libs/sums/neighbours.py
+++ b/sparloom/aggregation/neighbours.py
@@ -4,7 +4,7 @@
 
 from attrs import define, field
 
-from .pieces import Piece
+from .shards import Piece
 
 
 @define(frozen=True, slots=True)
--- a/libs/sums/words.py
+++ b/sparloom/aggregation/records.py
@@ -9,8 +9,8 @@
 from hashlib import blake2b
 from itertools import pairwise
 
-from sparloom.timeouts import Read
-from sparloom.wire import Broken, record
+from sparloom.codec import Broken, record
+from sparloom.dynamic_timeout import Read
 
 UNIT = 32
 LAST = 0xFFFFFFFF
@@ -112,7 +112,7 @@
     >>> decoded(b"abc")
     Traceback (most recent call last):
     ...
-    sparloom.wire.records.Broken: no counts
+    sparloom.codec.records.Broken: no counts
     """
     out, at, size = {}, 0, len(raw)
     try:
--- a/libs/sums/pieces.py
+++ b/sparloom/aggregation/shards.py
@@ -2,7 +2,7 @@
 
 from attrs import define, evolve, field
 
-from .words import LAST
+from .records import LAST
 
 NONE = (0, 0, 0, 0, 0, 0)
 
--- a/sparloom/command.py
+++ b/sparloom/cli.py
@@ -8,9 +8,10 @@
 
 from absl import logging
 
-from sparloom import __version__, meter
-from sparloom.archive import release
-from sparloom.startup import read, where
+from sparloom import __version__
+from sparloom import metrics as meter
+from sparloom.launch.bytecode_archive import release
+from sparloom.settings import read, where
 
 
 def _log():
@@ -66,7 +67,7 @@
 
 
 def _check_policy(path):
-    from sparloom.policy import check, parse
+    from sparloom.configuration import check, parse
 
     try:
         with open(path, "rb") as f:
--- a/libs/wire/records.py
+++ b/sparloom/codec/records.py
@@ -196,7 +196,7 @@
     >>> unpack(b"no")
     Traceback (most recent call last):
     ...
-    sparloom.wire.records.Broken: not a record
+    sparloom.codec.records.Broken: not a record
     """
     if len(raw) < 2 or raw[0] != MAGIC or raw[1] not in _BY_TAG:
         raise Broken("not a record")
--- a/libs/ledger/__init__.py
+++ b/sparloom/consensus/__init__.py
@@ -1,7 +1,7 @@
 """The control state: a primary, its backups, and witnesses that keep epochs only."""
 
 from .actions import CONTROLLERS, SEEDS, Confirmed, Decided, Left, Lost, Save, Send, Spans
-from .machine import Ledger
+from .member import Ledger
 from .records import EMPTY, Data, Member, Register, View
 from .store import Store
 from .views import founder_id
--- a/libs/ledger/machine.py
+++ b/sparloom/consensus/member.py
@@ -12,16 +12,9 @@
 from .actions import CONTROLLERS, NEVER, SEEDS, Send
 from .election import Election, PreVoting
 from .leadership import Leadership
-from .membership import Membership, PlannedLeave
-from .receive import take
-from .records import (
-    EMPTY,
-    Hello,
-    Join,
-    Register,
-    View,
-    Yield,
-)
+from .message_handlers import take
+from .reconfiguration import Membership, PlannedLeave
+from .records import EMPTY, Hello, Join, Register, View, Yield
 from .replica import Replica
 from .views import epoch_after, first_view, founder_id
 
--- a/libs/ledger/records.py
+++ b/sparloom/consensus/records.py
@@ -4,7 +4,7 @@
 late or belongs to another round is told apart and dropped.
 """
 
-from sparloom.wire import record
+from sparloom.codec import record
 
 
 @record(20, id="Q", host="s", port="H", zone="s", control="s")
--- a/libs/ledger/store.py
+++ b/sparloom/consensus/store.py
@@ -4,7 +4,7 @@
 import os
 import sqlite3
 
-from sparloom.wire import Broken, pack, unpack
+from sparloom.codec import Broken, pack, unpack
 
 from .records import EMPTY, Data, Register
 
--- a/sparloom/controller/__main__.py
+++ b/sparloom/controller/__main__.py
@@ -1,5 +1,5 @@
 """The controller's command line."""
 
-from sparloom.start import launch
+from sparloom.launch.launcher import launch
 
 launch("controller")
--- a/sparloom/controller/orders.py
+++ b/sparloom/controller/change_requests.py
@@ -6,9 +6,9 @@
 from returns.pipeline import is_successful
 from returns.result import Failure, Result, Success
 
-from sparloom.policy import MOST_REVISION, apply_patch, check, parse
+from sparloom.configuration import MOST_REVISION, apply_patch, check, parse
 
-from .state import fingerprint
+from .control_state import fingerprint
 
 MOST_DIGITS = len(str(MOST_REVISION))
 
@@ -110,7 +110,7 @@
 def judge(state, order, router_count=0):
     """What becomes of an order upon a decided state.
 
-    >>> from .state import State
+    >>> from .control_state import State
     >>> order = read_order("PUT", "0", b'{"revision": 3}').unwrap()
     >>> first = judge(State({}), order)
     >>> first.verdict.name, judge(first.state, order).verdict.name
--- a/sparloom/controller/core.py
+++ b/sparloom/controller/consensus_service.py
@@ -9,7 +9,8 @@
 from absl import logging
 from mode import Service
 
-from sparloom.ledger import (
+from sparloom.codec import Broken
+from sparloom.consensus import (
     CONTROLLERS,
     SEEDS,
     Confirmed,
@@ -23,14 +24,13 @@
     Spans,
     founder_id,
 )
-from sparloom.ledger.records import Copy
-from sparloom.link import Datagrams, Frames, bind, dial, steady
-from sparloom.members import CONTROLLER, Ack, Compare, Peer, Ping, PingRequest, Swim, Times
-from sparloom.startup import Address
-from sparloom.wire import Broken
-
-from .disk import Disk
-from .remember import Remember
+from sparloom.consensus.records import Copy
+from sparloom.membership import CONTROLLER, Ack, Compare, Peer, Ping, PingRequest, Swim, Times
+from sparloom.settings import Address
+from sparloom.transport import Datagrams, Frames, bind, dial, steady
+
+from .durable_writer import Disk
+from .prefix_snapshots import Remember
 
 TICK = timedelta(milliseconds=40)
 COPIES_IN_LINE = 4
--- a/sparloom/controller/control.py
+++ b/sparloom/controller/control_api.py
@@ -15,12 +15,12 @@
 from returns.result import Failure, Success
 
 from sparloom.feed import POLICY, RUNNERS
-from sparloom.link import bind, steady
-from sparloom.members import ROUTER
-from sparloom.metering import figures
+from sparloom.membership import ROUTER
+from sparloom.metrics.reporter import figures
+from sparloom.transport import bind, steady
 
-from .orders import Verdict, judge, read_order
-from .state import State, json_text
+from .change_requests import Verdict, judge, read_order
+from .control_state import State, json_text
 
 PATH = "/-/configuration"
 MOST_BODY_BYTES = 16 << 20
--- a/sparloom/controller/disk.py
+++ b/sparloom/controller/durable_writer.py
@@ -8,8 +8,8 @@
 
 from absl import logging
 
-from sparloom.ledger import Store
-from sparloom.ledger.store import SET_ASIDE
+from sparloom.consensus import Store
+from sparloom.consensus.store import SET_ASIDE
 
 RETRY_S = 0.1
 STOP_POLL_S = 0.005
--- a/sparloom/controller/poller.py
+++ b/sparloom/controller/endpoint_poller.py
@@ -6,10 +6,10 @@
 from absl import logging
 from mode import Service
 
+from sparloom.discovery import Pace, Pages, RunnerList, read_page
 from sparloom.feed import RUNNERS
-from sparloom.link import steady
-from sparloom.link.client import Connector, open_session
-from sparloom.platform import Pace, Pages, RunnerList, read_page
+from sparloom.transport import steady
+from sparloom.transport.http_client import Connector, open_session
 
 NOT_PRIMARY_PAUSE = 0.05
 
--- a/sparloom/controller/shop.py
+++ b/sparloom/controller/feed_server.py
@@ -5,11 +5,11 @@
 from absl import logging
 from mode import Service
 
-from sparloom import news
+from sparloom.codec import Broken
 from sparloom.feed import POLICY, TOPICS, UNSURE, Change, Follow, Pulse, Shelf, Tracker
-from sparloom.link import DialPatience, steady
-from sparloom.serving import MS, Bell, serve
-from sparloom.wire import Broken
+from sparloom.feed import payload as news
+from sparloom.feed.serving import MS, Bell, serve
+from sparloom.transport import DialPatience, steady
 
 
 class Shop(Service):
--- a/sparloom/controller/remember.py
+++ b/sparloom/controller/prefix_snapshots.py
@@ -6,7 +6,7 @@
 from absl import logging
 from mode import Service
 
-from sparloom.prefixes import Memory, Reads, Recall
+from sparloom.prefix_cache import Memory, Reads, Recall
 
 FILE = "prefixes"
 
--- a/sparloom/controller/program.py
+++ b/sparloom/controller/program.py
@@ -6,16 +6,16 @@
 from absl import logging
 from mode import Service
 
-from sparloom.early import hangup_came
-from sparloom.link import Watch
-from sparloom.meter import interval
-from sparloom.metering import Metering
-from sparloom.startup import read
+from sparloom.launch.early_listen import hangup_came
+from sparloom.metrics import interval
+from sparloom.metrics.reporter import Metering
+from sparloom.settings import read
+from sparloom.transport import Watch
 
-from .control import Control
-from .core import Core
-from .poller import Poller
-from .shop import Shop
+from .consensus_service import Core
+from .control_api import Control
+from .endpoint_poller import Poller
+from .feed_server import Shop
 
 # The part of the grace period that a planned leave may take.
 LEAVE_PART = 0.5
--- a/libs/platform/list.py
+++ b/sparloom/discovery/endpoints.py
@@ -5,7 +5,7 @@
 from attrs import define, evolve, field
 from returns.result import Failure, Success
 
-from sparloom.wire import record
+from sparloom.codec import record
 
 READY, DRAINING = 0, 1
 
--- a/libs/timeouts/counts.py
+++ b/sparloom/dynamic_timeout/counts.py
@@ -6,7 +6,7 @@
 that can't be reached is taken to still hold its slots, so a late count errs
 towards shorter timeouts. After ``stale`` it counts nothing, so that a lost
 peer can't hold a runner's slots for ever. Where words go through a tier of
-relays, ``sparloom.sums`` says how the same rule holds.
+relays, ``sparloom.aggregation`` says how the same rule holds.
 """
 
 from datetime import timedelta
@@ -14,7 +14,7 @@
 
 from attrs import define, field
 
-from sparloom.wire import record
+from sparloom.codec import record
 
 from .buckets import pick
 
--- a/sparloom/news.py
+++ b/sparloom/feed/payload.py
@@ -3,9 +3,10 @@
 import json
 import zlib
 
-from sparloom import platform, policy
+from sparloom import configuration as policy
+from sparloom import discovery as platform
+from sparloom.codec import Broken, pack, unpack
 from sparloom.feed import POLICY
-from sparloom.wire import Broken, pack, unpack
 
 ZERO = (0, 0)
 
--- a/libs/feed/records.py
+++ b/sparloom/feed/records.py
@@ -1,6 +1,6 @@
 """The records of the feed, sent over a pipe."""
 
-from sparloom.wire import record
+from sparloom.codec import record
 
 POLICY, RUNNERS = TOPICS = (0, 1)
 UNSURE = 0xFFFFFFFF
--- a/sparloom/serving.py
+++ b/sparloom/feed/serving.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from sparloom.feed import Pulse
-from sparloom.link import steady
+from sparloom.transport import steady
 
 MS = timedelta(milliseconds=1)
 
--- /dev/null
+++ b/sparloom/launch/__init__.py
@@ -0,0 +1,1 @@
+"""Starts the programs quickly: early listening sockets, and modules from a byte-code archive."""
--- /dev/null
+++ b/sparloom/launch/__main__.py
@@ -0,0 +1,24 @@
+"""Starts a program: ``python3 -S -m sparloom.launch router`` runs it from the archive that the build made.
+
+A deployment starts its programs this way; ``python -m sparloom.router`` runs
+the same program from the sources.
+"""
+
+import sys
+
+from sparloom.launch.bytecode_archive import install
+from sparloom.launch.launcher import LISTENS, launch
+
+
+def start():
+    """Runs the program that the first argument names, from the archive where there is one."""
+    name = sys.argv[1] if len(sys.argv) > 1 else ""
+    if name not in LISTENS:
+        sys.exit(f"usage: python3 -m sparloom.launch {{{'|'.join(LISTENS)}}} [ARGUMENTS]")
+    install()
+    sys.argv = sys.argv[1:]
+    launch(name)
+
+
+if __name__ == "__main__":
+    start()
--- a/sparloom/packing.py
+++ b/sparloom/launch/build_archive.py
@@ -1,4 +1,4 @@
-"""Makes the archive of modules that ``sparloom.archive`` loads: ``python3 -S -m sparloom.packing``.
+"""Makes the archive of modules that ``sparloom.launch.bytecode_archive`` loads: ``python3 -S -m sparloom.launch.build_archive``.
 
 The build calls it. It loads both programs as they load themselves, notes which
 modules that took and which source texts were generated and compiled on the
@@ -14,12 +14,21 @@
 import re._compiler as pattern_compiler
 import sys
 
-from sparloom.archive import GENERATORS, MAGIC, PATH, SIZE_BYTES, unsalted, version
-from sparloom.early import leave_out, skip_mime_files
+from sparloom.launch.bytecode_archive import GENERATORS, MAGIC, PATH, SIZE_BYTES, unsalted, version
+from sparloom.launch.early_listen import leave_out, skip_mime_files
 
 COMPILE_PATTERN = pattern_compiler.compile
-PROGRAMS = ("sparloom.command", "sparloom.router.program", "sparloom.controller.program")
-LOADED_BEFORE = frozenset(("__main__", "sparloom", "sparloom.archive", "sparloom.packing", "sparloom.start"))
+PROGRAMS = ("sparloom.cli", "sparloom.router.program", "sparloom.controller.program")
+LOADED_BEFORE = frozenset(
+    (
+        "__main__",
+        "sparloom",
+        "sparloom.launch",
+        "sparloom.launch.build_archive",
+        "sparloom.launch.bytecode_archive",
+        "sparloom.launch.launcher",
+    )
+)
 
 
 class Recorder:
--- a/sparloom/archive.py
+++ b/sparloom/launch/bytecode_archive.py
@@ -6,7 +6,7 @@
 every machine of a fleet spends that time while clients wait. The archive holds
 the byte code of all these modules and of generated source texts, the places of
 the extension modules, and compiled patterns. It is made by
-``sparloom.packing`` and bound to one build of Python, since compiled patterns
+``sparloom.launch.build_archive`` and bound to one build of Python, since compiled patterns
 are that build's own matter; where it is missing or made for another one,
 modules are loaded in the ordinary way.
 """
--- a/libs/members/records.py
+++ b/sparloom/membership/records.py
@@ -3,7 +3,7 @@
 from enum import IntEnum
 from hashlib import blake2b
 
-from sparloom.wire import record
+from sparloom.codec import record
 
 
 class Role(IntEnum):
--- a/libs/members/swim.py
+++ b/sparloom/membership/swim.py
@@ -8,7 +8,7 @@
 from attrs import define, evolve, field
 
 from .records import ALIVE, DEAD, SUSPECT, Ack, Compare, Peer, Ping, PingRequest
-from .times import Times, retransmissions
+from .timing import Times, retransmissions
 
 NEWS_PER_DATAGRAM = 18
 RANDOM_NEWS_PER_DATAGRAM = 2
--- a/sparloom/metering.py
+++ b/sparloom/metrics/reporter.py
@@ -8,7 +8,7 @@
 from absl import logging
 from mode import Service
 
-from sparloom.meter import here
+from sparloom.metrics import here
 
 
 def figures():
--- a/libs/prefixes/memory.py
+++ b/sparloom/prefix_cache/memory.py
@@ -6,8 +6,8 @@
 
 from attrs import define, field
 
-from sparloom.timeouts import Read
-from sparloom.wire import record
+from sparloom.codec import record
+from sparloom.dynamic_timeout import Read
 
 _ITEM, _SUM = Struct("!QQI"), Struct("!I")
 
--- a/libs/recover/plan.py
+++ b/sparloom/retry/decision.py
@@ -37,7 +37,7 @@
 def after(p):
     """The step after an attempt that brought no whole reply.
 
-    >>> from sparloom.recover.verdict import MAY_HAVE_RUN
+    >>> from sparloom.retry.verdict import MAY_HAVE_RUN
     >>> after(Plan(False, 2, 1, MAY_HAVE_RUN, left=timedelta(1), within_budget=True, others=True))
     GiveUp(status=502, cut=False)
     >>> after(Plan(False, 2, 1, NOT_RUN, left=timedelta(1), within_budget=True, others=True))
--- a/sparloom/router/line.py
+++ b/sparloom/router/admission_queues.py
@@ -4,10 +4,10 @@
 from datetime import timedelta
 from itertools import count
 
-from sparloom.link import steady
-from sparloom.shares import Away, Gate, Granted, Need, Room, Waits, members_of
+from sparloom.admission import Away, Gate, Granted, Need, Room, Waits, members_of
+from sparloom.transport import steady
 
-from .tiers import most
+from .timeout_buckets import most
 
 TOLD = timedelta(milliseconds=200)
 
--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -6,11 +6,11 @@
 import aiohttp
 from absl import logging
 
-from sparloom.link import steady
-from sparloom.recover import MAY_HAVE_RUN, NOT_RUN, judge_head
+from sparloom.retry import MAY_HAVE_RUN, NOT_RUN, judge_head
+from sparloom.transport import steady
 
-from . import ask as names
-from .silence import SilenceWatch
+from . import request as names
+from .inactivity_timer import SilenceWatch
 from .target import url_for
 
 REFUSAL_BODY = timedelta(milliseconds=50)
--- a/sparloom/router/fleet.py
+++ b/sparloom/router/backends.py
@@ -7,10 +7,10 @@
 import aiohttp
 from attrs import define, field
 
-from sparloom.choice import Kept
-from sparloom.link import tune
-from sparloom.link.client import Connector, open_session
-from sparloom.meter import note
+from sparloom.load_balancing import Kept
+from sparloom.metrics import note
+from sparloom.transport import tune
+from sparloom.transport.http_client import Connector, open_session
 
 from .target import Request
 
--- a/sparloom/router/connections.py
+++ b/sparloom/router/client_connections.py
@@ -5,7 +5,7 @@
 
 from aiohttp import web
 
-from sparloom.link import steady
+from sparloom.transport import steady
 
 # A connection is kept at least so long, whatever the configuration allows.
 LEAST_IDLE = timedelta(seconds=75)
--- a/sparloom/router/follow.py
+++ b/sparloom/router/feed_client.py
@@ -6,14 +6,14 @@
 from absl import logging
 from mode import Service
 
-from sparloom import news
+from sparloom.codec import Broken
+from sparloom.configuration import build
 from sparloom.feed import POLICY, TOPICS, Change, Pulse, Shelf
-from sparloom.link import DialPatience, steady
-from sparloom.members import CONTROLLER
-from sparloom.policy import build
+from sparloom.feed import payload as news
+from sparloom.feed.serving import Bell
+from sparloom.membership import CONTROLLER
 from sparloom.relay import GONE, Spans, Upstream
-from sparloom.serving import Bell
-from sparloom.wire import Broken
+from sparloom.transport import DialPatience, steady
 
 MS = timedelta(milliseconds=1)
 
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -7,17 +7,17 @@
 from aiohttp import web
 from attrs import evolve
 
-from sparloom.choice import Standing, choose, heavy, lean
-from sparloom.link import steady
-from sparloom.meter import note
-from sparloom.recover import MAY_HAVE_RUN, NOT_RUN, RAN, GiveUp, Plan, Retry, after
-from sparloom.stream import Splitter, Thread
-
-from . import ask as names
+from sparloom.event_stream import Splitter, Thread
+from sparloom.load_balancing import Standing, choose, heavy, lean
+from sparloom.metrics import note
+from sparloom.retry import MAY_HAVE_RUN, NOT_RUN, RAN, GiveUp, Plan, Retry, after
+from sparloom.transport import steady
+
+from . import request as names
+from .admission_queues import Away
 from .attempt import RUNNER_FAILURES, Attempt
-from .line import Away
 from .outcomes import Outcome
-from .tiers import buckets_for
+from .timeout_buckets import buckets_for
 
 ZERO = timedelta(0)
 
--- a/sparloom/router/front.py
+++ b/sparloom/router/frontend.py
@@ -8,14 +8,14 @@
 from mode import Service
 
 from sparloom.feed import POLICY, RUNNERS
-from sparloom.link import bind, steady
-from sparloom.metering import figures
+from sparloom.metrics.reporter import figures
+from sparloom.transport import bind, steady
 
-from .ask import make, time_left
-from .connections import LEAST_IDLE, ClientServer
-from .ending import Ending
+from .client_connections import LEAST_IDLE, ClientServer
 from .forwarding import Forwarding
+from .graceful_shutdown import Ending
 from .outcomes import Outcome, Outcomes
+from .request import make, time_left
 
 IDLE_SWEEP = timedelta(seconds=1)
 DRAIN_POLL = timedelta(milliseconds=25)
--- a/sparloom/router/tell.py
+++ b/sparloom/router/in_flight_gossip.py
@@ -1,17 +1,17 @@
 """What this router tells the others of its calls, and what it hears from them.
 
 In a small fleet each router tells every other. Where a tier of relays stands,
-words go through it (``sparloom.sums``).
+words go through it (``sparloom.aggregation``).
 """
 
 import asyncio
 import os
 from functools import singledispatchmethod
 
-from sparloom.link import steady
-from sparloom.members import ROUTER
-from sparloom.sums import Sum, Sums, Total, Up, short
-from sparloom.timeouts import Held, Holding, Read
+from sparloom.aggregation import Sum, Sums, Total, Up, short
+from sparloom.dynamic_timeout import Held, Holding, Read
+from sparloom.membership import ROUTER
+from sparloom.transport import steady
 
 LONG = 1024
 WORDS = (Holding, Up, Sum, Total)
--- a/sparloom/router/prefixes.py
+++ b/sparloom/router/prefix_recall.py
@@ -2,12 +2,12 @@
 
 import asyncio
 
-from sparloom.link import steady
-from sparloom.members import CONTROLLER
-from sparloom.prefixes import Reads, Recall
-from sparloom.timeouts import Read
+from sparloom.dynamic_timeout import Read
+from sparloom.membership import CONTROLLER
+from sparloom.prefix_cache import Reads, Recall
+from sparloom.transport import steady
 
-from .tell import LONG
+from .in_flight_gossip import LONG
 
 TURNS = 20
 
--- a/sparloom/router/program.py
+++ b/sparloom/router/program.py
@@ -6,14 +6,14 @@
 from absl import logging
 from mode import Service
 
-from sparloom.early import hangup_came
-from sparloom.link import Watch
-from sparloom.meter import interval
-from sparloom.metering import Metering
-from sparloom.startup import read
+from sparloom.launch.early_listen import hangup_came
+from sparloom.metrics import interval
+from sparloom.metrics.reporter import Metering
+from sparloom.settings import read
+from sparloom.transport import Watch
 
-from .front import Front
-from .know import Know
+from .frontend import Front
+from .router_state import Know
 
 
 class Router(Service):
--- a/sparloom/router/serve.py
+++ b/sparloom/router/relay_server.py
@@ -4,11 +4,11 @@
 
 from mode import Service
 
+from sparloom.codec import Broken
 from sparloom.feed import UNSURE, Follow
-from sparloom.link import Frames, bind, steady
-from sparloom.serving import MS, serve
-from sparloom.startup import Address
-from sparloom.wire import Broken
+from sparloom.feed.serving import MS, serve
+from sparloom.settings import Address
+from sparloom.transport import Frames, bind, steady
 
 
 class Serve(Service):
--- a/sparloom/router/ask.py
+++ b/sparloom/router/request.py
@@ -5,9 +5,9 @@
 from attrs import define
 from multidict import CIMultiDict
 
-from sparloom.choice import parse_parts
 from sparloom.isolation import part_ids
-from sparloom.recover.verdict import Head
+from sparloom.load_balancing import parse_parts
+from sparloom.retry.verdict import Head
 
 HOP = frozenset(
     (
--- a/sparloom/router/know.py
+++ b/sparloom/router/router_state.py
@@ -7,20 +7,20 @@
 
 from mode import Service
 
-from sparloom.link import Datagrams, steady
-from sparloom.members import ROUTER, SUSPECT, Ack, Compare, Peer, Ping, PingRequest, Swim, Times
-from sparloom.prefixes import Reads
-from sparloom.recover import Budget
+from sparloom.admission import Crowd
+from sparloom.dynamic_timeout import Counts
+from sparloom.membership import ROUTER, SUSPECT, Ack, Compare, Peer, Ping, PingRequest, Swim, Times
+from sparloom.prefix_cache import Reads
 from sparloom.relay import Tier, plan
-from sparloom.shares import Crowd
-from sparloom.timeouts import Counts
-
-from .fleet import Fleet
-from .follow import Follow
-from .line import Lines
-from .prefixes import Prefixes
-from .serve import Serve
-from .tell import WORDS, Tell
+from sparloom.retry import Budget
+from sparloom.transport import Datagrams, steady
+
+from .admission_queues import Lines
+from .backends import Fleet
+from .feed_client import Follow
+from .in_flight_gossip import WORDS, Tell
+from .prefix_recall import Prefixes
+from .relay_server import Serve
 
 TICK = timedelta(milliseconds=50)
 
--- a/sparloom/router/tiers.py
+++ b/sparloom/router/timeout_buckets.py
@@ -2,7 +2,7 @@
 
 from functools import lru_cache
 
-from sparloom.timeouts import Bucket
+from sparloom.dynamic_timeout import Bucket
 
 FALLBACK_SLOTS = 32
 
@@ -27,7 +27,7 @@
     past their part while the fleet looked empty can't shut it out.
 
     >>> from datetime import timedelta
-    >>> from sparloom.policy import Route
+    >>> from sparloom.configuration import Route
     >>> r = Route("r", "h", "/", "safe", (), timedelta(seconds=9), timedelta(seconds=1), timedelta(seconds=1))
     >>> [b.limit for b in buckets_for(r, 64)]
     [32, 64, 128]
--- a/libs/startup/checks.py
+++ b/sparloom/settings/checks.py
@@ -9,8 +9,8 @@
 from returns.result import Failure, Result, Success
 
 from sparloom import isolation
+from sparloom.admission.member import declared
 from sparloom.isolation import Isolation
-from sparloom.shares.member import declared
 
 VARIABLE = "SPARLOOM_CONFIG"
 DEFAULT = "/etc/sparloom/node.toml"
--- a/libs/link/sockets.py
+++ b/sparloom/transport/sockets.py
@@ -7,9 +7,9 @@
 
 from attrs import define, field
 
-from sparloom.early import take
-from sparloom.meter import here
-from sparloom.wire import Broken, pack, unpack
+from sparloom.codec import Broken, pack, unpack
+from sparloom.launch.early_listen import take
+from sparloom.metrics import here
 
 _SIZE = struct.Struct("!I")
 MOST = 1 << 25
@@ -35,7 +35,7 @@
 def bind(addr):
     """A listening socket at an address: the one bound early, if there is one.
 
-    >>> from sparloom.startup import Address
+    >>> from sparloom.settings import Address
     >>> s = bind(Address("127.0.0.1", 0)); s.getsockname()[1] > 0
     True
     >>> s.close()
--- a/tests/test_shares.py
+++ b/tests/admission/test_controller.py
@@ -6,11 +6,10 @@
 
 from returns.pipeline import is_successful
 
-from sparloom.policy import Route
-from sparloom.router.tiers import buckets_for, most
-from sparloom.shares import Away, Crowd, Gate, Granted, Need, Room, Waits, declared
-
-from .fleet_of_sums import Fleet as Sums
+from sparloom.admission import Away, Crowd, Gate, Granted, Need, Room, Waits, declared
+from sparloom.configuration import Route
+from sparloom.router.timeout_buckets import buckets_for, most
+from tests.support.aggregation_fleet import Fleet as Sums
 
 MS = timedelta(milliseconds=1)
 S = timedelta(seconds=1)
--- a/tests/test_sums.py
+++ b/tests/aggregation/test_aggregator.py
@@ -4,10 +4,9 @@
 import unittest
 from math import log, pi, sqrt
 
+from sparloom.aggregation import Sums, coded, decoded
 from sparloom.relay import Tier
-from sparloom.sums import Sums, coded, decoded
-
-from .fleet_of_sums import CONTACT, MS, Fleet
+from tests.support.aggregation_fleet import CONTACT, MS, Fleet
 
 S = 1000 * MS
 
@@ -148,13 +147,13 @@
 
 
 def _sum(key, seq, cover, n):
-    from sparloom.sums import Cover, Sum
+    from sparloom.aggregation import Cover, Sum
 
     return Sum(key, 1, seq, 1, 0, 0xFFFFFFFF, [Cover(h, q) for h, q in cover.items()], coded(held(n)), [], [])
 
 
 def _up(key, seq, crowd):
-    from sparloom.sums import Up
+    from sparloom.aggregation import Up
 
     return Up(key, 1, seq, crowd, coded(held(8)), [])
 
--- a/tests/test_wire.py
+++ b/tests/codec/test_records.py
@@ -3,9 +3,9 @@
 import random
 import unittest
 
-from sparloom.timeouts import Held, Holding, Read
-from sparloom.wire import Broken, pack, record, unpack
-from sparloom.wire.records import _FIXED
+from sparloom.codec import Broken, pack, record, unpack
+from sparloom.codec.records import _FIXED
+from sparloom.dynamic_timeout import Held, Holding, Read
 
 
 @record(249, rows=[record(248, a="Q", b="H", c="?", d="d")(type("Row", (), {}))], name="s")
--- a/tests/test_policy.py
+++ b/tests/configuration/test_check.py
@@ -7,10 +7,9 @@
 
 from returns.pipeline import is_successful
 
-from sparloom.policy import apply_patch, build, check, parse
-from sparloom.policy.check import _SOUND, ROUTE, SERVICE, _sound
-
-from .rig import POLICY, route
+from sparloom.configuration import apply_patch, build, check, parse
+from sparloom.configuration.check import _SOUND, ROUTE, SERVICE, _sound
+from tests.support.router_fixture import POLICY, route
 
 ROUTE_KEYS = list(_SOUND["route"][1])
 
@@ -96,7 +95,7 @@
 
     def test_a_large_policy_is_checked_without_holding_up_the_heartbeat(self):
         d = {"revision": 1, "services": [{"name": "s"}], "routes": [route(f"r{i}", f"/{i}/") for i in range(3000)]}
-        with mock.patch("sparloom.policy.check.ROUTE", None):
+        with mock.patch("sparloom.configuration.check.ROUTE", None):
             self.assertTrue(is_successful(check(d)), "the schema is not needed for what is sound")
 
     def test_old_revisions_are_refused(self):
--- a/tests/test_ledger_sizes.py
+++ b/tests/consensus/test_core_sizes.py
@@ -3,7 +3,7 @@
 import unittest
 from itertools import combinations
 
-from rehearsal.core import Core
+from simulator.core import Core
 
 NAMES = "abcdefghi"
 CATCH_UP = 4000
--- a/tests/test_ledger.py
+++ b/tests/consensus/test_member.py
@@ -4,11 +4,11 @@
 import unittest
 from datetime import timedelta
 
-from rehearsal.core import Core
-from rehearsal.timeline import play
-from sparloom.ledger import Store
-from sparloom.ledger.records import Data, Member, Register, Roster, View
-from sparloom.ledger.views import Basis, choose_backups, next_roster, next_view, quorum
+from simulator.core import Core
+from simulator.timeline import play
+from sparloom.consensus import Store
+from sparloom.consensus.records import Data, Member, Register, Roster, View
+from sparloom.consensus.views import Basis, choose_backups, next_roster, next_view, quorum
 
 
 class Timelines(unittest.TestCase):
--- a/tests/test_ledger_found.py
+++ b/tests/consensus/test_model_checker_findings.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from rehearsal.check import Scope, World
-from rehearsal.check.moves import At, Deliver, Power, fair
-from rehearsal.check.settle import settle
-from rehearsal.check.starts import ready
-from rehearsal.core import Core
-from rehearsal.timeline import play
+from simulator.check import Scope, World
+from simulator.check.recovery import settle
+from simulator.check.starts import ready
+from simulator.check.transitions import At, Deliver, Power, fair
+from simulator.core import Core
+from simulator.timeline import play
 
 
 def play_until(world, holds, skipped=lambda message: False, most=400):
--- a/tests/test_ledger_power.py
+++ b/tests/consensus/test_power_loss.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from rehearsal.core import Core
+from simulator.core import Core
 
 
 class PowerLost(unittest.TestCase):
--- a/tests/test_ledger_membership.py
+++ b/tests/consensus/test_reconfiguration.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rehearsal.core import Core
+from simulator.core import Core
 
 # A machine counts as lost until this long after it is back, or after the start of its successor.
 CATCH_UP = 4000
--- a/tests/test_ledger_machines.py
+++ b/tests/consensus/test_stateful.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule, run_state_machine_as_test
 
-from rehearsal.check.history import Violation
-from sparloom.ledger import Confirmed
-from sparloom.ledger.leadership import Leadership
-from tests.watched_core import WatchedCore
+from simulator.check.history import Violation
+from sparloom.consensus import Confirmed
+from sparloom.consensus.leadership import Leadership
+from tests.support.watched_core import WatchedCore
 
 EXAMPLES = int(os.environ.get("SPARLOOM_EXAMPLES", "0"))
 SERVE_MS, WRITE_MS, REPAIR_MS = 6000, 4500, 12000
--- a/tests/test_core.py
+++ b/tests/controller/test_consensus_service.py
@@ -8,12 +8,11 @@
 
 from attrs import evolve
 
-from sparloom.controller import core
-from sparloom.ledger import Data, Ledger, Member, Register, Spans, View
-from sparloom.ledger.records import Copy
-from sparloom.startup import from_dict
-
-from .rig import STARTUP
+from sparloom.consensus import Data, Ledger, Member, Register, Spans, View
+from sparloom.consensus.records import Copy
+from sparloom.controller import consensus_service as core
+from sparloom.settings import from_dict
+from tests.support.router_fixture import STARTUP
 
 SPANS = Spans.of(timedelta(milliseconds=600))
 ME, OTHER = Member(1, "127.0.0.1", 7300, "z", ""), Member(2, "127.0.0.2", 7300, "z", "")
--- a/tests/test_control_orders.py
+++ b/tests/controller/test_control_api.py
@@ -8,16 +8,16 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from rehearsal.virtual import world
-from sparloom.controller import control, state
-from sparloom.controller.control import Control
-from sparloom.controller.orders import Verdict, judge, read_order
-from sparloom.controller.state import History, State, fingerprint
+from simulator.virtual import world
+from sparloom.configuration import check, parse
+from sparloom.consensus.records import Data
+from sparloom.controller import control_api as control
+from sparloom.controller import control_state as state
+from sparloom.controller.change_requests import Verdict, judge, read_order
+from sparloom.controller.control_api import Control
+from sparloom.controller.control_state import History, State, fingerprint
 from sparloom.feed import UNSURE
-from sparloom.ledger.records import Data
-from sparloom.policy import check, parse
-
-from .rig import POLICY, route
+from tests.support.router_fixture import POLICY, route
 
 MS = timedelta(milliseconds=1)
 
--- a/tests/test_disk.py
+++ b/tests/controller/test_durable_writer.py
@@ -6,9 +6,9 @@
 import tempfile
 import unittest
 
-from sparloom.controller.disk import Disk
-from sparloom.ledger import EMPTY, Data, Register, Save, Store
-from sparloom.ledger.store import FILE, SET_ASIDE
+from sparloom.consensus import EMPTY, Data, Register, Save, Store
+from sparloom.consensus.store import FILE, SET_ASIDE
+from sparloom.controller.durable_writer import Disk
 
 DATA = Data(7, 1, 3, b"xyz")
 
--- a/tests/test_poller.py
+++ b/tests/controller/test_endpoint_poller.py
@@ -3,11 +3,10 @@
 import unittest
 from types import SimpleNamespace
 
-from sparloom.controller.poller import Poller
-from sparloom.startup import from_dict
-from standins.platform import Platform
-
-from .rig import STARTUP
+from fakes.platform import Platform
+from sparloom.controller.endpoint_poller import Poller
+from sparloom.settings import from_dict
+from tests.support.router_fixture import STARTUP
 
 
 class Duty:
--- a/tests/test_control.py
+++ b/tests/controller/test_program.py
@@ -8,14 +8,13 @@
 
 import aiohttp
 
+from fakes.platform import Platform
+from fakes.runner import Runner
 from sparloom.compare.beliefs import compare
 from sparloom.controller.program import Controller
 from sparloom.router.program import Router
-from sparloom.startup import from_dict
-from standins.platform import Platform
-from standins.runner import Runner
-
-from .rig import POLICY, STARTUP, route
+from sparloom.settings import from_dict
+from tests.support.router_fixture import POLICY, STARTUP, route
 
 
 def free(n):
--- a/tests/test_timeouts.py
+++ b/tests/dynamic_timeout/test_counts.py
@@ -4,9 +4,9 @@
 import unittest
 from datetime import timedelta
 
-from sparloom.policy import Route
-from sparloom.router.tiers import buckets_for
-from sparloom.timeouts import Bucket, Capacity, Counts, Held, Holding, capacity_buckets, pick
+from sparloom.configuration import Route
+from sparloom.dynamic_timeout import Bucket, Capacity, Counts, Held, Holding, capacity_buckets, pick
+from sparloom.router.timeout_buckets import buckets_for
 
 S = timedelta(seconds=1)
 SOURCE = [Bucket(8 * S, 5), Bucket(S, 10), Bucket(S / 2, 20)]
--- a/tests/test_stream.py
+++ b/tests/event_stream/test_events.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from sparloom.stream import Splitter, Thread, event_id
+from sparloom.event_stream import Splitter, Thread, event_id
 
 
 def stream(a, b):
--- a/tests/test_isolation.py
+++ b/tests/isolation/test_isolation.py
@@ -7,13 +7,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rehearsal.isolation import play_isolation
-from sparloom.choice import parse_parts
+from simulator.isolation import play_isolation
 from sparloom.isolation import COMMON, Generation, Isolation, part_ids
-from sparloom.router.know import Know
-from sparloom.startup import from_dict
-
-from .rig import POLICY, STARTUP, Rig, route
+from sparloom.load_balancing import parse_parts
+from sparloom.router.router_state import Know
+from sparloom.settings import from_dict
+from tests.support.router_fixture import POLICY, STARTUP, Rig, route
 
 KEY = "ab" * 32
 MEMBERS = {"a": {"hosts": ["a.example"], "reserve": 0.3}, "b": {"hosts": ["b.example"], "reserve": 0.3}}
--- a/tests/test_archive.py
+++ b/tests/launch/test_bytecode_archive.py
@@ -7,9 +7,9 @@
 import tempfile
 import unittest
 
-from sparloom.archive import Archive
+from sparloom.launch.bytecode_archive import Archive
+from tests.support.paths import ROOT
 
-ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 LOAD = """
 import gc, json, sys
 events = {"compile": 0, "open": 0}
@@ -19,19 +19,19 @@
         events["compile"] += 1
     elif event == "open" and str(args[0]).endswith((".py", ".pyc")):
         opened.append(args[0])
-from sparloom.archive import Archive, install, release
+from sparloom.launch.bytecode_archive import Archive, install, release
 archive = install(sys.argv[1])
-from sparloom.early import leave_out, skip_mime_files
+from sparloom.launch.early_listen import leave_out, skip_mime_files
 leave_out()
 skip_mime_files()
 sys.addaudithook(hook)
-import sparloom.command, sparloom.router.program
+import sparloom.cli, sparloom.router.program
 modules = len(sys.modules)
-from sparloom.archive import release
+from sparloom.launch.bytecode_archive import release
 release()
 import re, inspect
-from sparloom.members.records import Ping
-from sparloom.timeouts.buckets import Bucket
+from sparloom.membership.records import Ping
+from sparloom.dynamic_timeout.buckets import Bucket
 print(json.dumps({
     "used": archive is not None,
     "compiled": events["compile"],
@@ -51,12 +51,12 @@
 import gc, sys, time
 if sys.argv[1] == "archive":
     gc.disable()
-    from sparloom.archive import install
+    from sparloom.launch.bytecode_archive import install
     assert install(sys.argv[2])
-from sparloom.early import leave_out, skip_mime_files
+from sparloom.launch.early_listen import leave_out, skip_mime_files
 leave_out()
 skip_mime_files()
-import sparloom.command, sparloom.router.program
+import sparloom.cli, sparloom.router.program
 print(time.process_time())
 """
 # A start from the archive takes about 0.6 of the processor time of one from the sources.
@@ -84,7 +84,9 @@
         cls.folder = tempfile.TemporaryDirectory()
         cls.addClassCleanup(cls.folder.cleanup)
         cls.path = os.path.join(cls.folder.name, "programs.bin")
-        done = python("-c", "import sys; from sparloom.packing import pack; print(pack(sys.argv[1]))", cls.path)
+        done = python(
+            "-c", "import sys; from sparloom.launch.build_archive import pack; print(pack(sys.argv[1]))", cls.path
+        )
         if done.returncode:
             raise AssertionError(done.stderr)
         cls.packed = int(done.stdout)
@@ -143,12 +145,12 @@
                 with self.subTest(name=name, arguments=arguments):
                     one, two = (
                         python("-m", f"sparloom.{name}", *arguments),
-                        python("-m", "sparloom.start", name, *arguments),
+                        python("-m", "sparloom.launch", name, *arguments),
                     )
                     self.assertEqual((one.returncode, one.stdout, one.stderr), (two.returncode, two.stdout, two.stderr))
 
     def test_an_unknown_program_is_refused(self):
         for arguments in ([], ["relay"]):
-            done = python("-m", "sparloom.start", *arguments)
+            done = python("-m", "sparloom.launch", *arguments)
             self.assertEqual(done.returncode, 1)
-            self.assertIn("usage: python3 -m sparloom.start {router|controller}", done.stderr)
+            self.assertIn("usage: python3 -m sparloom.launch {router|controller}", done.stderr)
--- a/tests/test_choice.py
+++ b/tests/load_balancing/test_rank.py
@@ -4,10 +4,9 @@
 import sys
 import unittest
 
-from sparloom.choice import Standing, Weights, choose, lean
-
-from .choosing import Fleet
-from .rig import Rig
+from sparloom.load_balancing import Standing, Weights, choose, lean
+from tests.support.load_balancing_fleet import Fleet
+from tests.support.router_fixture import Rig
 
 PLAIN = Weights(again=0.6, home=1.0, near=48, warm=0)
 
@@ -100,6 +99,6 @@
 
 class Start(unittest.TestCase):
     def test_tls_is_never_loaded(self):
-        code = "from sparloom.early import leave_out; leave_out(); import sys, sparloom.command, sparloom.router.program, sparloom.controller.program; print(sys.modules['ssl'], '_ssl' in sys.modules and sys.modules['_ssl'])"
+        code = "from sparloom.launch.early_listen import leave_out; leave_out(); import sys, sparloom.cli, sparloom.router.program, sparloom.controller.program; print(sys.modules['ssl'], '_ssl' in sys.modules and sys.modules['_ssl'])"
         got = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, check=False)
         self.assertEqual((got.stdout.strip(), got.returncode), ("None None", 0), got.stderr)
--- a/tests/test_members.py
+++ b/tests/membership/test_swim.py
@@ -4,8 +4,8 @@
 import unittest
 from datetime import timedelta
 
-from rehearsal.net import Net
-from sparloom.members import ALIVE, DEAD, ROUTER, Ack, Peer, Ping, Swim, Times
+from simulator.net import Net
+from sparloom.membership import ALIVE, DEAD, ROUTER, Ack, Peer, Ping, Swim, Times
 
 
 class Lives(unittest.TestCase):
--- a/tests/test_meter.py
+++ b/tests/metrics/test_meter.py
@@ -4,14 +4,13 @@
 import unittest
 from datetime import timedelta
 
-from sparloom import meter
+from sparloom import metrics as meter
+from sparloom.codec import pack
 from sparloom.feed import Follow, Pulse
-from sparloom.link import Datagrams, Frames, dial
-from sparloom.members import ALIVE, ROUTER, Peer, Ping
-from sparloom.metering import Metering, figures
-from sparloom.wire import pack
-
-from .rig import Rig
+from sparloom.membership import ALIVE, ROUTER, Peer, Ping
+from sparloom.metrics.reporter import Metering, figures
+from sparloom.transport import Datagrams, Frames, dial
+from tests.support.router_fixture import Rig
 
 SECOND = timedelta(seconds=1)
 PING = Ping(1, Peer("127.0.0.1:1", ROUTER, "z", "", 1, 0, ALIVE), 0, [])
--- a/tests/test_prefixes.py
+++ b/tests/prefix_cache/test_memory.py
@@ -7,12 +7,12 @@
 from datetime import timedelta
 from types import SimpleNamespace
 
-from sparloom.choice import Kept
-from sparloom.controller.remember import FILE, Remember
-from sparloom.members import CONTROLLER
-from sparloom.prefixes import Memory, Reads, Recall
-from sparloom.router.prefixes import TURNS, Prefixes
-from sparloom.timeouts import Read
+from sparloom.controller.prefix_snapshots import FILE, Remember
+from sparloom.dynamic_timeout import Read
+from sparloom.load_balancing import Kept
+from sparloom.membership import CONTROLLER
+from sparloom.prefix_cache import Memory, Reads, Recall
+from sparloom.router.prefix_recall import TURNS, Prefixes
 
 A, B = "10.0.0.1:7", "10.0.0.2:7"
 
--- a/tests/test_relay_loop.py
+++ b/tests/relay/test_relay_loopback.py
@@ -7,19 +7,18 @@
 import unittest
 from datetime import timedelta
 
+from fakes.platform import Platform
+from sparloom.codec import pack
+from sparloom.controller.control_state import State
 from sparloom.controller.program import Controller
-from sparloom.controller.state import State
 from sparloom.feed import POLICY, RUNNERS, Follow
-from sparloom.news import read, whole
+from sparloom.feed.payload import read, whole
 from sparloom.relay import Tier
-from sparloom.router.know import Know
-from sparloom.startup import from_dict
-from sparloom.wire import pack
-from standins.platform import Platform
-
-from .rig import POLICY as ROUTES
-from .rig import STARTUP, route
-from .test_control import free
+from sparloom.router.router_state import Know
+from sparloom.settings import from_dict
+from tests.controller.test_program import free
+from tests.support.router_fixture import POLICY as ROUTES
+from tests.support.router_fixture import STARTUP, route
 
 BOUND = timedelta(seconds=3)
 
--- a/tests/test_relay.py
+++ b/tests/relay/test_upstream.py
@@ -7,11 +7,10 @@
 import random
 import unittest
 
-from rehearsal.timeline import rows
+from simulator.timeline import rows
 from sparloom.feed import POLICY, Shelf, Tracker
 from sparloom.relay import STALE, Spans, Tier, Upstream, plan
-
-from .relays import CONTACT, MS, Net
+from tests.support.relay_network import CONTACT, MS, Net
 
 THIRD = CONTACT / 3
 MARGIN = 120 * MS
--- a/tests/test_recover.py
+++ b/tests/retry/test_retry.py
@@ -5,8 +5,8 @@
 from datetime import timedelta
 from itertools import product
 
-from sparloom.recover import MAY_HAVE_RUN, NOT_RUN, RAN, Budget, GiveUp, Plan, Retry, after, judge_head
-from sparloom.recover.verdict import Head
+from sparloom.retry import MAY_HAVE_RUN, NOT_RUN, RAN, Budget, GiveUp, Plan, Retry, after, judge_head
+from sparloom.retry.verdict import Head
 
 S = timedelta(seconds=1)
 
--- a/tests/test_answers.py
+++ b/tests/router/test_answers.py
@@ -6,11 +6,11 @@
 
 import aiohttp
 
-from sparloom.link.client import Connector, open_session
-from sparloom.router.fleet import Post
-from sparloom.timeouts import Counts
+from sparloom.dynamic_timeout import Counts
+from sparloom.router.backends import Post
+from sparloom.transport.http_client import Connector, open_session
 
-from .test_router import EVENTS, Case
+from .test_frontend import EVENTS, Case
 
 
 class FailsOnce:
--- a/tests/test_follow.py
+++ b/tests/router/test_feed_client.py
@@ -5,18 +5,17 @@
 from datetime import timedelta
 from types import SimpleNamespace
 
-from sparloom import news
-from sparloom.controller.shop import Shop
+from sparloom.codec import Broken
+from sparloom.controller.feed_server import Shop
+from sparloom.discovery import RunnerList
 from sparloom.feed import POLICY, RUNNERS, Change, Follow, Pulse
-from sparloom.link import Frames, steady
-from sparloom.members import ROUTER, Peer, Swim, Times
-from sparloom.platform import RunnerList
-from sparloom.router.know import Know
-from sparloom.startup import from_dict
-from sparloom.wire import Broken
-
-from .rig import POLICY as ROUTES
-from .rig import STARTUP
+from sparloom.feed import payload as news
+from sparloom.membership import ROUTER, Peer, Swim, Times
+from sparloom.router.router_state import Know
+from sparloom.settings import from_dict
+from sparloom.transport import Frames, steady
+from tests.support.router_fixture import POLICY as ROUTES
+from tests.support.router_fixture import STARTUP
 
 MS = timedelta(milliseconds=1)
 
--- a/tests/test_router.py
+++ b/tests/router/test_frontend.py
@@ -4,11 +4,10 @@
 import unittest
 from unittest import mock
 
-from sparloom.link import steady
-from sparloom.policy import build
-from sparloom.router.line import Lines
-
-from .rig import POLICY, Rig
+from sparloom.configuration import build
+from sparloom.router.admission_queues import Lines
+from sparloom.transport import steady
+from tests.support.router_fixture import POLICY, Rig
 
 EVENTS = b"".join(b"id: %d\ndata: piece %d\n\n" % (i, i) for i in range(1, 6))
 
--- a/tests/test_drain.py
+++ b/tests/router/test_graceful_shutdown.py
@@ -5,10 +5,9 @@
 import unittest
 from datetime import timedelta
 
-from rehearsal.clients import Client, PlannedEnd, Tally
-from rehearsal.virtual import world
-
-from .rig import POLICY, Rig, route
+from simulator.clients import Client, PlannedEnd, Tally
+from simulator.virtual import world
+from tests.support.router_fixture import POLICY, Rig, route
 
 LONG = {**POLICY, "routes": [route("once", "/once/", timeoutMs=20000, gapTargetMs=20000)]}
 GRACE = timedelta(seconds=8)
--- a/tests/test_moving.py
+++ b/tests/router/test_hedging.py
@@ -3,10 +3,9 @@
 import asyncio
 import unittest
 
-from rehearsal.clients import Client
-from rehearsal.virtual import world
-
-from .rig import POLICY, Rig, route
+from simulator.clients import Client
+from simulator.virtual import world
+from tests.support.router_fixture import POLICY, Rig, route
 
 EVENTS = b"".join(b"id: %d\ndata: piece %d\n\n" % (i, i) for i in range(1, 6))
 ROUTES = [
--- a/tests/test_tell.py
+++ b/tests/router/test_in_flight_gossip.py
@@ -5,15 +5,14 @@
 from datetime import timedelta
 from unittest import mock
 
-from sparloom.members import ROUTER, Peer, Swim, Times
-from sparloom.platform import Runner, RunnerList
-from sparloom.router import know as know_module
-from sparloom.router import tell as tell_module
-from sparloom.router.know import Know
-from sparloom.startup import from_dict
-from sparloom.timeouts import Bucket
-
-from .rig import STARTUP
+from sparloom.discovery import Runner, RunnerList
+from sparloom.dynamic_timeout import Bucket
+from sparloom.membership import ROUTER, Peer, Swim, Times
+from sparloom.router import in_flight_gossip as tell_module
+from sparloom.router import router_state as know_module
+from sparloom.router.router_state import Know
+from sparloom.settings import from_dict
+from tests.support.router_fixture import STARTUP
 
 MS = timedelta(milliseconds=1)
 OPEN = [Bucket(timedelta(seconds=1), -1)]
--- a/tests/test_reconfigured.py
+++ b/tests/router/test_reconfigured.py
@@ -4,13 +4,12 @@
 import itertools
 import unittest
 
-from rehearsal.clients import Client
-from rehearsal.virtual import world
-from sparloom.platform import Runner as Listed
-from sparloom.platform import RunnerList
-from sparloom.policy import build
-
-from .rig import POLICY, Rig, route
+from simulator.clients import Client
+from simulator.virtual import world
+from sparloom.configuration import build
+from sparloom.discovery import Runner as Listed
+from sparloom.discovery import RunnerList
+from tests.support.router_fixture import POLICY, Rig, route
 
 ROUTES = [route("once", "/once/", timeoutMs=8000), route("resume", "/resume/", resumeStreams=True, timeoutMs=8000)]
 SERVICE = POLICY["services"][0]
--- a/tests/test_startup.py
+++ b/tests/settings/test_checks.py
@@ -9,9 +9,8 @@
 
 from returns.pipeline import is_successful
 
-from sparloom.startup import from_dict, read
-
-from .rig import STARTUP
+from sparloom.settings import from_dict, read
+from tests.support.router_fixture import STARTUP
 
 
 class Checked(unittest.TestCase):
--- a/tests/test_growth.py
+++ b/tests/simulator/test_growth.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from rehearsal.growth import play
-from rehearsal.slopes import fit, rows
+from simulator.growth import play
+from simulator.slopes import fit, rows
 
 
 class Slopes(unittest.TestCase):
--- a/tests/test_history.py
+++ b/tests/simulator/test_history.py
@@ -7,13 +7,12 @@
 import unittest
 from unittest import mock
 
-from rehearsal.history import Call, Outcome, Sent, broken_rule, fault_in, linearize
-from rehearsal.operators import Plan, play_history
-from sparloom.controller.control import Control, Snapshot
-from sparloom.controller.orders import Judgement, Verdict, judge
-from sparloom.controller.state import History, State
-
-from .test_docs import ROOT
+from simulator.history import Call, Outcome, Sent, broken_rule, fault_in, linearize
+from simulator.operators import Plan, play_history
+from sparloom.controller.change_requests import Judgement, Verdict, judge
+from sparloom.controller.control_api import Control, Snapshot
+from sparloom.controller.control_state import History, State
+from tests.support.paths import ROOT
 
 ACK, STALE, INVALID, READ, UNCLEAR = (
     Outcome.ACKNOWLEDGED,
@@ -102,7 +101,7 @@
             return next((s for s in seeds if play_history(s, Plan(seconds=15.0)).fault), None)
 
     def test_histories_hold_under_troubles(self):
-        args = [sys.executable, "-m", "rehearsal", "history", "--seeds", "4", "--seconds", "15"]
+        args = [sys.executable, "-m", "simulator", "history", "--seeds", "4", "--seconds", "15"]
         env = {**os.environ, "PYTHONHASHSEED": "0"}
         done = subprocess.run(args, cwd=ROOT, env=env, capture_output=True, text=True, check=False)
         self.assertEqual(done.returncode, 0, done.stdout + done.stderr)
@@ -121,6 +120,6 @@
         self.assertIsNotNone(self.caught("add", lambda self, revision, mark: self, History))
 
     def test_a_handler_that_goes_by_the_number_alone_is_caught(self):
-        with mock.patch("sparloom.controller.control.judge", _number_only):
+        with mock.patch("sparloom.controller.control_api.judge", _number_only):
             seeds = range(1, self.MOST_SEEDS + 1)
             self.assertTrue(any(play_history(s, Plan(seconds=15.0)).fault for s in seeds))
--- a/tests/test_check.py
+++ b/tests/simulator/test_model_checker.py
@@ -3,14 +3,14 @@
 import unittest
 from unittest import mock
 
-from rehearsal.check import Bounds, Scope, Violation, search, timeline, walk
-from rehearsal.check.moves import At, Pass
-from rehearsal.check.shrink import kind, shrink
-from rehearsal.check.starts import STARTS, ready
-from sparloom.ledger import Confirmed, Send, election, leadership
-from sparloom.ledger.election import Election
-from sparloom.ledger.leadership import Leadership
-from sparloom.ledger.replica import Replica
+from simulator.check import Bounds, Scope, Violation, search, timeline, walk
+from simulator.check.shrink import kind, shrink
+from simulator.check.starts import STARTS, ready
+from simulator.check.transitions import At, Pass
+from sparloom.consensus import Confirmed, Send, election, leadership
+from sparloom.consensus.election import Election
+from sparloom.consensus.leadership import Leadership
+from sparloom.consensus.replica import Replica
 
 _copy, _confirm, _on_kept = Replica.copy, Leadership._confirm, Leadership.on_kept
 
--- a/tests/test_rehearsal.py
+++ b/tests/simulator/test_play.py
@@ -1,12 +1,11 @@
-"""The rehearsal tells what held, and also what did not."""
+"""The simulator tells what held, and also what did not."""
 
 import ast
 import os
 import unittest
 
-from rehearsal import play
-
-ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+from simulator import play
+from tests.support.paths import ROOT
 
 
 def imported(path):
@@ -34,7 +33,7 @@
             del play.STORIES["wrong"]
 
     def test_neither_programs_nor_the_emulator_need_the_tests(self):
-        for top in ("rehearsal", "sparloom", "libs", "standins"):
+        for top in ("simulator", "sparloom", "fakes"):
             for d, _, files in os.walk(os.path.join(ROOT, top)):
                 for f in (f for f in files if f.endswith(".py")):
                     found = {m for m in imported(os.path.join(d, f)) if m.split(".")[0] == "tests"}
--- a/tests/test_scale.py
+++ b/tests/simulator/test_scale.py
@@ -6,13 +6,12 @@
 import re
 import unittest
 
-from rehearsal.fleet import Size
-from rehearsal.hollow import Load
-from rehearsal.plan import from_dict
-from rehearsal.point import point
-from rehearsal.virtual import HOST, START, Loop, Stuck, end
-
-ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+from simulator.fleet import Size
+from simulator.plan import from_dict
+from simulator.point import point
+from simulator.simulated_router import Load
+from simulator.virtual import HOST, START, Loop, Stuck, end
+from tests.support.paths import ROOT
 
 
 def bound():
@@ -156,7 +155,7 @@
     def test_every_plan_of_the_repository_is_sound(self):
         import tomllib
 
-        folder = os.path.join(ROOT, "rehearsal", "plans")
+        folder = os.path.join(ROOT, "simulator", "plans")
         for name in sorted(os.listdir(folder)):
             with self.subTest(name), open(os.path.join(folder, name), "rb") as f:
                 self.assertTrue(from_dict(tomllib.load(f)).unwrap().sizes)
@@ -170,7 +169,7 @@
 
 class Tools(unittest.TestCase):
     def test_a_bent_curve_is_called_so(self):
-        from rehearsal.report import Fit
+        from simulator.report import Fit
 
         self.assertTrue(Fit.of([25, 50, 100], [30, 55, 104]).straight)
         self.assertFalse(Fit.of([25, 50, 100, 200], [25, 100, 400, 1600]).straight)
@@ -182,14 +181,14 @@
 
         import psutil
 
-        from rehearsal.children import Children
+        from simulator.children import Children
 
         async def go(folder):
             kids = Children(folder, 2)
-            host = await kids.start("hollow", ["rehearsal.host"], asked=True)
+            host = await kids.start("hollow", ["simulator.host"], asked=True)
             other = await kids.start("idle", ["asyncio"])
             with self.assertRaises(RuntimeError):
-                await kids.start("hollow", ["rehearsal.host"])
+                await kids.start("hollow", ["simulator.host"])
             self.assertEqual((await host.ask("figures"))["nodes"], 0)
             with self.assertRaises(RuntimeError):
                 await host.ask("start", startups=[{"ipAddress": "10.0.0.1"}], load={}, seed=1)
--- a/tests/fleet_of_sums.py
+++ b/tests/support/aggregation_fleet.py
@@ -3,11 +3,11 @@
 import random
 from itertools import count
 
-from rehearsal.clock import MS, Clock
+from simulator.clock import MS, Clock
+from sparloom.admission import Crowd
+from sparloom.aggregation import Sums
+from sparloom.codec import pack
 from sparloom.relay import plan
-from sparloom.shares import Crowd
-from sparloom.sums import Sums
-from sparloom.wire import pack
 
 CONTACT = 3000 * MS
 SHARED = 10**6
--- a/tests/choosing.py
+++ b/tests/support/load_balancing_fleet.py
@@ -12,8 +12,8 @@
 
 from attrs import define, field
 
-from sparloom.choice import Kept, Standing, choose, heavy, lean
-from sparloom.choice.rank import WEIGHTS as DEFAULT_WEIGHTS
+from sparloom.load_balancing import Kept, Standing, choose, heavy, lean
+from sparloom.load_balancing.rank import WEIGHTS as DEFAULT_WEIGHTS
 
 SLOTS, CHUNK, SPEED, ROOM = 16, 1024, 50.0, 380_000
 
--- /dev/null
+++ b/tests/support/paths.py
@@ -0,0 +1,5 @@
+"""Where the project lies."""
+
+import pathlib
+
+ROOT = str(pathlib.Path(__file__).resolve().parents[2])
--- a/tests/relays.py
+++ b/tests/support/relay_network.py
@@ -6,7 +6,7 @@
 
 import random
 
-from rehearsal.clock import MS, Clock
+from simulator.clock import MS, Clock
 from sparloom.feed import POLICY, UNSURE, Change, Pulse, Shelf
 from sparloom.relay import GONE, Spans, Tier, Upstream, plan
 
--- a/tests/rig.py
+++ b/tests/support/router_fixture.py
@@ -4,16 +4,16 @@
 import random
 from datetime import timedelta
 
-from sparloom.link import bind, steady
-from sparloom.members import ROUTER, Peer, Swim, Times
-from sparloom.platform import Runner as Listed
-from sparloom.platform import RunnerList
-from sparloom.policy import build
-from sparloom.router.fleet import Fleet
-from sparloom.router.front import Front
-from sparloom.router.know import Know
-from sparloom.startup import Address, from_dict
-from standins.runner import Runner
+from fakes.runner import Runner
+from sparloom.configuration import build
+from sparloom.discovery import Runner as Listed
+from sparloom.discovery import RunnerList
+from sparloom.membership import ROUTER, Peer, Swim, Times
+from sparloom.router.backends import Fleet
+from sparloom.router.frontend import Front
+from sparloom.router.router_state import Know
+from sparloom.settings import Address, from_dict
+from sparloom.transport import bind, steady
 
 STARTUP = {
     "nodeName": "front-1",
--- a/tests/watched_core.py
+++ b/tests/support/watched_core.py
@@ -2,10 +2,10 @@
 
 from attrs import define
 
-from rehearsal.check.history import History, Violation
-from rehearsal.core import Core
-from rehearsal.timeline import EVENTS
-from sparloom.ledger import Confirmed, Decided, Lost
+from simulator.check.history import History, Violation
+from simulator.core import Core
+from simulator.timeline import EVENTS
+from sparloom.consensus import Confirmed, Decided, Lost
 
 
 @define(frozen=True, slots=True)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -5,9 +5,9 @@
 import tomllib
 import unittest
 
-from sparloom.start import LISTENS
+from sparloom.launch.launcher import LISTENS
+from tests.support.paths import ROOT
 
-ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 CLASSES = {"front", "core"}
 
 
@@ -36,7 +36,7 @@
         self.assertNotIn("tests", build)
 
     def test_every_role_runs_a_program_that_exists_from_the_archive_that_the_build_makes(self):
-        self.assertTrue(self.deploy["build"].endswith("-m sparloom.packing"))
+        self.assertTrue(self.deploy["build"].endswith("-m sparloom.launch.build_archive"))
         for name, role in self.deploy["roles"].items():
             with self.subTest(name):
                 program, *options, module, started = role["run"].split()
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -5,7 +5,7 @@
 import os
 import unittest
 
-ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+from tests.support.paths import ROOT
 
 
 def _sources(*tops):
@@ -20,16 +20,16 @@
 
 class Examples(unittest.TestCase):
     def test_examples(self):
-        for path in _sources("libs", "sparloom", "rehearsal"):
+        for path in _sources("sparloom", "simulator"):
             rel = os.path.relpath(path, ROOT)[:-3].replace(os.sep, ".")
             if rel.endswith("__main__"):
                 continue
-            name = rel.replace("libs.", "sparloom.", 1) if rel.startswith("libs.") else rel
+            name = rel.removesuffix(".__init__")
             with self.subTest(name):
-                mod = importlib.import_module(name.removesuffix(".__init__"))
+                mod = importlib.import_module(name)
                 self.assertEqual(doctest.testmod(mod).failed, 0)
 
     def test_no_file_over_400_lines(self):
-        for path in _sources("libs", "sparloom", "tests", "rehearsal"):
+        for path in _sources("sparloom", "tests", "simulator"):
             with self.subTest(path), open(path, encoding="utf-8") as f:
                 self.assertLessEqual(sum(1 for _ in f), 400)
--- a/tests/test_dialing.py
+++ b/tests/transport/test_dialing.py
@@ -5,12 +5,11 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from sparloom.controller.shop import Shop
-from sparloom.link import DialPatience, sockets
-from sparloom.router.know import Know
-from sparloom.startup import from_dict
-
-from .rig import STARTUP
+from sparloom.controller.feed_server import Shop
+from sparloom.router.router_state import Know
+from sparloom.settings import from_dict
+from sparloom.transport import DialPatience, sockets
+from tests.support.router_fixture import STARTUP
 
 MS = timedelta(milliseconds=1)
 PAUSE = 50 * MS
