--- /dev/null
+++ b/tests/golden_names.py
@@ -0,0 +1,188 @@
+"""The names that ``tests/test_golden.py`` takes from the code under test.
+
+A rename is followed here, and nowhere in that file; what it compares stays.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from datetime import timedelta
+from enum import Enum
+from types import SimpleNamespace
+from typing import Any
+
+import attrs
+
+from sparloom.choice import parse_parts
+from sparloom.controller import control, remember
+from sparloom.controller.state import State, fingerprint
+from sparloom.feed import POLICY, RUNNERS, Change
+from sparloom.isolation import part_ids
+from sparloom.ledger import Store, store
+from sparloom.link import Frames
+from sparloom.news import step, take, whole
+from sparloom.prefixes import Memory
+from sparloom.router import ask
+from sparloom.router.fleet import number
+from sparloom.router.outcomes import Outcome
+from sparloom.router.program import Router
+from sparloom.startup import checks, from_dict, read
+from sparloom.sums import words
+from sparloom.wire import pack, unpack
+from sparloom.wire.records import _BY_TAG as BY_TAG
+
+__all__ = [
+    "BY_TAG",
+    "POLICY",
+    "RUNNERS",
+    "Change",
+    "Memory",
+    "Router",
+    "State",
+    "Store",
+    "from_dict",
+    "pack",
+    "read",
+    "step",
+    "take",
+    "unpack",
+    "whole",
+]
+
+HEADER_NAMES = (ask.ID, ask.LEFT, ask.SEAL, ask.EXPECT, ask.NOT_RUN, ask.PARTS, ask.URGENCY, ask.LAST)
+FILE_NAMES = (store.FILE, store.SET_ASIDE, remember.FILE)
+START_PLACES = (checks.VARIABLE, checks.DEFAULT)
+LARGEST_BODY = control.MOST_BODY_BYTES
+RETRY_AFTER = control.RETRY_AFTER
+HOP_HEADERS = ask.HOP
+OUTCOMES = [outcome.value for outcome in Outcome]
+
+
+def plain(value: Any) -> Any:
+    """A value as JSON holds it, its classes turned into lists of their fields' values in order."""
+    if attrs.has(type(value)):
+        return [plain(getattr(value, field.name)) for field in attrs.fields(type(value))]
+    if isinstance(value, (bytes, bytearray)):
+        return {"hex": bytes(value).hex()}
+    if isinstance(value, timedelta):
+        return {"us": value // timedelta(microseconds=1)}
+    if isinstance(value, Enum):
+        return value.value
+    if isinstance(value, dict):
+        return [[plain(key), plain(item)] for key, item in value.items()]
+    if isinstance(value, (set, frozenset)):
+        return sorted(map(plain, value))
+    if isinstance(value, (list, tuple)):
+        return [plain(item) for item in value]
+    return value
+
+
+def answer(reply: Any) -> list:
+    """An answer's status, headers in order, and body."""
+    heads = [[key, value] for key, value in reply.headers.items() if key != "Content-Length"]
+    return [reply.status, heads, bytes(reply.body).decode()]
+
+
+def kinds_of(cls: type) -> list:
+    """The kinds of a record class's fields, in the order of the bytes."""
+    return [kind for kind, _ in cls.layout]
+
+
+def control_paths() -> dict[str, list[str]]:
+    """The paths of the control address and the methods of each."""
+    return {path: sorted(methods) for path, methods in control.Control(None, None, None).tree.paths.items()}
+
+
+def not_primary(known: bool, sure_ms: int) -> Any:
+    """The answer of a controller that is not the primary."""
+    primary = SimpleNamespace(id=7, control="10.0.0.7:7300") if known else None
+    ledger = SimpleNamespace(primary=lambda: primary, member=SimpleNamespace(id=8), leading=lambda: False)
+    settings = SimpleNamespace(bounds=SimpleNamespace(contact=timedelta(seconds=3)))
+    shop = SimpleNamespace(sureness=lambda: sure_ms)
+    return control.Control(settings, SimpleNamespace(ledger=ledger), shop)._elsewhere()
+
+
+def control_answers() -> list[list]:
+    """Answers of the control address that are built without a running controller."""
+    return [
+        answer(control.reply(200, {"a": [1, {"b": None}]}, Location="x")),
+        answer(control.fault(400, "a fault")),
+        answer(control.unclear()),
+        answer(control.taken(SimpleNamespace(revision=7))),
+        answer(not_primary(False, 0)),
+        answer(not_primary(True, 1001)),
+        answer(not_primary(True, 1000)),
+    ]
+
+
+def frame(rec: Any) -> bytes:
+    """A record as it is written to a pipe."""
+    out = []
+
+    async def drain() -> None:
+        """Nothing is left to be sent."""
+
+    asyncio.run(Frames(None, SimpleNamespace(write=out.append, drain=drain)).write(rec))
+    return b"".join(out)
+
+
+def unframed(raw: bytes) -> Any:
+    """The record that comes through a pipe as those bytes."""
+
+    async def come() -> Any:
+        reader = asyncio.StreamReader()
+        reader.feed_data(raw)
+        return await Frames(reader, None).read()
+
+    return asyncio.run(come())
+
+
+def readiness_of(router: Router) -> Any:
+    """The function that says whether a router is ready."""
+    return router.know.ready
+
+
+def kept_again(folder: str) -> None:
+    """Reads a folder's remembered prefixes and writes them anew."""
+    service = remember.Remember(folder, None, 1)
+    service.load()
+    os.remove(os.path.join(folder, remember.FILE))
+    service._write(service.memory.pack())
+
+
+def attempt_headers() -> list[list[str]]:
+    """The headers with which a request goes on to a runner."""
+    raw = [
+        (b"Host", b"h.example"),
+        (b"Connection", b"close, X-Hop"),
+        (b"X-Hop", b"1"),
+        (b"Content-Length", b"3"),
+        (b"X-Own", b"kept"),
+        (b"X-Sparloom-Attempt-Id", b"id-1"),
+        (b"X-Sparloom-Deadline-Remaining", b"2500"),
+        (b"X-Sparloom-Prompt-Prefix", b"aa:100,bb:200"),
+    ]
+    heads = {key.decode(): value.decode() for key, value in raw}
+    request = SimpleNamespace(raw_headers=raw, headers=heads, method="POST", raw_path="/x?y")
+    route = SimpleNamespace(timeout=timedelta(seconds=9), priority=3)
+    made = ask.make(request, b"abc", route, None, timedelta(seconds=1), "m")
+    sent = ask.onward(made, SimpleNamespace(id="i-1"), timedelta(seconds=2), "17")
+    return [[key, value] for key, value in sent.items()]
+
+
+def numbers(peers: list[str], counts: str) -> list:
+    """Numbers that processes work out on their own and that must be the same in all of them."""
+    return [
+        number("runner-1"),
+        words.short(number("runner-1")),
+        words.holder("10.0.0.1:7301", 99),
+        [unpack(bytes.fromhex(peer)).mark() for peer in peers],
+        plain(parse_parts("0A:30, b:40,c:50")),
+        plain(parse_parts("0A:30, b:40,c:50", b"k" * 16)),
+        plain(part_ids("0A:30, b:40")),
+        fingerprint("PUT", 3, {"b": 2, "a": [1]}).hex(),
+        fingerprint("PATCH", 3, {"b": 2, "a": [1]}).hex(),
+        words.coded({7: (2, 3200, 0, 0, 0, 0), 1 << 31: (300, 33, 1, 500, 2, 1)}).hex(),
+        plain(words.decoded(bytes.fromhex(counts))),
+    ]
