--- a/tests/golden_names.py
+++ b/tests/golden_names.py
@@ -14,23 +14,24 @@
 
 import attrs
 
-from sparloom.choice import parse_parts
-from sparloom.controller import control, remember
-from sparloom.controller.state import State, fingerprint
+from sparloom.aggregation import records as words
+from sparloom.codec import pack, unpack
+from sparloom.codec.records import _BY_TAG as BY_TAG
+from sparloom.consensus import Store, store
+from sparloom.controller import control_api as control
+from sparloom.controller import prefix_snapshots as remember
+from sparloom.controller.control_state import State, fingerprint
 from sparloom.feed import POLICY, RUNNERS, Change
+from sparloom.feed.payload import step, take, whole
 from sparloom.isolation import part_ids
-from sparloom.ledger import Store, store
-from sparloom.link import Frames
-from sparloom.news import step, take, whole
-from sparloom.prefixes import Memory
-from sparloom.router import ask
-from sparloom.router.fleet import number
+from sparloom.load_balancing import parse_parts
+from sparloom.prefix_cache import Memory
+from sparloom.router import request as ask
+from sparloom.router.backends import number
 from sparloom.router.outcomes import Outcome
 from sparloom.router.program import Router
-from sparloom.startup import checks, from_dict, read
-from sparloom.sums import words
-from sparloom.wire import pack, unpack
-from sparloom.wire.records import _BY_TAG as BY_TAG
+from sparloom.settings import checks, from_dict, read
+from sparloom.transport import Frames
 
 __all__ = [
     "BY_TAG",
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -29,8 +29,9 @@
 import sparloom.router as router_package
 
 from . import golden_names as names
-from . import rig, test_control
+from .controller import test_program as test_control
 from .golden_names import kinds_of, plain
+from .support import router_fixture as rig
 
 FOLDER = os.path.join(os.path.dirname(os.path.abspath(__file__)), "golden")
 TEST_TAGS = range(248, 256)
