--- a/sparloom/aggregation/records.py
+++ b/sparloom/aggregation/records.py
@@ -5,11 +5,13 @@
 units of 32, rounded up.
 """
 
+from __future__ import annotations
+
 import struct
 from hashlib import blake2b
 from itertools import pairwise
 
-from sparloom.codec import Broken, record
+from sparloom.codec import DecodeError, Record, UInt16, UInt32, UInt64, record
 from sparloom.dynamic_timeout import Read
 
 UNIT = 32
@@ -18,39 +20,73 @@
 _SHORT = struct.Struct("!I")
 
 
-@record(83, holder="Q", seq="I")
-class Cover:
+@record(83)
+class Cover(Record):
     """One life of a holder, and which of its words is in a sum."""
 
+    holder: UInt64
+    seq: UInt32
+
 
-@record(84, holder="Q", seq="I", held="b")
-class Single:
+@record(84)
+class Single(Record):
     """A holder's own word, passed on as it is: it has not been in the group for long."""
 
+    holder: UInt64
+    seq: UInt32
+    held: bytes
+
 
-@record(85, key="s", life="Q", seq="I", crowd="H", held="b", reads=[Read])
-class Up:
+@record(85)
+class Up(Record):
     """All that a follower has in flight, to its relay; ``reads``: long parts of prompts that it sent out."""
 
+    key: str
+    life: UInt64
+    seq: UInt32
+    crowd: UInt16
+    held: bytes
+    reads: list[Read]
 
-@record(
-    86, key="s", life="Q", seq="I", crowd="H", lo="I", hi="I", cover=[Cover], held="b", singles=[Single], reads=[Read]
-)
-class Sum:
+
+@record(86)
+class Sum(Record):
     """A relay's group, to the other relays: whom it covers, their sum, and those told one by one.
 
     ``lo`` to ``hi``: the resources that this piece tells of, both included.
     ``crowd``: the least number that any of them divides by, 0 for none.
     """
 
+    key: str
+    life: UInt64
+    seq: UInt32
+    crowd: UInt16
+    lo: UInt32
+    hi: UInt32
+    cover: list[Cover]
+    held: bytes
+    singles: list[Single]
+    reads: list[Read]
+
 
-@record(87, key="s", life="Q", seq="I", crowd="H", age="I", lo="I", hi="I", cover=[Cover], held="b", reads=[Read])
-class Total:
+@record(87)
+class Total(Record):
     """All that a relay knows, to its followers; ``cover``: which word of each follower is in it.
 
     ``age``: for how many ms the relay has been out of touch with half of the relays.
     """
 
+    key: str
+    life: UInt64
+    seq: UInt32
+    crowd: UInt16
+    age: UInt32
+    lo: UInt32
+    hi: UInt32
+    cover: list[Cover]
+    held: bytes
+    reads: list[Read]
+
 
 def short(number):
     """A resource's short number.
@@ -107,12 +143,12 @@
 
 
 def decoded(raw):
-    """The opposite of ``coded``; raises Broken.
+    """The opposite of ``coded``; raises DecodeError.
 
     >>> decoded(b"abc")
     Traceback (most recent call last):
     ...
-    sparloom.codec.records.Broken: no counts
+    sparloom.codec.records.DecodeError: no counts
     """
     out, at, size = {}, 0, len(raw)
     try:
@@ -132,7 +168,7 @@
             else:
                 out[k] = (n >> 1, t * UNIT, 0, 0, 0, 0)
     except (struct.error, IndexError) as e:
-        raise Broken("no counts") from e
+        raise DecodeError("no counts") from e
     return out
 
 
--- a/sparloom/codec/__init__.py
+++ b/sparloom/codec/__init__.py
@@ -1,5 +1,5 @@
-"""Struct records between the project's own processes."""
+"""Records between the project's own processes: typed classes laid out by ``struct``."""
 
-from .records import Broken, Head, pack, record, unpack
+from .records import DecodeError, Head, Record, UInt8, UInt16, UInt32, UInt64, pack, record, unpack
 
-__all__ = ["Broken", "Head", "pack", "record", "unpack"]
+__all__ = ["DecodeError", "Head", "Record", "UInt8", "UInt16", "UInt32", "UInt64", "pack", "record", "unpack"]
--- a/sparloom/consensus/records.py
+++ b/sparloom/consensus/records.py
@@ -4,32 +4,48 @@
 late or belongs to another round is told apart and dropped.
 """
 
-from sparloom.codec import record
+from __future__ import annotations
 
+from sparloom.codec import Record, UInt16, UInt32, UInt64, record
 
-@record(20, id="Q", host="s", port="H", zone="s", control="s")
-class Member:
+
+@record(20)
+class Member(Record):
     """A controller with a disk of its own; an empty disk makes a new id."""
 
+    id: UInt64
+    host: str
+    port: UInt16
+    zone: str
+    control: str
+
 
-@record(26, members=[Member])
-class Roster:
+@record(26)
+class Roster(Record):
     """The voters of an earlier view that still has a say."""
 
+    members: list[Member]
+
     @property
     def ids(self):
         """The ids of the voters."""
         return tuple(member.id for member in self.members)
 
 
-@record(27, epoch="Q", primary="Q", backups=["Q"], roster=[Member], previous=[Roster])
-class View:
+@record(27)
+class View(Record):
     """Who holds the data in an epoch, and who votes.
 
     ``previous``: rosters of earlier views whose majorities this view needs as
     well, until it is settled.
     """
 
+    epoch: UInt64
+    primary: UInt64
+    backups: list[UInt64]
+    roster: list[Member]
+    previous: list[Roster]
+
     @property
     def holders(self):
         """The ids of the members that hold the data."""
@@ -52,8 +68,8 @@
         return tuple((known | {member.id: member for member in self.roster}).values())
 
 
-@record(28, id="Q", fresh="?", promised="Q", views=[View], settled="?", kept="Q")
-class Register:
+@record(28)
+class Register(Record):
     """What a member keeps on disk about epochs.
 
     ``fresh``: it started with the whole system and was never a voter of an
@@ -63,6 +79,13 @@
     copy of the data.
     """
 
+    id: UInt64
+    fresh: bool
+    promised: UInt64
+    views: list[View]
+    settled: bool
+    kept: UInt64
+
     @property
     def view(self):
         """The newest view marked active, or None."""
@@ -74,10 +97,15 @@
         return self.views[0].epoch if self.views else 0
 
 
-@record(24, epoch="Q", number="Q", revision="Q", blob="b")
-class Data:
+@record(24)
+class Data(Record):
     """The control state: a stamp and the configuration's bytes."""
 
+    epoch: UInt64
+    number: UInt64
+    revision: UInt64
+    blob: bytes
+
     @property
     def stamp(self):
         """The stamp, by which copies are ordered."""
@@ -87,89 +115,160 @@
 EMPTY = Data(0, 0, 0, b"")
 
 
-@record(30, member=Member, fresh="?", blank="?")
-class Hello:
+@record(30)
+class Hello(Record):
     """A first start: here I am."""
 
+    member: Member
+    fresh: bool
+    blank: bool
 
-@record(43, sender="Q", epoch="Q", sequence="I")
-class Heartbeat:
+
+@record(43)
+class Heartbeat(Record):
     """The primary of this epoch lives."""
 
+    sender: UInt64
+    epoch: UInt64
+    sequence: UInt32
+
 
-@record(44, sender="Q", epoch="Q", sequence="I", ok="?", active="?", promised="Q")
-class HeartbeatAck:
+@record(44)
+class HeartbeatAck(Record):
     """``ok``: no later epoch was promised. ``active``: the view of the epoch is marked here."""
 
+    sender: UInt64
+    epoch: UInt64
+    sequence: UInt32
+    ok: bool
+    active: bool
+    promised: UInt64
+
 
-@record(53, candidate=Member, round="I")
-class PreVote:
+@record(53)
+class PreVote(Record):
     """Would you promise me an epoch? Nothing is promised by the answer."""
 
+    candidate: Member
+    round: UInt32
 
-@record(54, sender="Q", round="I", granted="?", promised="Q", views=[View], settled="?")
-class PreVoteAnswer:
+
+@record(54)
+class PreVoteAnswer(Record):
     """``granted``: no primary was heard of lately."""
 
+    sender: UInt64
+    round: UInt32
+    granted: bool
+    promised: UInt64
+    views: list[View]
+    settled: bool
+
     @property
     def view(self):
         """The newest view marked active, or None."""
         return self.views[0] if self.views else None
 
 
-@record(45, candidate=Member, epoch="Q", forced="?")
-class Seek:
+@record(45)
+class Seek(Record):
     """Promise me this epoch."""
 
+    candidate: Member
+    epoch: UInt64
+    forced: bool
 
-@record(46, sender="Q", epoch="Q", granted="?", promised="Q", views=[View], settled="?", kept="Q")
-class Promise:
+
+@record(46)
+class Promise(Record):
     """The promise or its refusal, with what the member knows on disk."""
 
+    sender: UInt64
+    epoch: UInt64
+    granted: bool
+    promised: UInt64
+    views: list[View]
+    settled: bool
+    kept: UInt64
+
     @property
     def view(self):
         """The newest view marked active, or None."""
         return self.views[0] if self.views else None
 
 
-@record(41, sender="Q", view=View, data=Data)
-class Copy:
+@record(41)
+class Copy(Record):
     """Put this data on your disk."""
 
+    sender: UInt64
+    view: View
+    data: Data
+
 
-@record(42, sender="Q", epoch="Q", number="Q", ok="?", promised="Q")
-class Kept:
+@record(42)
+class Kept(Record):
     """It is on my disk."""
 
+    sender: UInt64
+    epoch: UInt64
+    number: UInt64
+    ok: bool
+    promised: UInt64
 
-@record(47, sender="Q", view=View, settled="?")
-class Activate:
+
+@record(47)
+class Activate(Record):
     """Each holder has the data: mark the view active, or settled."""
 
+    sender: UInt64
+    view: View
+    settled: bool
+
 
-@record(48, sender="Q", epoch="Q", ok="?", settled="?", promised="Q")
-class Activated:
+@record(48)
+class Activated(Record):
     """Marked on disk."""
 
+    sender: UInt64
+    epoch: UInt64
+    ok: bool
+    settled: bool
+    promised: UInt64
 
-@record(49, sender="Q", epoch="Q", leaving="?", view=View)
-class Yield:
+
+@record(49)
+class Yield(Record):
     """Take over. ``leaving``: the sender is about to end. ``view``: the newest active one.
 
     The receiver holds that view's data; it may not have marked the view itself.
     """
 
+    sender: UInt64
+    epoch: UInt64
+    leaving: bool
+    view: View
+
 
-@record(50, member=Member, fresh="?")
-class Join:
+@record(50)
+class Join(Record):
     """Teach me the active view, and take me in when there is a seat."""
 
+    member: Member
+    fresh: bool
+
 
-@record(51, member=Member)
-class Leave:
+@record(51)
+class Leave(Record):
     """I am about to end: move my copy and my vote."""
 
+    member: Member
 
-@record(52, sender="Q", member="Q", epoch="Q")
-class Released:
+
+@record(52)
+class Released(Record):
     """Nothing rests on that member any more."""
+
+    sender: UInt64
+    member: UInt64
+    epoch: UInt64
--- a/sparloom/consensus/store.py
+++ b/sparloom/consensus/store.py
@@ -4,7 +4,7 @@
 import os
 import sqlite3
 
-from sparloom.codec import Broken, pack, unpack
+from sparloom.codec import DecodeError, pack, unpack
 
 from .records import EMPTY, Data, Register
 
@@ -86,7 +86,7 @@
         try:
             register = unpack(rows["register"]) if "register" in rows else None
             data = unpack(rows["data"]) if "data" in rows else EMPTY
-        except Broken:
+        except DecodeError:
             return None
         if not isinstance(register, Register) or not isinstance(data, Data):
             return None
--- a/sparloom/controller/consensus_service.py
+++ b/sparloom/controller/consensus_service.py
@@ -9,7 +9,7 @@
 from absl import logging
 from mode import Service
 
-from sparloom.codec import Broken
+from sparloom.codec import DecodeError
 from sparloom.consensus import (
     CONTROLLERS,
     SEEDS,
@@ -117,7 +117,7 @@
                 await self._copies(frames, first)
             else:
                 await self.serve_pipe(frames, first)
-        except (OSError, EOFError, Broken, TimeoutError, asyncio.CancelledError):
+        except (OSError, EOFError, DecodeError, TimeoutError, asyncio.CancelledError):
             pass
         finally:
             frames.close()
--- a/sparloom/controller/feed_server.py
+++ b/sparloom/controller/feed_server.py
@@ -5,7 +5,7 @@
 from absl import logging
 from mode import Service
 
-from sparloom.codec import Broken
+from sparloom.codec import DecodeError
 from sparloom.feed import POLICY, TOPICS, UNSURE, Change, Follow, Pulse, Shelf, Tracker
 from sparloom.feed import payload as news
 from sparloom.feed.serving import MS, Bell, serve
@@ -77,7 +77,7 @@
                 continue
             try:
                 await self._from(to)
-            except (OSError, EOFError, Broken, TimeoutError):
+            except (OSError, EOFError, DecodeError, TimeoutError):
                 pass
             await asyncio.sleep(self.pulse.total_seconds() / 6)
 
@@ -94,7 +94,7 @@
                     self.told = max(self.told, rec.policy)
                     self.bell.ring()
                 elif not isinstance(rec, Change):
-                    raise Broken("a record that is none of the feed")
+                    raise DecodeError("a record that is none of the feed")
                 elif not self._take(rec):
                     return
         finally:
@@ -103,7 +103,7 @@
     def _take(self, c):
         """Whether the change was taken or known; steps are passed on as steps."""
         if c.topic not in TOPICS:
-            raise Broken("a change of no known topic")
+            raise DecodeError("a change of no known topic")
         if c.stamp <= self.shelf.stamp(c.topic):
             return True
         is_whole = c.base == news.ZERO
--- a/sparloom/discovery/endpoints.py
+++ b/sparloom/discovery/endpoints.py
@@ -1,24 +1,37 @@
 """Reads the platform's pages and paces the calls."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from attrs import define, evolve, field
 from returns.result import Failure, Success
 
-from sparloom.codec import record
+from sparloom.codec import Record, UInt16, UInt32, record
 
 READY, DRAINING = 0, 1
 
 
-@record(70, id="s", service="s", address="s", zone="s", slots="I", draining="?", cold="I")
-class Runner:
+@record(70)
+class Runner(Record):
     """One life of a runner as the platform lists it."""
 
+    id: str
+    service: str
+    address: str
+    zone: str
+    slots: UInt32
+    draining: bool
+    cold: UInt32
+
 
-@record(71, runners=[Runner], crowd="H")
-class RunnerList:
+@record(71)
+class RunnerList(Record):
     """All runners, ordered by id; ``crowd``: how many routers share them."""
 
+    runners: list[Runner]
+    crowd: UInt16
+
     def news_against(self, old):
         """Whether anything but the passing of time has changed.
 
@@ -28,10 +41,14 @@
         return old is None or self.crowd != old.crowd or [*map(_plain, self.runners)] != [*map(_plain, old.runners)]
 
 
-@record(72, crowd="H", put=[Runner], gone=["s"])
-class RunnerStep:
+@record(72)
+class RunnerStep(Record):
     """What makes one list of the next: lives that came or changed, and ids that went."""
 
+    crowd: UInt16
+    put: list[Runner]
+    gone: list[str]
+
 
 def _plain(r):
     return evolve(r, cold=int(bool(r.cold)))
--- a/sparloom/dynamic_timeout/counts.py
+++ b/sparloom/dynamic_timeout/counts.py
@@ -9,36 +9,57 @@
 relays, ``sparloom.aggregation`` says how the same rule holds.
 """
 
+from __future__ import annotations
+
 from datetime import timedelta
 from operator import add
 
 from attrs import define, field
 
-from sparloom.codec import record
+from sparloom.codec import Record, UInt16, UInt32, UInt64, record
 
 from .buckets import pick
 
 NONE = (0, 0, 0, 0, 0, 0)
 
 
-@record(80, resource="Q", calls="H", tokens="I", silent="H", good="H", bad="H", blamers="H")
-class Held:
+@record(80)
+class Held(Record):
     """Calls in flight at one resource, of one holder or summed over several.
 
     ``silent``: how many holders hear nothing from it. ``good`` and ``bad``:
     ends of calls of late. ``blamers``: how many holders saw it fail of late.
     """
 
+    resource: UInt64
+    calls: UInt16
+    tokens: UInt32
+    silent: UInt16
+    good: UInt16
+    bad: UInt16
+    blamers: UInt16
+
 
-@record(82, resource="Q", part="Q", tokens="I")
-class Read:
+@record(82)
+class Read(Record):
     """A long part of a prompt that went to a resource."""
 
+    resource: UInt64
+    part: UInt64
+    tokens: UInt32
 
-@record(81, key="s", life="Q", seq="I", crowd="H", held=[Held], reads=[Read])
-class Holding:
+
+@record(81)
+class Holding(Record):
     """All that a holder has in flight, and what it sent to be read since its last word."""
 
+    key: str
+    life: UInt64
+    seq: UInt32
+    crowd: UInt16
+    held: list[Held]
+    reads: list[Read]
+
 
 @define(frozen=True, slots=True)
 class Call:
--- a/sparloom/feed/payload.py
+++ b/sparloom/feed/payload.py
@@ -5,7 +5,7 @@
 
 from sparloom import configuration as policy
 from sparloom import discovery as platform
-from sparloom.codec import Broken, pack, unpack
+from sparloom.codec import DecodeError, pack, unpack
 from sparloom.feed import POLICY
 
 ZERO = (0, 0)
@@ -43,7 +43,7 @@
     try:
         raw = zlib.decompress(blob)
         return json.loads(raw) if topic == POLICY else unpack(raw)
-    except (zlib.error, ValueError, Broken) as e:
+    except (zlib.error, ValueError, DecodeError) as e:
         raise Unfit(str(e)) from e
 
 
--- a/sparloom/feed/records.py
+++ b/sparloom/feed/records.py
@@ -1,25 +1,40 @@
 """The records of the feed, sent over a pipe."""
 
-from sparloom.codec import record
+from __future__ import annotations
+
+from sparloom.codec import Record, UInt8, UInt32, UInt64, record
 
 POLICY, RUNNERS = TOPICS = (0, 1)
 UNSURE = 0xFFFFFFFF
 
 
-@record(60, node="s", policy_epoch="Q", policy_number="Q", runners_epoch="Q", runners_number="Q")
-class Follow:
+@record(60)
+class Follow(Record):
     """I am at this place; send what is newer."""
 
+    node: str
+    policy_epoch: UInt64
+    policy_number: UInt64
+    runners_epoch: UInt64
+    runners_number: UInt64
+
     @property
     def place(self):
         """The follower's stamp of each topic."""
         return {POLICY: (self.policy_epoch, self.policy_number), RUNNERS: (self.runners_epoch, self.runners_number)}
 
 
-@record(61, topic="B", epoch="Q", number="Q", base_epoch="Q", base_number="Q", blob="b")
-class Change:
+@record(61)
+class Change(Record):
     """A topic's new state: whole when the base is 0, else a change upon that base."""
 
+    topic: UInt8
+    epoch: UInt64
+    number: UInt64
+    base_epoch: UInt64
+    base_number: UInt64
+    blob: bytes
+
     @property
     def stamp(self):
         """The stamp that the topic has with this change."""
@@ -31,14 +46,19 @@
         return (self.base_epoch, self.base_number)
 
 
-@record(62, policy_epoch="Q", policy_number="Q", age="I", sent="Q")
-class Pulse:
+@record(62)
+class Pulse(Record):
     """The sender's sureness: ms since the primary was last confirmed.
 
     ``sent``: ms of the sender's steady clock. What a later pulse takes longer
     than the quickest one was held up on its way, and adds to the age.
     """
 
+    policy_epoch: UInt64
+    policy_number: UInt64
+    age: UInt32
+    sent: UInt64
+
     @property
     def policy(self):
         """The newest policy's stamp that the sender has or has heard of.
--- a/sparloom/membership/records.py
+++ b/sparloom/membership/records.py
@@ -1,9 +1,11 @@
 """The records that members exchange by datagram."""
 
+from __future__ import annotations
+
 from enum import IntEnum
 from hashlib import blake2b
 
-from sparloom.codec import record
+from sparloom.codec import Record, UInt8, UInt16, UInt32, UInt64, record
 
 
 class Role(IntEnum):
@@ -25,14 +27,22 @@
 ALIVE, SUSPECT, DEAD = PeerState
 
 
-@record(1, key="s", role="B", zone="s", control="s", life="Q", incarnation="I", state="B")
-class Peer:
+@record(1)
+class Peer(Record):
     """What is believed of one process.
 
     ``key`` is its internal HOST:PORT, ``life`` tells its restarts apart, and
     ``incarnation`` is raised by the process itself to refute a suspicion.
     """
 
+    key: str
+    role: UInt8
+    zone: str
+    control: str
+    life: UInt64
+    incarnation: UInt32
+    state: UInt8
+
     def overrides(self, other):
         """Whether this belief replaces another about the same process.
 
@@ -53,25 +63,46 @@
         return int.from_bytes(blake2b(belief.encode(), digest_size=8).digest())
 
 
-@record(2, sequence="I", peer=Peer, digest="Q", news=[Peer])
-class Ping:
+@record(2)
+class Ping(Record):
     """A probe: are you there?  ``digest``: the marks, summed by exclusive or, of all that the sender believes up."""
 
+    sequence: UInt32
+    peer: Peer
+    digest: UInt64
+    news: list[Peer]
+
 
-@record(3, sequence="I", peer=Peer, digest="Q", news=[Peer])
-class Ack:
+@record(3)
+class Ack(Record):
     """The answer to a probe; ``peer`` is the one that answers (or for whom it is passed on, digest 0)."""
 
+    sequence: UInt32
+    peer: Peer
+    digest: UInt64
+    news: list[Peer]
 
-@record(4, sequence="I", peer=Peer, target="s", news=[Peer])
-class PingRequest:
+
+@record(4)
+class PingRequest(Record):
     """A request for an indirect probe: please ask ``target`` for me."""
 
+    sequence: UInt32
+    peer: Peer
+    target: str
+    news: list[Peer]
+
     digest = 0
 
 
-@record(5, peer=Peer, digest="Q", part="H", parts="H", marks=["H"])
-class Compare:
+@record(5)
+class Compare(Record):
     """Our beliefs differ: these are the low bits of my marks, for the keys that fall in one part of several."""
 
+    peer: Peer
+    digest: UInt64
+    part: UInt16
+    parts: UInt16
+    marks: list[UInt16]
+
     news = ()
--- a/sparloom/prefix_cache/memory.py
+++ b/sparloom/prefix_cache/memory.py
@@ -1,26 +1,32 @@
 """A memory of long prefixes and the runners that they went to; records to tell it and to ask for it."""
 
+from __future__ import annotations
+
 import zlib
 from collections import OrderedDict
 from struct import Struct
 
 from attrs import define, field
 
-from sparloom.codec import record
+from sparloom.codec import Record, record
 from sparloom.dynamic_timeout import Read
 
 _ITEM, _SUM = Struct("!QQI"), Struct("!I")
 
 
-@record(95, reads=[Read])
-class Reads:
+@record(95)
+class Reads(Record):
     """Long parts of prompts and the runner lives (by number) that they went to."""
 
+    reads: list[Read]
+
 
-@record(96, key="s")
-class Recall:
+@record(96)
+class Recall(Record):
     """A router that started asks for all that is remembered."""
 
+    key: str
+
 
 @define(slots=True)
 class Memory:
--- a/sparloom/router/feed_client.py
+++ b/sparloom/router/feed_client.py
@@ -6,7 +6,7 @@
 from absl import logging
 from mode import Service
 
-from sparloom.codec import Broken
+from sparloom.codec import DecodeError
 from sparloom.configuration import build
 from sparloom.feed import POLICY, TOPICS, Change, Pulse, Shelf
 from sparloom.feed import payload as news
@@ -48,7 +48,7 @@
                 why = GONE
                 try:
                     why = await self._from(to)
-                except (OSError, EOFError, Broken, TimeoutError):
+                except (OSError, EOFError, DecodeError, TimeoutError):
                     pass
                 up.ended(steady(), why)
             await asyncio.sleep(0.02 + 0.04 * self.know.rng.random())
@@ -77,7 +77,7 @@
                     if not self._take(rec):
                         return GONE
                 elif rec is not None:
-                    raise Broken("a record that is none of the feed")
+                    raise DecodeError("a record that is none of the feed")
         finally:
             frames.close()
 
@@ -111,7 +111,7 @@
         """Whether the change was taken or known. The whole state's bytes are made again when asked for."""
         k = self.know
         if c.topic not in TOPICS:
-            raise Broken("a change of no known topic")
+            raise DecodeError("a change of no known topic")
         self.upstream.change(steady())
         if c.stamp <= self.shelf.stamp(c.topic):
             return True
--- a/sparloom/router/relay_server.py
+++ b/sparloom/router/relay_server.py
@@ -4,7 +4,7 @@
 
 from mode import Service
 
-from sparloom.codec import Broken
+from sparloom.codec import DecodeError
 from sparloom.feed import UNSURE, Follow
 from sparloom.feed.serving import MS, serve
 from sparloom.settings import Address
@@ -73,7 +73,7 @@
             if isinstance(first, Follow) and self.open() and len(self.followers) < self.follow.upstream.room():
                 self.followers[frames] = first.node
                 await serve(frames, first.place, self)
-        except (OSError, EOFError, Broken, TimeoutError, asyncio.CancelledError):
+        except (OSError, EOFError, DecodeError, TimeoutError, asyncio.CancelledError):
             pass
         finally:
             self.followers.pop(frames, None)
--- a/sparloom/transport/sockets.py
+++ b/sparloom/transport/sockets.py
@@ -7,7 +7,7 @@
 
 from attrs import define, field
 
-from sparloom.codec import Broken, pack, unpack
+from sparloom.codec import DecodeError, pack, unpack
 from sparloom.launch.early_listen import take
 from sparloom.metrics import here
 
@@ -82,7 +82,7 @@
     def datagram_received(self, data, addr):
         try:
             rec = unpack(data)
-        except Broken:
+        except DecodeError:
             return
         if self.meter is not None:
             self.meter.add(f"datagram in {type(rec).__name__}", len(data))
@@ -140,13 +140,13 @@
             self.meter.add("pipe opened")
 
     async def read(self, progress=None):
-        """The next record; raises EOFError, OSError or Broken at an end.
+        """The next record; raises EOFError, OSError or DecodeError at an end.
 
         ``progress``: called whenever a part of a record that is awaited has come.
         """
         (n,) = _SIZE.unpack(await self.reader.readexactly(_SIZE.size))
         if n > MOST:
-            raise Broken("too long")
+            raise DecodeError("too long")
         size, parts = n + _SIZE.size, []
         while n:
             if progress:
--- a/tests/codec/test_records.py
+++ b/tests/codec/test_records.py
@@ -1,35 +1,49 @@
 """Records of many fixed fields are laid out at once, byte for byte as field by field."""
 
+from __future__ import annotations
+
 import random
 import unittest
 
-from sparloom.codec import Broken, pack, record, unpack
+from sparloom.codec import DecodeError, Record, UInt16, UInt64, pack, record, unpack
 from sparloom.codec.records import _FIXED
 from sparloom.dynamic_timeout import Held, Holding, Read
 
 
-@record(249, rows=[record(248, a="Q", b="H", c="?", d="d")(type("Row", (), {}))], name="s")
-class Rows:
+@record(248)
+class Row(Record):
+    """A field of every kind of width."""
+
+    a: UInt64
+    b: UInt16
+    c: bool
+    d: float
+
+
+@record(249)
+class Rows(Record):
     """Rows of every width, which padding would move."""
 
+    rows: list[Row]
+    name: str
+
 
 class Fixed(unittest.TestCase):
     def test_the_bytes_are_those_of_one_field_after_another(self):
         luck = random.Random(1)
-        row = Rows.layout[0][0][0]
         rows = [
-            row(luck.getrandbits(64), luck.getrandbits(16), bool(luck.getrandbits(1)), luck.random()) for _ in range(50)
+            Row(luck.getrandbits(64), luck.getrandbits(16), bool(luck.getrandbits(1)), luck.random()) for _ in range(50)
         ]
-        plain = b"".join(_FIXED[k].pack(getattr(r, n)) for r in rows for k, n in row.layout)
+        plain = b"".join(_FIXED[k].pack(getattr(r, n)) for r in rows for k, n in Row.layout)
         self.assertEqual(pack(Rows(rows, "x"))[4:-3], plain)
         self.assertEqual(unpack(pack(Rows(rows, "x"))), Rows(rows, "x"))
 
     def test_every_cut_is_noticed(self):
         raw = pack(Holding("k:1", 1, 2, 3, [Held(7, 2, 0, 0, 0, 0, 0)] * 3, [Read(1, 2, 3)]))
         for n in range(len(raw)):
-            with self.assertRaises(Broken):
+            with self.assertRaises(DecodeError):
                 unpack(raw[:n])
-        with self.assertRaises(Broken):
+        with self.assertRaises(DecodeError):
             unpack(raw + b"x")
 
     def test_a_value_out_of_range_is_refused(self):
--- a/tests/router/test_feed_client.py
+++ b/tests/router/test_feed_client.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from types import SimpleNamespace
 
-from sparloom.codec import Broken
+from sparloom.codec import DecodeError
 from sparloom.controller.feed_server import Shop
 from sparloom.discovery import RunnerList
 from sparloom.feed import POLICY, RUNNERS, Change, Follow, Pulse
@@ -61,7 +61,7 @@
             with self.subTest(record=record):
                 task, frames, _ = await self.start()
                 await frames.write(record)
-                with self.assertRaises(Broken):
+                with self.assertRaises(DecodeError):
                     await task
 
 
