--- a/simulator/check/adapter.py
+++ b/simulator/check/adapter.py
@@ -4,9 +4,9 @@
 
 from attrs import frozen
 
-from sparloom.consensus import EMPTY, Spans
+from sparloom.consensus import EMPTY, ConsensusTiming
 
-SPANS = Spans.of(timedelta(seconds=3))
+SPANS = ConsensusTiming.of(timedelta(seconds=3))
 
 
 @frozen
@@ -31,9 +31,9 @@
 def start(machine, member, kept, first_start, luck, replicas, genesis, now):
     """A machine as its disk left it; ``machine`` is ``Ledger`` or a mutation of it.
 
-    >>> from sparloom.consensus import Ledger, Member
+    >>> from sparloom.consensus import ConsensusMember, Member
     >>> me = Member(1, "a", 1, "z", "")
-    >>> start(Ledger, me, None, True, FixedLuck(0.5), 1, {("a", 1)}, timedelta(0)).leading()
+    >>> start(ConsensusMember, me, None, True, FixedLuck(0.5), 1, {("a", 1)}, timedelta(0)).leading()
     False
     """
     return machine.start(member, kept, first_start, SPANS, FixedLuck(luck), replicas, genesis, now)
@@ -59,8 +59,8 @@
 def leading_view(ledger):
     """The view that a machine leads, or None.
 
-    >>> from sparloom.consensus import Ledger, Member
-    >>> leading_view(start(Ledger, Member(1, "a", 1, "z", ""), None, True, 0.5, 1, {("a", 1)}, timedelta(0)))
+    >>> from sparloom.consensus import ConsensusMember, Member
+    >>> leading_view(start(ConsensusMember, Member(1, "a", 1, "z", ""), None, True, 0.5, 1, {("a", 1)}, timedelta(0)))
     """
     return ledger.leadership.view if ledger.leading() else None
 
--- a/simulator/check/copying.py
+++ b/simulator/check/copying.py
@@ -6,7 +6,7 @@
 
 from attrs import fields, has
 
-from sparloom.consensus import Spans
+from sparloom.consensus import ConsensusTiming
 
 OLD = timedelta(seconds=8)
 _CLONERS, _FORMS, _REMEMBERED = {}, {}, {}
@@ -79,7 +79,7 @@
         return lambda value, now: tuple(sorted(value))
     if kind is dict:
         return lambda value, now: tuple([(key, canonical(value[key], now)) for key in sorted(value)])
-    if kind is Spans:
+    if kind is ConsensusTiming:
         return lambda value, now: kind.__name__
     if kind in (int, str, bytes, bool, float, type(None)) or issubclass(kind, Enum):
         return None
--- a/simulator/check/durable.py
+++ b/simulator/check/durable.py
@@ -3,7 +3,7 @@
 from functools import singledispatch
 
 from sparloom.consensus import EMPTY, Register
-from sparloom.consensus.records import Activated, Kept, Promise
+from sparloom.consensus.records import Activated, CopyAck, Promise
 
 from .history import Violation
 
@@ -16,7 +16,7 @@
 
     >>> from sparloom.consensus import EMPTY, Register
     >>> register = Register(1, False, 5, [], False, 0)
-    >>> holds(Kept(1, 5, 0, True, 5), register, EMPTY), holds(Kept(1, 5, 0, False, 5), register, EMPTY)
+    >>> holds(CopyAck(1, 5, 0, True, 5), register, EMPTY), holds(CopyAck(1, 5, 0, False, 5), register, EMPTY)
     (False, True)
     """
     return True
@@ -28,7 +28,7 @@
 
 
 @holds.register
-def _(record: Kept, register, data):
+def _(record: CopyAck, register, data):
     stamp = (register.kept, data.number)
     return not record.ok or stamp >= (record.epoch, record.number)
 
--- a/simulator/check/model_state.py
+++ b/simulator/check/model_state.py
@@ -10,12 +10,12 @@
 from sparloom.consensus import (
     CONTROLLERS,
     SEEDS,
-    Confirmed,
-    Decided,
-    Ledger,
-    Left,
-    Lost,
+    Aborted,
+    Committed,
+    ConsensusMember,
+    LeaveCompleted,
     Member,
+    ReadConfirmed,
     Save,
     Send,
     founder_id,
@@ -36,7 +36,7 @@
 
     members: str = "abc"
     replicas: int = 1
-    machine: type = Ledger
+    machine: type = ConsensusMember
     writes: int = 3
     crashes: int = 2
     powers: int = 1
@@ -286,13 +286,13 @@
                 node.saves.append(action)
             elif isinstance(action, Send):
                 todo += self._send(node, action)
-            elif isinstance(action, Decided):
+            elif isinstance(action, Committed):
                 self._decided(node, action)
-            elif isinstance(action, Confirmed):
+            elif isinstance(action, ReadConfirmed):
                 todo += self._confirmed(node, action) or []
-            elif isinstance(action, Lost):
+            elif isinstance(action, Aborted):
                 self.orders.pop(action.id, None)
-            elif isinstance(action, Left):
+            elif isinstance(action, LeaveCompleted):
                 self.stop(node.name)
                 node.left = True
                 return
--- a/simulator/core.py
+++ b/simulator/core.py
@@ -7,22 +7,22 @@
 from sparloom.consensus import (
     CONTROLLERS,
     SEEDS,
-    Confirmed,
-    Decided,
-    Ledger,
-    Left,
-    Lost,
+    Aborted,
+    Committed,
+    ConsensusMember,
+    ConsensusTiming,
+    LeaveCompleted,
     Member,
+    ReadConfirmed,
     Save,
     Send,
-    Spans,
     founder_id,
 )
 from sparloom.consensus.records import Copy
 
 from .clock import MS, Clock
 
-SPANS = Spans.of(timedelta(seconds=3))
+SPANS = ConsensusTiming.of(timedelta(seconds=3))
 TICK = 20 * MS
 LEAVE_BOUND = 4000 * MS
 
@@ -57,7 +57,7 @@
             id = founder_id(self.seeds, n, 1) if founder else next(self.ids)
             self.members[n] = Member(id, n, 1, self.zones.get(n, "z" + n), n + ":9")
         luck = random.Random(self.rng.random())
-        ledger = Ledger.start(self.members[n], disk, first, SPANS, luck, self.replicas, self.seeds, self.now)
+        ledger = ConsensusMember.start(self.members[n], disk, first, SPANS, luck, self.replicas, self.seeds, self.now)
         life = next(self.lives)
         self.nodes[n] = (ledger, life)
         self.off.discard(n)
@@ -85,15 +85,15 @@
             elif isinstance(action, Send):
                 for to in self._where(n, action.to):
                     self._send(n, to, action.record)
-            elif isinstance(action, Decided):
+            elif isinstance(action, Committed):
                 self.decided[n, action.id] = action.data
                 if action.id:
                     self.acked.append(action.data)
-            elif isinstance(action, Lost):
+            elif isinstance(action, Aborted):
                 self.lost.add((n, action.id))
-            elif isinstance(action, Confirmed):
+            elif isinstance(action, ReadConfirmed):
                 self.confirmed[n, action.id] = action.data
-            elif isinstance(action, Left):
+            elif isinstance(action, LeaveCompleted):
                 self.left[n] = self.now
 
     def _save(self, n, save):
--- a/simulator/fleet.py
+++ b/simulator/fleet.py
@@ -7,11 +7,11 @@
 
 from attrs import define
 
-from sparloom.controller.endpoint_poller import Poller
+from sparloom.controller.endpoint_poller import EndpointPoller
 from sparloom.controller.program import Controller
 from sparloom.membership import ALIVE, DEAD
 from sparloom.settings import from_dict
-from sparloom.transport import steady
+from sparloom.transport import monotonic
 
 from .simulated_router import DEFAULT_LOAD, HollowRouter
 from .virtual import HOST
@@ -162,7 +162,7 @@
     ]
 
 
-class _ListedHere(Poller):
+class _ListedHere(EndpointPoller):
     """The poller, with the platform's pages taken from memory."""
 
     listing, page = (), 50
@@ -257,12 +257,12 @@
         if got.status != 200:
             return None
         self.revision = d["revision"]
-        return steady()
+        return monotonic()
 
     async def spread(self, acked, revision, most):
         """Seconds from an acknowledgement until each router had the revision; None for one that had not in time."""
         end = acked + timedelta(seconds=most)
-        while steady() < end and not all(self._has(r, revision) for r in self.routers.values()):
+        while monotonic() < end and not all(self._has(r, revision) for r in self.routers.values()):
             await asyncio.sleep(0.02)
         return [self._has(r, revision, acked) for r in self.routers.values()]
 
--- a/simulator/growth.py
+++ b/simulator/growth.py
@@ -43,12 +43,12 @@
     """Gives the meters of the hosts whose sockets are made meanwhile.
 
     >>> with metered() as meters:
-    ...     sockets.here().add("datagram out Ping", 40)
+    ...     sockets.current_meter().add("datagram out Ping", 40)
     >>> meters.figures()
     {'127.0.0.1': {'datagram out Ping': [1, 40]}}
     """
     meters = Meters()
-    with swapped(sockets, "here", meters.here):
+    with swapped(sockets, "current_meter", meters.here):
         yield meters
 
 
--- a/simulator/host.py
+++ b/simulator/host.py
@@ -14,7 +14,7 @@
 
 from sparloom.membership import ALIVE, DEAD
 from sparloom.settings import from_dict
-from sparloom.transport import Datagrams, steady
+from sparloom.transport import Datagrams, monotonic
 
 from .simulated_router import HollowRouter, Load
 from .tally import Tally, kind
@@ -99,7 +99,7 @@
 
     async def kill(self, ips):
         """Routers end without a word; the time of it."""
-        now = steady().total_seconds()
+        now = monotonic().total_seconds()
         for ip in ips:
             r = self.routers.pop(ip)
             r.net.close()
@@ -108,19 +108,19 @@
 
     async def restart(self, ips):
         """Routers leave in order and come back in a new life; seconds until they were all ready."""
-        begun = steady()
+        begun = monotonic()
         for ip in ips:
             await self.routers.pop(ip).stop()
             await self._boot(ip)
-        while not all(self.routers[ip].ready() for ip in ips) and (steady() - begun).total_seconds() < 30:
+        while not all(self.routers[ip].ready() for ip in ips) and (monotonic() - begun).total_seconds() < 30:
             await asyncio.sleep(STEP)
-        return (steady() - begun).total_seconds()
+        return (monotonic() - begun).total_seconds()
 
     async def watch(self, keys, since, most, observers=8):
         """Seconds until some observers here believed each of the given gone."""
         seen, up = {}, self.luck.sample(list(self.routers.values()), min(observers, len(self.routers)))
         pairs = [(r, k) for r in up for k in keys]
-        while (now := steady().total_seconds() - since) < most and len(seen) < len(pairs):
+        while (now := monotonic().total_seconds() - since) < most and len(seen) < len(pairs):
             for i, (r, k) in enumerate(pairs):
                 e = r.swim.table.get(k)
                 if i not in seen and (e is None or e.peer.state == DEAD):
@@ -134,13 +134,13 @@
         def at(r):
             return min((t.total_seconds() for v, t in r.seen.items() if v >= revision), default=None)
 
-        while steady().total_seconds() - since < most and any(at(r) is None for r in self.routers.values()):
+        while monotonic().total_seconds() - since < most and any(at(r) is None for r in self.routers.values()):
             await asyncio.sleep(STEP / 2)
         return [None if at(r) is None else round(max(0.0, at(r) - since), 5) for r in self.routers.values()]
 
     async def listed(self, runner, since, most):
         """Seconds until all routers here had a runner in their list, or None."""
-        while (now := steady().total_seconds() - since) < most:
+        while (now := monotonic().total_seconds() - since) < most:
             if all(runner in r.fleet.posts for r in self.routers.values()):
                 return round(now, 3)
             await asyncio.sleep(STEP)
--- a/simulator/net.py
+++ b/simulator/net.py
@@ -3,7 +3,7 @@
 import random
 from itertools import count
 
-from sparloom.membership import ALIVE, CONTROLLER, ROUTER, Peer, Swim, Times
+from sparloom.membership import ALIVE, CONTROLLER, ROUTER, Peer, Swim, SwimTiming
 
 from .clock import MS, Clock
 
@@ -30,7 +30,7 @@
         self.nodes[n] = Swim(
             Peer(f"{n}:1", role, "z", "", life, 0, ALIVE),
             self.seeds,
-            Times.of(3000 * MS),
+            SwimTiming.of(3000 * MS),
             random.Random(self.rng.random()),
         )
         self.off.discard(n)
--- a/simulator/pieces.py
+++ b/simulator/pieces.py
@@ -7,15 +7,15 @@
 import zlib
 from datetime import timedelta
 
-from sparloom.admission import Gate, Need, Room
+from sparloom.admission import AdmissionController, Capacity, Demand
 from sparloom.codec import pack, unpack
 from sparloom.configuration import build, check
 from sparloom.controller.control_state import State
-from sparloom.discovery import RunnerList, read_page
-from sparloom.dynamic_timeout import Counts, Held, Holding
-from sparloom.load_balancing import Kept, Standing, choose, lean
-from sparloom.membership import ROUTER, Peer, Swim, Times
-from sparloom.router.backends import Fleet
+from sparloom.discovery import EndpointList, read_page
+from sparloom.dynamic_timeout import InFlightCounts, InFlightReport, InFlightUpdate
+from sparloom.load_balancing import CachedPrefixes, Candidate, choose, rendezvous_weight
+from sparloom.membership import ROUTER, Peer, Swim, SwimTiming
+from sparloom.router.backends import BackendTable
 
 from .fleet import entries, policy
 
@@ -58,22 +58,22 @@
     >>> runners(10)["runners"]
     10
     """
-    listed = RunnerList(read_page({"instances": entries(n), "nextPageToken": None}).unwrap()[0], 25)
+    listed = EndpointList(read_page({"instances": entries(n), "nextPageToken": None}).unwrap()[0], 25)
     blob = zlib.compress(pack(listed), 1)
-    fleet = Fleet().renew(listed.runners, lambda s: 378959)
-    luck, stands = random.Random(1), [Standing(r.id, 300, 0, 3, 16) for r in listed.runners]
-    held = [Held(luck.getrandbits(64), 3, 2000, 0, 0, 0, 0) for _ in range(min(n, 2900))]
-    counts = Counts(CONTACT)
-    counts.hear(Holding("p:1", 1, 1, 1, held, []), timedelta(0), {h.resource: i for i, h in enumerate(held)})
+    fleet = BackendTable().renew(listed.runners, lambda s: 378959)
+    luck, stands = random.Random(1), [Candidate(r.id, 300, 0, 3, 16) for r in listed.runners]
+    held = [InFlightReport(luck.getrandbits(64), 3, 2000, 0, 0, 0, 0) for _ in range(min(n, 2900))]
+    counts = InFlightCounts(CONTACT)
+    counts.hear(InFlightUpdate("p:1", 1, 1, 1, held, []), timedelta(0), {h.resource: i for i, h in enumerate(held)})
     return {
         "runners": n,
         "listBytes": len(pack(listed)),
         "listCompressed": len(blob),
         "takeUs": timed(lambda: unpack(zlib.decompress(blob))),
         "renewUs": timed(lambda: fleet.renew(listed.runners, lambda s: 378959)),
-        "fleetBytes": memory(lambda: Fleet().renew(listed.runners, lambda s: 378959)),
+        "fleetBytes": memory(lambda: BackendTable().renew(listed.runners, lambda s: 378959)),
         "chooseUs": timed(lambda: choose(stands)),
-        "homeUs": timed(lambda: max(lean(7, p.number) for p in fleet.posts.values())),
+        "homeUs": timed(lambda: max(rendezvous_weight(7, p.number) for p in fleet.posts.values())),
         "countUs": timed(lambda: [counts.count(i, timedelta(0)) for i in range(len(held))]),
     }
 
@@ -108,7 +108,7 @@
     """
 
     def make():
-        s = Swim(Peer("127.2.0.1:7301", ROUTER, "zone-1", "", 1, 0, 0), (), Times.of(CONTACT), random.Random(1))
+        s = Swim(Peer("127.2.0.1:7301", ROUTER, "zone-1", "", 1, 0, 0), (), SwimTiming.of(CONTACT), random.Random(1))
         for i in range(1, n):
             s._learn(Peer(f"127.2.{i // 250}.{i % 250 + 1}:7301", ROUTER, f"zone-{i % 5}", "", i, 0, 0))
         return s
@@ -139,7 +139,7 @@
     luck = random.Random(1)
 
     def make():
-        k = Kept(1 << 60)
+        k = CachedPrefixes(1 << 60)
         k.saw([(luck.getrandbits(64), 2000) for _ in range(n)])
         return k
 
@@ -152,17 +152,17 @@
     >>> tenants(4)["tenants"]
     4
     """
-    g = Gate(Room(10 * n), {f"t{i}": 0.1 / n for i in range(n)})
+    g = AdmissionController(Capacity(10 * n), {f"t{i}": 0.1 / n for i in range(n)})
     for i in range(n):
-        g.enter(timedelta(0), i, f"t{i}", 0, Need(300), timedelta(seconds=30))
+        g.enter(timedelta(0), i, f"t{i}", 0, Demand(300), timedelta(seconds=30))
 
     def pass_one():
-        g.enter(timedelta(0), -1, "t0", 0, Need(300), timedelta(seconds=30))
+        g.enter(timedelta(0), -1, "t0", 0, Demand(300), timedelta(seconds=30))
         g.leave(timedelta(0), -1)
 
     return {
         "tenants": n,
-        "gateBytes": memory(lambda: Gate(Room(10 * n), {f"t{i}": 0.1 / n for i in range(n)})),
+        "gateBytes": memory(lambda: AdmissionController(Capacity(10 * n), {f"t{i}": 0.1 / n for i in range(n)})),
         "enterLeaveUs": timed(pass_one),
     }
 
--- a/simulator/point.py
+++ b/simulator/point.py
@@ -8,7 +8,7 @@
 from attrs import asdict
 
 from sparloom.membership import DEAD
-from sparloom.transport import steady
+from sparloom.transport import monotonic
 
 from .fleet import BOUNDS, Fleet, entries, patch
 from .simulated_router import DEFAULT_LOAD, SKIPS
@@ -106,10 +106,10 @@
         return self.out
 
     async def _settle(self):
-        begun, n = steady(), self.size.nodes
-        while (steady() - begun).total_seconds() < 90:
+        begun, n = monotonic(), self.size.nodes
+        while (monotonic() - begun).total_seconds() < 90:
             if all(r.ready() and r.nodes() == n for r in self.fleet.routers.values()):
-                return round((steady() - begun).total_seconds() * 1000)
+                return round((monotonic() - begun).total_seconds() * 1000)
             await asyncio.sleep(0.25)
         return None
 
@@ -148,12 +148,12 @@
     async def _change(self):
         tally, f, all_ms = self.loop.net.tally, self.fleet, []
         tally.clear()
-        begun = steady()
+        begun = monotonic()
         for i in range(self.changes):
-            due = i / self.rate - (steady() - begun).total_seconds()
+            due = i / self.rate - (monotonic() - begun).total_seconds()
             await asyncio.sleep(max(0.0, due))
             all_ms += await self._one_change(i)
-        took = (steady() - begun).total_seconds() or 1
+        took = (monotonic() - begun).total_seconds() or 1
         self.out["change"] = {
             "delayMs": three(all_ms),
             "seconds": round(took, 2),
@@ -177,10 +177,10 @@
         new = f"i-00000-{1}"
         for c in f.controllers.values():
             c.poller.listing = entries(self.size.runners, self.size.zones, 1, self.size.slots)
-        begun = steady()
-        while (steady() - begun).total_seconds() < 30 and not all(new in r.fleet.posts for r in f.routers.values()):
+        begun = monotonic()
+        while (monotonic() - begun).total_seconds() < 30 and not all(new in r.fleet.posts for r in f.routers.values()):
             await asyncio.sleep(0.05)
-        took = (steady() - begun).total_seconds()
+        took = (monotonic() - begun).total_seconds()
         self.out["list"] = {
             "lastMs": round(took * 1000),
             "changeBytes": self._kind_bytes("Change"),
@@ -192,14 +192,14 @@
 
     async def _noticed(self, keys, most):
         """Seconds until each of some observers believed each of some gone."""
-        begun, seen = steady(), {}
+        begun, seen = monotonic(), {}
         watch = [(r, k) for r in self._observers() for k in keys]
-        while (steady() - begun).total_seconds() < most and len(seen) < len(watch):
+        while (monotonic() - begun).total_seconds() < most and len(seen) < len(watch):
             await asyncio.sleep(0.1)
             for i, (r, k) in enumerate(watch):
                 e = r.swim.table.get(k)
                 if i not in seen and (e is None or e.peer.state == DEAD):
-                    seen[i] = (steady() - begun).total_seconds()
+                    seen[i] = (monotonic() - begun).total_seconds()
         return [seen.get(i) for i in range(len(watch))]
 
     async def _deaths(self):
@@ -240,13 +240,13 @@
             },
         }
         net.cuts.clear()
-        begun = steady()
-        while (steady() - begun).total_seconds() < 90 and not all(
+        begun = monotonic()
+        while (monotonic() - begun).total_seconds() < 90 and not all(
             f._has(r, f.revision) and r.nodes() == s.nodes for r in f.routers.values()
         ):
             await asyncio.sleep(0.1)
         whole = all(r.nodes() == s.nodes for r in f.routers.values())
-        self.out["parted"]["healedMs"] = round((steady() - begun).total_seconds() * 1000) if whole else None
+        self.out["parted"]["healedMs"] = round((monotonic() - begun).total_seconds() * 1000) if whole else None
 
     async def _zone(self):
         f, tally = self.fleet, self.loop.net.tally
@@ -256,7 +256,7 @@
         await f.kill(gone)
         watch = asyncio.ensure_future(self._noticed(keys, 10 * self.bounds["contactMs"] / 1000))
         worst, changed = None, asyncio.ensure_future(self._one_change(0))
-        begun = steady()
+        begun = monotonic()
         while not watch.done() or not changed.done():
             tally.clear()
             await asyncio.sleep(1.0)
@@ -267,7 +267,7 @@
             "noticedMs": three(watch.result()),
             "changeMs": three(changed.result()),
             "worstSecond": worst,
-            "tookMs": round((steady() - begun).total_seconds() * 1000),
+            "tookMs": round((monotonic() - begun).total_seconds() * 1000),
         }
 
 
--- a/simulator/scale.py
+++ b/simulator/scale.py
@@ -10,7 +10,7 @@
 import aiohttp
 from attrs import asdict
 
-from sparloom.transport import steady
+from sparloom.transport import monotonic
 
 from .children import Children
 from .fleet import patch, policy, startup
@@ -146,7 +146,7 @@
                 ) as r:
                     if r.status == 200:
                         self.revision = d["revision"]
-                        return steady().total_seconds()
+                        return monotonic().total_seconds()
             except (aiohttp.ClientError, OSError, TimeoutError):
                 pass
         return None
@@ -244,7 +244,7 @@
         self.say(f"changes: {self.out['change']['delayMs']}")
 
     async def _list(self):
-        since = steady().total_seconds()
+        since = monotonic().total_seconds()
         self.traffic.list(1)
         got = await self._all("listed", runner="i-00000-1", since=since, most=40)
         self.out["list"] = {"lastS": None if None in got else max(got)}
--- a/simulator/simulated_router.py
+++ b/simulator/simulated_router.py
@@ -1,6 +1,6 @@
 """A hollow router: all that a router knows and tells, with made-up calls in place of traffic.
 
-It is the router's own ``Know`` service: membership, feed, counts, parts of the
+It is the router's own ``RouterState`` service: membership, feed, counts, parts of the
 whole, budgets, and whatever tier of relays belongs to it. It has no front, so
 it skips requests, replies, connections to runners and the choice among them.
 """
@@ -12,9 +12,9 @@
 from attrs import define
 from mode import Service
 
-from sparloom.router.router_state import Know
+from sparloom.router.router_state import RouterState
 from sparloom.router.timeout_buckets import buckets_for
-from sparloom.transport import steady
+from sparloom.transport import monotonic
 
 SKIPS = "requests, replies, connections to runners, the choice among runners, readiness answers"
 
@@ -47,7 +47,7 @@
     horizon: timedelta
 
 
-class HollowRouter(Know):
+class HollowRouter(RouterState):
     """A router without a front."""
 
     def __init__(self, up, load, seed=0):
@@ -60,7 +60,7 @@
         """Notes when a revision came into force here."""
         super().renew()
         if self.policy is not None:
-            self.seen.setdefault(self.policy.revision, steady())
+            self.seen.setdefault(self.policy.revision, monotonic())
 
     @Service.task
     async def _call_often(self):
@@ -81,13 +81,13 @@
         pool = self.policy.routes[:1]
         n = 2048 if self.luck.random() < self.load.long else 200
         parts = ((self.luck.randrange(self.load.prefixes), n), (self.luck.getrandbits(60), 300))
-        return Ask(parts, pool[0], steady() + pool[0].timeout)
+        return Ask(parts, pool[0], monotonic() + pool[0].timeout)
 
     async def _call(self):
         ask = self._ask()
         service = ask.route.split[0][0]
         self.calls += 1
-        self.budget(service).asked(steady())
+        self.budget(service).asked(monotonic())
         place = await self.lines.enter(service, ask)
         if not hasattr(place, "id") or hasattr(place, "back"):
             self.refused += 1
@@ -104,7 +104,7 @@
         most = self.load.runners or len(posts)
         post = posts[self.luck.randrange(min(most, len(posts)))]
         tokens = sum(n for _, n in ask.parts)
-        slot = self.counts.take(post.id, buckets_for(ask.route, post.slots), steady(), tokens)
+        slot = self.counts.take(post.id, buckets_for(ask.route, post.slots), monotonic(), tokens)
         if slot is None:
             self.refused += 1
             return
@@ -114,4 +114,4 @@
             self.tell.was_read(slot)
             await asyncio.sleep(self.luck.expovariate(1 / self.load.hold))
         finally:
-            slot.free(steady())
+            slot.free(monotonic())
--- a/simulator/site.py
+++ b/simulator/site.py
@@ -46,7 +46,7 @@
 def storm_disks():
     """While this lasts, controllers keep their state on disks that may hang."""
     StormDisk.stalled = StormDisk.ended = frozenset()
-    with mock.patch.object(core, "Disk", StormDisk):
+    with mock.patch.object(core, "DurableWriter", StormDisk):
         yield
 
 
--- a/simulator/tally.py
+++ b/simulator/tally.py
@@ -10,10 +10,10 @@
 def kind(raw, at=0):
     """The name of the record that starts at a place in some bytes.
 
-    >>> from sparloom.dynamic_timeout import Read
+    >>> from sparloom.dynamic_timeout import PrefixPlacement
     >>> from sparloom.codec import pack
-    >>> kind(pack(Read(1, 2, 3))), kind(b"GET /")
-    ('Read', '?')
+    >>> kind(pack(PrefixPlacement(1, 2, 3))), kind(b"GET /")
+    ('PrefixPlacement', '?')
     """
     cls = _BY_TAG.get(raw[at + 1]) if len(raw) > at + 1 and raw[at] == MAGIC else None
     return cls.__name__ if cls else "?"
--- a/simulator/traffic.py
+++ b/simulator/traffic.py
@@ -8,7 +8,7 @@
 
 from fakes.platform import Platform
 from fakes.runner import Runner
-from sparloom.transport import steady
+from sparloom.transport import monotonic
 
 from .fleet import entries
 
@@ -98,11 +98,11 @@
             "X-Sparloom-Attempt-Id": f"a{self.luck.getrandbits(60):x}",
             "X-Sparloom-Prompt-Prefix": f"aa{self.luck.randrange(8)}:2048,{self.luck.getrandbits(50):x}:300",
         }
-        last, h, events = steady(), self.first, 0
+        last, h, events = monotonic(), self.first, 0
         try:
             async with self.session.post(f"http://{front}/real/x", headers=heads, data=b"hello") as r:
                 async for raw in r.content.iter_any():
-                    now = steady()
+                    now = monotonic()
                     h.record_value(max(1, int((now - last).total_seconds() * 1e6)))
                     last, h, events = now, self.gap, events + raw.count(b"data:")
                 self.good, self.bad = (
--- a/simulator/virtual.py
+++ b/simulator/virtual.py
@@ -342,9 +342,9 @@
 
     ``turn``: the seconds that each turn of the loop takes at least, as on a busy machine.
 
-    >>> from sparloom.transport import steady
+    >>> from sparloom.transport import monotonic
     >>> with world(1) as loop:
-    ...     steady().total_seconds()
+    ...     monotonic().total_seconds()
     1000.0
     """
     luck = random.Random(seed)
@@ -363,7 +363,7 @@
             (random, "Random", Seeded),
             (os, "urandom", luck.randbytes),
             (sockets, "take", _Socket),
-            (core, "Disk", Disk),
+            (core, "DurableWriter", Disk),
             (aiohappyeyeballs, "start_connection", loop.start_connection),
         ):
             stack.enter_context(swapped(obj, name, val))
--- a/sparloom/admission/__init__.py
+++ b/sparloom/admission/__init__.py
@@ -1,7 +1,18 @@
 """Members' reserves: who a member is, what it may always have, and its line."""
 
-from .controller import Away, Gate, Granted, Need, Room, Waits
-from .fleet_size import Crowd
-from .member import Member, declared, members_of
+from .controller import AdmissionController, Admitted, Capacity, Demand, Queued, Rejected
+from .fleet_size import FleetSize
+from .member import Member, members_of, parse_members
 
-__all__ = ["Away", "Crowd", "Gate", "Granted", "Member", "Need", "Room", "Waits", "declared", "members_of"]
+__all__ = [
+    "AdmissionController",
+    "Admitted",
+    "Capacity",
+    "Demand",
+    "FleetSize",
+    "Member",
+    "Queued",
+    "Rejected",
+    "members_of",
+    "parse_members",
+]
--- a/sparloom/admission/controller.py
+++ b/sparloom/admission/controller.py
@@ -11,14 +11,14 @@
 
 
 @define(frozen=True, slots=True)
-class Need:
+class Demand:
     """What a request takes: a slot and some tokens."""
 
     tokens: int = 0
 
 
 @define(frozen=True, slots=True)
-class Room:
+class Capacity:
     """What this router may grant without asking: slots and tokens (0 tokens: not counted)."""
 
     slots: int
@@ -26,7 +26,7 @@
 
 
 @define(frozen=True, slots=True)
-class Granted:
+class Admitted:
     """The request may be sent on; ``reserved``: out of its member's own reserve."""
 
     id: object
@@ -34,14 +34,14 @@
 
 
 @define(frozen=True, slots=True)
-class Waits:
+class Queued:
     """The request stands in its member's queue."""
 
     id: object
 
 
 @define(frozen=True, slots=True)
-class Away:
+class Rejected:
     """The request can't be served usefully: refused, with a time to come back."""
 
     id: object
@@ -54,14 +54,14 @@
     member: str
     priority: int
     came: timedelta
-    need: Need
+    need: Demand
     horizon: timedelta
     began: timedelta = timedelta(0)
     tokens: int = 0
 
 
 @define(slots=True)
-class Gate:
+class AdmissionController:
     """Grants, queues and refusals.
 
     A member's reserve is granted to it alone. What it uses beyond competes for
@@ -72,14 +72,14 @@
     ``extra`` slots are added to the common part while the fleet as a whole has
     room (see the notes); none of them comes out of a reserve.
 
-    >>> g = Gate(Room(4), {"a": 0.5, "b": 0.25}); now = timedelta(0)
-    >>> [type(g.enter(now, i, "b", 0, Need(), timedelta(9))).__name__ for i in range(3)]
-    ['Granted', 'Granted', 'Waits']
-    >>> type(g.enter(now, 9, "a", 0, Need(), timedelta(9))).__name__
-    'Granted'
+    >>> g = AdmissionController(Capacity(4), {"a": 0.5, "b": 0.25}); now = timedelta(0)
+    >>> [type(g.enter(now, i, "b", 0, Demand(), timedelta(9))).__name__ for i in range(3)]
+    ['Admitted', 'Admitted', 'Queued']
+    >>> type(g.enter(now, 9, "a", 0, Demand(), timedelta(9))).__name__
+    'Admitted'
     """
 
-    room: Room
+    room: Capacity
     parts: dict
     bound: int = 64
     held: dict = field(factory=dict)
@@ -124,7 +124,7 @@
     def fits(self, m, need):
         """Whether a request of a member may be granted now.
 
-        >>> Gate(Room(0), {}).fits("a", Need())
+        >>> AdmissionController(Capacity(0), {}).fits("a", Demand())
         False
         """
         return self._fit(m, need) is not None
@@ -132,7 +132,7 @@
     def tight(self):
         """Whether the common part is used up, so that only ``extra`` slots are left.
 
-        >>> Gate(Room(1), {}).tight()
+        >>> AdmissionController(Capacity(1), {}).tight()
         False
         """
         return self.kept.common_use(self.over) >= self.kept.common[0]
@@ -143,8 +143,8 @@
     def enter(self, now, id, member, priority, need, horizon):
         """A request comes: it is granted, waits, or is refused at once.
 
-        >>> type(Gate(Room(0), {}).enter(timedelta(0), 1, "a", 0, Need(), timedelta(0))).__name__
-        'Away'
+        >>> type(AdmissionController(Capacity(0), {}).enter(timedelta(0), 1, "a", 0, Demand(), timedelta(0))).__name__
+        'Rejected'
         """
         m = member if member in self.parts else OTHERS
         r = _Request(id, m, priority, now, need, horizon)
@@ -157,22 +157,22 @@
             return self._refuse(r, wait)
         queue.append(r)
         queue.sort(key=lambda x: (x.priority, x.came))
-        return Waits(id)
+        return Queued(id)
 
     def _refuse(self, r, wait):
         self.refused[r.member] = self.refused.get(r.member, 0) + 1
-        return Away(r.id, max(wait, timedelta(milliseconds=20)))
+        return Rejected(r.id, max(wait, timedelta(milliseconds=20)))
 
     def _grant(self, now, r, fit):
         r.began, reserved = now, self.kept.inside(r.member, self.used.get(r.member, NONE), self.over)
         r.tokens, self.used[r.member], self.over = fit
         self.held[r.id] = r
-        return Granted(r.id, reserved)
+        return Admitted(r.id, reserved)
 
     def leave(self, now, id):
         """A request has ended, or its requester has gone; gives the grants that follow.
 
-        >>> Gate(Room(0), {}).leave(timedelta(0), 1)
+        >>> AdmissionController(Capacity(0), {}).leave(timedelta(0), 1)
         []
         """
         r = self.held.pop(id, None)
@@ -210,7 +210,7 @@
     def tick(self, now, room=None, parts=None):
         """Time moves on, or the room changes; gives grants and refusals.
 
-        >>> Gate(Room(1), {}).tick(timedelta(0))
+        >>> AdmissionController(Capacity(1), {}).tick(timedelta(0))
         []
         """
         if (room or self.room, parts if parts is not None else self.parts) != (self.room, self.parts):
@@ -231,7 +231,7 @@
     def figures(self, now):
         """What is seen from outside, per member; a reserve may be a fraction of a slot.
 
-        >>> Gate(Room(8), {"a": 0.5}).figures(timedelta(0))["a"]["reserve"]
+        >>> AdmissionController(Capacity(8), {"a": 0.5}).figures(timedelta(0))["a"]["reserve"]
         4.0
         """
         return {
--- a/sparloom/admission/fleet_size.py
+++ b/sparloom/admission/fleet_size.py
@@ -9,7 +9,7 @@
 
 
 @define(slots=True)
-class Crowd:
+class FleetSize:
     """The divisor of this router's part.
 
     It is the most routers that were seen within two contact bounds, or that
@@ -19,7 +19,7 @@
     sees divide by it too. An eighth of the whole is never granted: it covers
     those that are cut off and still divide by the old number.
 
-    >>> c = Crowd(timedelta(seconds=3)); c.see(timedelta(0), 4, 6, {}); c.divisor
+    >>> c = FleetSize(timedelta(seconds=3)); c.see(timedelta(0), 4, 6, {}); c.divisor
     6
     """
 
@@ -36,7 +36,7 @@
 
         ``index`` is this router's place among those seen, in an order that all agree on.
 
-        >>> c = Crowd(timedelta(seconds=3)); c.see(timedelta(0), 3, 2, {"a": 2, "b": 2}); c.open
+        >>> c = FleetSize(timedelta(seconds=3)); c.see(timedelta(0), 3, 2, {"a": 2, "b": 2}); c.open
         False
         >>> c.see(timedelta(1), 3, 2, {"a": 3, "b": 3}); c.open
         True
@@ -58,7 +58,7 @@
         Where routers outnumber the slots a part of nothing would stop the
         service, so each keeps one; the shared count at the runners bounds them.
 
-        >>> Crowd(timedelta(seconds=3)).part(64), Crowd(timedelta(seconds=3), divisor=100).part(64)
+        >>> FleetSize(timedelta(seconds=3)).part(64), FleetSize(timedelta(seconds=3), divisor=100).part(64)
         (56, 1)
         """
         return max(int(whole > 0), int(whole * (1 - SPARE) / self.divisor)) if self.open else 0
@@ -69,7 +69,7 @@
         That is an equal part of what is neither reserved nor in use at all
         routers, as known here; ``reserved`` and ``used`` are the fleet's.
 
-        >>> Crowd(timedelta(seconds=3), divisor=8).extra(768, 96, 272), Crowd(timedelta(seconds=3)).extra(64, 8, 60)
+        >>> FleetSize(timedelta(seconds=3), divisor=8).extra(768, 96, 272), FleetSize(timedelta(seconds=3)).extra(64, 8, 60)
         (50, 0)
         """
         return max(0, int((whole - reserved - used) / self.divisor)) if self.open else 0
@@ -81,7 +81,7 @@
         place on that differs by ``salt`` (a runner's number), so that nothing
         is lost by rounding, also with more routers than things.
 
-        >>> [Crowd(timedelta(seconds=3), divisor=4, index=i).pieces(8, salt=1) for i in range(4)]
+        >>> [FleetSize(timedelta(seconds=3), divisor=4, index=i).pieces(8, salt=1) for i in range(4)]
         [2, 2, 1, 2]
         """
         each, rest = divmod(int(whole * (1 - SPARE)), self.divisor)
--- a/sparloom/admission/member.py
+++ b/sparloom/admission/member.py
@@ -44,12 +44,12 @@
     return None
 
 
-def declared(table):
+def parse_members(table):
     """Checks the optional section ``members`` of the startup file.
 
-    >>> declared({"a": {"hosts": ["x"], "reserve": 0.6}, "b": {"hosts": ["y"], "reserve": 0.6}}).failure()
+    >>> parse_members({"a": {"hosts": ["x"], "reserve": 0.6}, "b": {"hosts": ["y"], "reserve": 0.6}}).failure()
     'The reserves of members a, b add up to 1.2, more than the whole.'
-    >>> declared({"a": {"hosts": ["x"]}, "b": {"hosts": ["x"]}}).failure()
+    >>> parse_members({"a": {"hosts": ["x"]}, "b": {"hosts": ["x"]}}).failure()
     'Members a and b both claim the host x.'
     """
     if not isinstance(table, dict):
--- a/sparloom/aggregation/__init__.py
+++ b/sparloom/aggregation/__init__.py
@@ -1,7 +1,20 @@
 """In-flight counts through the tier of relays: sums up, across and down, no call counted twice."""
 
-from .aggregator import Send, Sums
+from .aggregator import InFlightAggregator, Send
 from .parent import Parent
-from .records import Cover, Single, Sum, Total, Up, coded, decoded, holder, short
+from .records import Coverage, FleetTotal, GroupAggregate, MemberUpdate, SoloUpdate, coded, decoded, holder, short
 
-__all__ = ["Cover", "Parent", "Send", "Single", "Sum", "Sums", "Total", "Up", "coded", "decoded", "holder", "short"]
+__all__ = [
+    "Coverage",
+    "FleetTotal",
+    "GroupAggregate",
+    "InFlightAggregator",
+    "MemberUpdate",
+    "Parent",
+    "Send",
+    "SoloUpdate",
+    "coded",
+    "decoded",
+    "holder",
+    "short",
+]
--- a/sparloom/aggregation/acknowledged.py
+++ b/sparloom/aggregation/acknowledged.py
@@ -2,12 +2,12 @@
 
 A relay without a group tells its own calls:
 
->>> from sparloom.relay import Tier
->>> from .aggregator import Sums
+>>> from sparloom.relay import RelayTier
+>>> from .aggregator import InFlightAggregator
 >>> from .records import decoded
 >>> start = timedelta(0)
->>> relay = Sums("a", 1, timedelta(seconds=3))
->>> relay.see(start, Tier(("a",), (), True), {})
+>>> relay = InFlightAggregator("a", 1, timedelta(seconds=3))
+>>> relay.see(start, RelayTier(("a",), (), True), {})
 >>> relay.note(start, {7: (2, 64, 0, 0, 0, 0)}, 4)
 >>> [(s.key, s.crowd, s.cover, [decoded(one.held) for one in s.singles]) for s in sums(relay, start)]
 [('a', 4, [], [{7: (2, 64, 0, 0, 0, 0)}])]
@@ -19,7 +19,7 @@
 
 from attrs import define
 
-from .records import ROOM, Cover, Single, Sum, Total, coded, ranges
+from .records import ROOM, Coverage, FleetTotal, GroupAggregate, SoloUpdate, coded, ranges
 from .shards import add, within
 
 MOST_READS = 20
@@ -76,15 +76,15 @@
     held = {}
     for holder in old:
         add(held, holder.held)
-    cover = [Cover(holder.number, holder.seq) for holder in old]
+    cover = [Coverage(holder.number, holder.seq) for holder in old]
     machine.out_seq += 1
     crowd = min((holder.crowd for holder in group if holder.crowd), default=0)
     reads = some(machine.reads)
     fixed = COVER_BYTES * len(old) + READ_BYTES * len(reads)
     for lo, hi in _ranges(held, fixed, [holder.held for holder in new]):
-        singles = [Single(holder.number, holder.seq, coded(within(holder.held, lo, hi))) for holder in new]
+        singles = [SoloUpdate(holder.number, holder.seq, coded(within(holder.held, lo, hi))) for holder in new]
         part = coded(within(held, lo, hi))
-        yield Sum(machine.key, machine.life, machine.out_seq, crowd, lo, hi, cover, part, singles, reads)
+        yield GroupAggregate(machine.key, machine.life, machine.out_seq, crowd, lo, hi, cover, part, singles, reads)
         reads = []
 
 
@@ -95,10 +95,10 @@
     add(held, machine.held)
     machine.out_seq += 1
     crowd = min([machine.crowd, *(crowd for crowd in machine.crowds(now).values() if crowd)])
-    cover = [Cover(member.holder, gathered.seqs.get(member.holder, 0)) for member in machine.group.values()]
+    cover = [Coverage(member.holder, gathered.seqs.get(member.holder, 0)) for member in machine.group.values()]
     reads, age_ms = some(machine.down), int(machine.age(now) / timedelta(milliseconds=1))
     fixed = COVER_BYTES * len(cover) + READ_BYTES * len(reads)
     for lo, hi in _ranges(held, fixed):
         part = coded(within(held, lo, hi))
-        yield Total(machine.key, machine.life, machine.out_seq, crowd, age_ms, lo, hi, cover, part, reads)
+        yield FleetTotal(machine.key, machine.life, machine.out_seq, crowd, age_ms, lo, hi, cover, part, reads)
         reads = []
--- a/sparloom/aggregation/aggregator.py
+++ b/sparloom/aggregation/aggregator.py
@@ -25,10 +25,10 @@
 from attrs import define, field
 
 from .acknowledged import some, sums, totals
-from .neighbours import Member, RelaySums, Send
+from .neighbours import Member, RelayAggregates, Send
 from .parent import Parent
-from .records import LAST, UNIT, Sum, Total, Up, coded, decoded, holder
-from .shards import Piece, add, gather, replace, within
+from .records import LAST, UNIT, FleetTotal, GroupAggregate, MemberUpdate, coded, decoded, holder
+from .shards import Shard, add, gather, replace, within
 
 MS = timedelta(milliseconds=1)
 ZERO = timedelta(0)
@@ -39,12 +39,12 @@
 
 
 @define(slots=True)
-class Sums:
+class InFlightAggregator:
     """One node's part in the tier.
 
-    >>> from sparloom.relay import Tier
-    >>> a, b = Sums("a", 1, timedelta(seconds=3)), Sums("b", 1, timedelta(seconds=3))
-    >>> a.see(ZERO, Tier(("b",), ("b",), False), {"b": 1}); b.see(ZERO, Tier(("b",), (), True), {"a": 1})
+    >>> from sparloom.relay import RelayTier
+    >>> a, b = InFlightAggregator("a", 1, timedelta(seconds=3)), InFlightAggregator("b", 1, timedelta(seconds=3))
+    >>> a.see(ZERO, RelayTier(("b",), ("b",), False), {"b": 1}); b.see(ZERO, RelayTier(("b",), (), True), {"a": 1})
     >>> a.note(ZERO, {7: (2, 0, 0, 0, 0, 0)}, 1); b.note(ZERO, {7: (1, 0, 0, 0, 0, 0)}, 1)
     >>> for s in a.beat(ZERO): b.hear(ZERO, s.rec)
     >>> for s in b.beat(ZERO): a.hear(ZERO, s.rec)
@@ -88,7 +88,7 @@
     def see(self, now, tier, up, prefer=None):
         """Takes the plan, the routers believed up (key: life), and the parent that the news come from.
 
-        >>> Sums("a", 1, timedelta(seconds=3)).see(ZERO, None, {})
+        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).see(ZERO, None, {})
         """
         self.tier, self.up = tier, up
         if self.acting:
@@ -118,7 +118,7 @@
     def note(self, now, held, crowd):
         """Takes what this node holds now, {short number: (calls, tokens, silent, good, bad, blamers)}.
 
-        >>> s = Sums("a", 1, timedelta(seconds=3)); s.note(ZERO, {}, 1); s.seq
+        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.note(ZERO, {}, 1); s.seq
         1
         """
         held = {short: (calls, -(-tokens // UNIT) * UNIT, *rest) for short, (calls, tokens, *rest) in held.items()}
@@ -141,7 +141,7 @@
     def gone(self, key, life=None):
         """A node is known gone, or all of its lives but one: what it told counts no more.
 
-        >>> Sums("a", 1, timedelta(seconds=3)).gone("b")
+        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).gone("b")
         """
         for neighbours in (self.group, self.relays, self.direct):
             if key in neighbours and neighbours[key].life != life:
@@ -152,7 +152,7 @@
     def read(self, now, reads):
         """Long parts of prompts went out here or, with a relay, in its group: that goes on at once.
 
-        >>> s = Sums("a", 1, timedelta(seconds=3)); s.read(ZERO, []); s.wait(ZERO)
+        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.read(ZERO, []); s.wait(ZERO)
         """
         new = {(r.resource, r.part): r for r in reads}
         self.reads |= new
@@ -169,7 +169,7 @@
 
         A relay gathers for 2 ms what comes in, and rests 30 ms between two.
 
-        >>> s = Sums("a", 1, timedelta(seconds=3)); s.urgent = ZERO; s.wait(ZERO)
+        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.urgent = ZERO; s.wait(ZERO)
         datetime.timedelta(0)
         """
         if self.urgent is None:
@@ -180,16 +180,16 @@
     def hear(self, now, rec):
         """Takes a word of the tier.
 
-        >>> Sums("a", 1, timedelta(seconds=3)).hear(ZERO, Up("b", 1, 1, 1, b"", []))
+        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).hear(ZERO, MemberUpdate("b", 1, 1, 1, b"", []))
         """
-        {Up: self._up, Sum: self._sum, Total: self._total}[type(rec)](now, rec)
+        {MemberUpdate: self._up, GroupAggregate: self._sum, FleetTotal: self._total}[type(rec)](now, rec)
 
     def hear_direct(self, now, key, life, seq, held):
         """Takes the word of a node that has no tier and tells everybody."""
         old = self.direct.get(key)
         if old is None or old.life != life or old.piece.seq < seq:
             number = holder(key, life)
-            self.direct[key] = Member(life, number, now, 0, Piece(seq, now, {number: seq}, held))
+            self.direct[key] = Member(life, number, now, 0, Shard(seq, now, {number: seq}, held))
 
     def _up(self, now, rec):
         number, old = holder(rec.key, rec.life), self.group.get(rec.key)
@@ -200,7 +200,7 @@
         if old and not same_life:
             self.past.append(old.holder)
         since = old.since if same_life else now
-        piece = Piece(rec.seq, now, {number: rec.seq}, decoded(rec.held))
+        piece = Shard(rec.seq, now, {number: rec.seq}, decoded(rec.held))
         self.group[rec.key] = Member(rec.life, number, since, rec.crowd, piece)
         self.read(now, rec.reads)
 
@@ -214,7 +214,7 @@
         relay = self._relay(now, rec)
         singles = tuple((s.holder, s.seq, decoded(s.held)) for s in rec.singles)
         cover = {c.holder: c.seq for c in rec.cover}
-        newest = replace(relay.newest, Piece(rec.seq, now, cover, decoded(rec.held), rec.lo, rec.hi, singles))
+        newest = replace(relay.newest, Shard(rec.seq, now, cover, decoded(rec.held), rec.lo, rec.hi, singles))
         if newest is None:
             return
         relay.newest, relay.heard, relay.crowd = newest, now, rec.crowd
@@ -230,7 +230,7 @@
         if relay is None or relay.life != rec.life:
             if relay:
                 self.past.append(holder(rec.key, relay.life))
-            relay = self.relays[rec.key] = RelaySums(rec.life, now)
+            relay = self.relays[rec.key] = RelayAggregates(rec.life, now)
         return relay
 
     def _give_up_claimed(self, told):
@@ -259,14 +259,14 @@
             return
         if self.teller != (rec.key, rec.life):
             self.teller = (rec.key, rec.life)
-            self.total = [Piece(-1, p.heard, p.cover, p.held, p.lo, p.hi) for p in self.total]
+            self.total = [Shard(-1, p.heard, p.cover, p.held, p.lo, p.hi) for p in self.total]
         mine = [c.seq for c in rec.cover if c.holder == self.me]
         own = self._own(mine[0]) if mine and mine[0] else {}
         if own is None or mine == [0]:
             return
         held = decoded(rec.held)
         add(held, within(own, rec.lo, rec.hi), -1)
-        new = replace(self.total, Piece(rec.seq, now, {}, held, rec.lo, rec.hi))
+        new = replace(self.total, Shard(rec.seq, now, {}, held, rec.lo, rec.hi))
         if new is not None:
             self.total, self.total_crowd = new, rec.crowd
             self.parent.spoke = max(self.parent.spoke, now - rec.age * MS)
@@ -295,7 +295,7 @@
         relays = self.relays.values()
         fresh = [p for relay in relays for p in relay.newest if now - p.heard <= self.contact]
         words = [(m.holder, m.piece) for members in (self.group, self.direct) for m in members.values()]
-        words += [(number, Piece(seq, p.heard, {}, held, p.lo, p.hi)) for p in fresh for number, seq, held in p.singles]
+        words += [(number, Shard(seq, p.heard, {}, held, p.lo, p.hi)) for p in fresh for number, seq, held in p.singles]
         return gather([p for relay in relays for p in relay.standing], words, self.me, self._own)
 
     def view(self, now, direct=()):
@@ -303,7 +303,7 @@
 
         ``direct``: the keys of those whose direct words are fresh.
 
-        >>> Sums("a", 1, timedelta(seconds=3)).view(ZERO) is None
+        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).view(ZERO) is None
         True
         """
         if self.acting and self._sure(now):
@@ -338,7 +338,7 @@
             out.append(self._say_farewell(now))
         to = self.parent.key
         if to and self._due(now, UP, (to, self.seq), self.reads):
-            word = Up(self.key, self.life, self.seq, self.crowd, coded(self.held), some(self.reads))
+            word = MemberUpdate(self.key, self.life, self.seq, self.crowd, coded(self.held), some(self.reads))
             out.append(Send((to,), word))
         if not self.reads:
             self.urgent = None
@@ -348,7 +348,7 @@
         """A relay that is one no more tells the others an empty sum."""
         self.farewell -= 1
         self.out_seq += 1
-        return Send(self.others(now), Sum(self.key, self.life, self.out_seq, 0, 0, LAST, [], b"", [], []))
+        return Send(self.others(now), GroupAggregate(self.key, self.life, self.out_seq, 0, 0, LAST, [], b"", [], []))
 
     def _due(self, now, what, state, hurry):
         """Whether a kind of word goes out now: soon after a change of state, seldom without one."""
@@ -374,7 +374,7 @@
     def age(self, now):
         """For how long this relay has been out of touch with half of the relays.
 
-        >>> Sums("a", 1, timedelta(seconds=3)).age(ZERO)
+        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).age(ZERO)
         datetime.timedelta(0)
         """
         begun = now if self.since is None else self.since
--- a/sparloom/aggregation/neighbours.py
+++ b/sparloom/aggregation/neighbours.py
@@ -4,7 +4,7 @@
 
 from attrs import define, field
 
-from .shards import Piece
+from .shards import Shard
 
 
 @define(frozen=True, slots=True)
@@ -23,12 +23,12 @@
     holder: int
     since: timedelta
     crowd: int
-    piece: Piece
+    piece: Shard
     claims: int = 0
 
 
 @define(slots=True)
-class RelaySums:
+class RelayAggregates:
     """Another relay of the tier, and the sums that it told."""
 
     life: int
--- a/sparloom/aggregation/records.py
+++ b/sparloom/aggregation/records.py
@@ -12,7 +12,7 @@
 from itertools import pairwise
 
 from sparloom.codec import DecodeError, Record, UInt16, UInt32, UInt64, record
-from sparloom.dynamic_timeout import Read
+from sparloom.dynamic_timeout import PrefixPlacement
 
 UNIT = 32
 LAST = 0xFFFFFFFF
@@ -21,7 +21,7 @@
 
 
 @record(83)
-class Cover(Record):
+class Coverage(Record):
     """One life of a holder, and which of its words is in a sum."""
 
     holder: UInt64
@@ -29,7 +29,7 @@
 
 
 @record(84)
-class Single(Record):
+class SoloUpdate(Record):
     """A holder's own word, passed on as it is: it has not been in the group for long."""
 
     holder: UInt64
@@ -38,7 +38,7 @@
 
 
 @record(85)
-class Up(Record):
+class MemberUpdate(Record):
     """All that a follower has in flight, to its relay; ``reads``: long parts of prompts that it sent out."""
 
     key: str
@@ -46,11 +46,11 @@
     seq: UInt32
     crowd: UInt16
     held: bytes
-    reads: list[Read]
+    reads: list[PrefixPlacement]
 
 
 @record(86)
-class Sum(Record):
+class GroupAggregate(Record):
     """A relay's group, to the other relays: whom it covers, their sum, and those told one by one.
 
     ``lo`` to ``hi``: the resources that this piece tells of, both included.
@@ -63,14 +63,14 @@
     crowd: UInt16
     lo: UInt32
     hi: UInt32
-    cover: list[Cover]
+    cover: list[Coverage]
     held: bytes
-    singles: list[Single]
-    reads: list[Read]
+    singles: list[SoloUpdate]
+    reads: list[PrefixPlacement]
 
 
 @record(87)
-class Total(Record):
+class FleetTotal(Record):
     """All that a relay knows, to its followers; ``cover``: which word of each follower is in it.
 
     ``age``: for how many ms the relay has been out of touch with half of the relays.
@@ -83,9 +83,9 @@
     age: UInt32
     lo: UInt32
     hi: UInt32
-    cover: list[Cover]
+    cover: list[Coverage]
     held: bytes
-    reads: list[Read]
+    reads: list[PrefixPlacement]
 
 
 def short(number):
--- a/sparloom/aggregation/shards.py
+++ b/sparloom/aggregation/shards.py
@@ -8,7 +8,7 @@
 
 
 @define(frozen=True, slots=True, eq=False)
-class Piece:
+class Shard:
     """What some holders have in flight at the resources from ``lo`` to ``hi``.
 
     ``cover``: each holder's number with the word of it that is in ``held``.
@@ -26,7 +26,7 @@
     def without(self, lo, hi):
         """What is left of it outside of a range.
 
-        >>> [(p.lo, p.hi, p.held) for p in Piece(1, 0, {}, {3: 1, 8: 2}, 0, 9).without(4, 6)]
+        >>> [(p.lo, p.hi, p.held) for p in Shard(1, 0, {}, {3: 1, 8: 2}, 0, 9).without(4, 6)]
         [(0, 3, {3: 1}), (7, 9, {8: 2})]
         """
         if hi < self.lo or lo > self.hi:
@@ -41,7 +41,7 @@
     def meets(self, other):
         """Whether both cover a holder for the same resources.
 
-        >>> Piece(1, 0, {5: 1}, {}).meets(Piece(1, 0, {5: 2, 6: 1}, {}))
+        >>> Shard(1, 0, {5: 1}, {}).meets(Shard(1, 0, {5: 2, 6: 1}, {}))
         True
         """
         overlap = self.lo <= other.hi and other.lo <= self.hi
@@ -86,7 +86,7 @@
 def replace(pieces, new):
     """The pieces with a newer one in its range, or None when that is not newer.
 
-    >>> replace([Piece(2, 0, {}, {})], Piece(1, 0, {}, {})) is None
+    >>> replace([Shard(2, 0, {}, {})], Shard(1, 0, {}, {})) is None
     True
     """
     if any(p.seq >= new.seq and p.lo <= new.hi and new.lo <= p.hi for p in pieces):
@@ -110,7 +110,7 @@
     newest does. ``own(seq)``: this node's word of that number, which is taken
     off where a sum has it.
 
-    >>> s, w = Piece(1, 0, {5: 3}, {7: (2, 0, 0, 0, 0, 0)}), Piece(4, 0, {}, {7: (9, 0, 0, 0, 0, 0)})
+    >>> s, w = Shard(1, 0, {5: 3}, {7: (2, 0, 0, 0, 0, 0)}), Shard(4, 0, {}, {7: (9, 0, 0, 0, 0, 0)})
     >>> gather([s], [(5, w), (6, w)], 0, None).held, gather([s], [], 5, lambda q: {7: (1, 0, 0, 0, 0, 0)}).held
     ({7: (11, 0, 0, 0, 0, 0)}, {7: (1, 0, 0, 0, 0, 0)})
     """
--- a/sparloom/cli.py
+++ b/sparloom/cli.py
@@ -48,7 +48,7 @@
         _say(f"{name}: {path}: {lack}")
         return 2
     _log()
-    meter.start(meter.interval() is not None)
+    meter.start_meter(meter.report_interval() is not None)
     if name == "router":
         from sparloom.router.program import serve
     else:
--- a/sparloom/configuration/__init__.py
+++ b/sparloom/configuration/__init__.py
@@ -1,7 +1,18 @@
 """The operator's policy (configuration): checked, changed, looked up."""
 
 from .check import MOST_REVISION, apply_patch, check, parse
-from .delta import step
-from .table import Caps, Policy, Route, Service, build
+from .delta import delta
+from .table import Configuration, RequestLimits, Route, Service, build
 
-__all__ = ["MOST_REVISION", "Caps", "Policy", "Route", "Service", "apply_patch", "build", "check", "parse", "step"]
+__all__ = [
+    "MOST_REVISION",
+    "Configuration",
+    "RequestLimits",
+    "Route",
+    "Service",
+    "apply_patch",
+    "build",
+    "check",
+    "delta",
+    "parse",
+]
--- a/sparloom/configuration/delta.py
+++ b/sparloom/configuration/delta.py
@@ -3,12 +3,12 @@
 from .check import apply_patch
 
 
-def step(old, new):
+def delta(old, new):
     """What makes ``new`` of ``old`` by ``apply_patch``, or None where no change says it exactly.
 
-    >>> step({"revision": 1, "routes": [{"name": "a"}], "services": []}, {"revision": 2, "routes": [], "services": []})
+    >>> delta({"revision": 1, "routes": [{"name": "a"}], "services": []}, {"revision": 2, "routes": [], "services": []})
     {'revision': 2, 'remove': {'routes': ['a']}}
-    >>> step({"revision": 1, "x": 1}, {"revision": 2}) is None
+    >>> delta({"revision": 1, "x": 1}, {"revision": 2}) is None
     True
     """
     out, ups, drops = {"revision": new.get("revision")}, {}, {}
--- a/sparloom/configuration/table.py
+++ b/sparloom/configuration/table.py
@@ -44,7 +44,7 @@
 
 
 @define(frozen=True, slots=True)
-class Caps:
+class RequestLimits:
     """What a requester may send."""
 
     head: int = 16384
@@ -54,13 +54,13 @@
 
 
 @define(frozen=True, slots=True)
-class Policy:
+class Configuration:
     """One revision of the policy."""
 
     revision: int
     routes: tuple
     services: dict
-    caps: Caps
+    caps: RequestLimits
     hosts: dict = field(repr=False, factory=dict)
 
     def match(self, host, path):
@@ -118,16 +118,16 @@
     >>> build({"revision": 3, "routes": [], "services": []}).revision
     3
     """
-    std, lim = Caps(), d.get("limits", {})
+    std, lim = RequestLimits(), d.get("limits", {})
     rs = tuple(map(_route, d.get("routes", [])))
     hosts = {h: [] for h in {r.host for r in rs}}
     for r in sorted(rs, key=lambda r: -len(r.prefix)):
         hosts[r.host].append(r)
-    return Policy(
+    return Configuration(
         d["revision"],
         rs,
         {s["name"]: _service(s) for s in d.get("services", [])},
-        Caps(
+        RequestLimits(
             lim.get("maxHeaderBytes", std.head),
             lim.get("maxBodyBytes", std.body),
             _ms(lim, "headerTimeoutMs", 3000),
--- a/sparloom/consensus/__init__.py
+++ b/sparloom/consensus/__init__.py
@@ -1,7 +1,7 @@
 """The control state: a primary, its backups, and witnesses that keep epochs only."""
 
-from .actions import CONTROLLERS, SEEDS, Confirmed, Decided, Left, Lost, Save, Send, Spans
-from .member import Ledger
+from .actions import CONTROLLERS, SEEDS, Aborted, Committed, ConsensusTiming, LeaveCompleted, ReadConfirmed, Save, Send
+from .member import ConsensusMember
 from .records import EMPTY, Data, Member, Register, View
 from .store import Store
 from .views import founder_id
@@ -10,17 +10,17 @@
     "CONTROLLERS",
     "EMPTY",
     "SEEDS",
-    "Confirmed",
+    "Aborted",
+    "Committed",
+    "ConsensusMember",
+    "ConsensusTiming",
     "Data",
-    "Decided",
-    "Ledger",
-    "Left",
-    "Lost",
+    "LeaveCompleted",
     "Member",
+    "ReadConfirmed",
     "Register",
     "Save",
     "Send",
-    "Spans",
     "Store",
     "View",
     "founder_id",
--- a/sparloom/consensus/actions.py
+++ b/sparloom/consensus/actions.py
@@ -8,7 +8,7 @@
 
 
 @define(frozen=True, slots=True)
-class Spans:
+class ConsensusTiming:
     """Spans of the ledger, all derived from the contact bound.
 
     ``patience``: silence after which a member is passed over. ``dead``:
@@ -26,7 +26,7 @@
     def of(cls, contact):
         """Spans that replace a lost primary well inside the bound.
 
-        >>> Spans.of(timedelta(seconds=3)).patience
+        >>> ConsensusTiming.of(timedelta(seconds=3)).patience
         datetime.timedelta(microseconds=600000)
         """
         return cls(contact / 15, contact / 5, contact / 25, contact / 2, contact / 2)
@@ -62,7 +62,7 @@
 
 
 @define(frozen=True, slots=True)
-class Decided:
+class Committed:
     """A write is on the disk of every holder; id 0: what a new primary begins with."""
 
     id: int
@@ -70,14 +70,14 @@
 
 
 @define(frozen=True, slots=True)
-class Lost:
+class Aborted:
     """A write or a read can't be answered here any more; a write may still take effect."""
 
     id: int
 
 
 @define(frozen=True, slots=True)
-class Confirmed:
+class ReadConfirmed:
     """This member was still the primary after the read began; ``data`` is decided."""
 
     id: int
@@ -85,5 +85,5 @@
 
 
 @define(frozen=True, slots=True)
-class Left:
+class LeaveCompleted:
     """A planned leave is complete: nothing rests on this member any more."""
--- a/sparloom/consensus/election.py
+++ b/sparloom/consensus/election.py
@@ -11,7 +11,7 @@
 from attrs import define, field
 
 from .actions import NEVER, Send
-from .records import PreVote, Seek, Yield
+from .records import Prepare, PreVote, TransferLeadership
 from .views import choose_backups, find_basis, next_view, quorum
 
 # How long a quorum that has promised waits for the other members, as a part of the usual pause between sendings.
@@ -124,7 +124,7 @@
         actions = []
         if _due(ledger, self.began, self.sent_at):
             self.sent_at = ledger.now
-            seek = Seek(ledger.member, self.epoch, self.forced)
+            seek = Prepare(ledger.member, self.epoch, self.forced)
             targets = _targets(ledger, self.promises, self.plan.roster if self.plan else ())
             actions = [Send(member, seek) for member in targets if member.id not in self.promises]
         return actions + self._conclude()
@@ -177,7 +177,9 @@
         able = [p.sender for p in promises.values() if self._holds(basis, p)]
         ledger.give_up()
         able.sort(key=lambda member_id: member_id in ledger.membership.suspected)
-        return ledger.send_to(able[0], Yield(ledger.member.id, self.epoch, False, basis.view)) if able else []
+        return (
+            ledger.send_to(able[0], TransferLeadership(ledger.member.id, self.epoch, False, basis.view)) if able else []
+        )
 
     def _roster(self, basis, promises, waited):
         """The planned roster if it still fits and can vote, else the one there is; None: wait."""
--- a/sparloom/consensus/leadership.py
+++ b/sparloom/consensus/leadership.py
@@ -10,9 +10,9 @@
 
 from attrs import define, field
 
-from .actions import NEVER, Confirmed, Decided, Lost, Send
+from .actions import NEVER, Aborted, Committed, ReadConfirmed, Send
 from .election import RosterPlan
-from .records import Activate, Copy, Data, Heartbeat, Kept
+from .records import Activate, Copy, CopyAck, Data, Heartbeat
 from .views import copies_wanted, majority, next_roster, quorum
 
 SENT_HEARTBEATS = 30
@@ -98,7 +98,7 @@
     def _copy_out(self):
         ledger, view = self.ledger, self.view
         self.kept, self.resent_at = {}, ledger.now
-        own = Kept(self.me, view.epoch, ledger.data.number, True, view.epoch)
+        own = CopyAck(self.me, view.epoch, ledger.data.number, True, view.epoch)
         saved = ledger.replica.save(Send(ledger.member, own), data=ledger.data)
         copy = Copy(self.me, view, ledger.data)
         return [saved, *(Send(member, copy) for member in view.roster if member.id in view.backups)]
@@ -121,7 +121,7 @@
         self._copied(self.write_at)
         write, self.write = self.write, None
         self.decided = self.ledger.data
-        return [Decided(write, self.decided)]
+        return [Committed(write, self.decided)]
 
     def _activate(self, members):
         record = Activate(self.me, self.view, self.settled)
@@ -143,7 +143,7 @@
     def _serve(self):
         self.phase, self.began = Phase.SERVING, self.ledger.now
         self.decided = self.ledger.data
-        actions = [Decided(0, self.decided), *self._heartbeat(at_once=True)]
+        actions = [Committed(0, self.decided), *self._heartbeat(at_once=True)]
         if self.view.previous:
             self.settled = True
             self.resent_at = self.ledger.now
@@ -242,7 +242,7 @@
         done = [read for read, sequence in self.reads.items() if sequence <= self.confirmed_sequence]
         for read in done:
             del self.reads[read]
-        return [Confirmed(read, self.decided) for read in done]
+        return [ReadConfirmed(read, self.decided) for read in done]
 
     # -- repair ---------------------------------------------------------------
     def _replace_silent(self):
@@ -371,5 +371,5 @@
 
     def lost(self):
         """What can't be answered any more once this member leads no longer."""
-        writes = [] if self.write is None else [Lost(self.write)]
-        return writes + [Lost(read) for read in self.reads]
+        writes = [] if self.write is None else [Aborted(self.write)]
+        return writes + [Aborted(read) for read in self.reads]
--- a/sparloom/consensus/member.py
+++ b/sparloom/consensus/member.py
@@ -14,7 +14,7 @@
 from .leadership import Leadership
 from .message_handlers import take
 from .reconfiguration import Membership, PlannedLeave
-from .records import EMPTY, Hello, Join, Register, View, Yield
+from .records import EMPTY, Hello, Join, Register, TransferLeadership, View
 from .replica import Replica
 from .views import epoch_after, first_view, founder_id
 
@@ -30,7 +30,7 @@
 
 
 @define(slots=True, eq=False)
-class Ledger:
+class ConsensusMember:
     """One member of the core. ``kept`` of ``start`` is what its disk held."""
 
     replica: Replica
@@ -63,11 +63,11 @@
         ``genesis`` holds the (host, port) pairs that form the first roster; a
         founder's id is its ``founder_id``.
 
-        >>> from .actions import Spans
+        >>> from .actions import ConsensusTiming
         >>> from .records import Member
         >>> import random
-        >>> spans, me = Spans.of(timedelta(seconds=3)), Member(founder_id([("h", 1)], "h", 1), "h", 1, "z", "")
-        >>> ledger = Ledger.start(me, None, True, spans, random.Random(1), 1, {("h", 1)}, timedelta(0))
+        >>> spans, me = ConsensusTiming.of(timedelta(seconds=3)), Member(founder_id([("h", 1)], "h", 1), "h", 1, "z", "")
+        >>> ledger = ConsensusMember.start(me, None, True, spans, random.Random(1), 1, {("h", 1)}, timedelta(0))
         >>> ledger.founder, ledger.leading()
         (True, False)
         """
@@ -317,7 +317,7 @@
         near.sort(key=lambda member_id: member_id in self.membership.leaving)
         self.wait(self.spans.patience * 2)
         self.heartbeat_epoch = 0
-        word = Yield(self.member.id, view.epoch, leaving, view)
+        word = TransferLeadership(self.member.id, view.epoch, leaving, view)
         actions = YIELD_COPIES * self.send_to(near[0], word) if near else []
         return actions + self.step_down()
 
--- a/sparloom/consensus/message_handlers.py
+++ b/sparloom/consensus/message_handlers.py
@@ -7,18 +7,18 @@
     Activate,
     Activated,
     Copy,
+    CopyAck,
     Heartbeat,
     HeartbeatAck,
     Hello,
     Join,
-    Kept,
     Leave,
+    Prepare,
     PreVote,
     PreVoteAnswer,
     Promise,
     Released,
-    Seek,
-    Yield,
+    TransferLeadership,
 )
 
 
@@ -37,7 +37,7 @@
 
 
 @take.register
-def _(record: Seek, ledger):
+def _(record: Prepare, ledger):
     replica = ledger.replica
     if replica.outdated(record.epoch) or (ledger.hears_primary() and not record.forced):
         return [Send(record.candidate, replica.answer(record.epoch, False, ledger.register))]
@@ -105,7 +105,7 @@
 
 
 @take.register
-def _(record: Yield, ledger):
+def _(record: TransferLeadership, ledger):
     if record.leaving:
         ledger.membership.leave(record.sender, ledger.now)
     ledger.learn(record.view)
@@ -122,7 +122,7 @@
 
 
 @take.register
-def _(record: Kept, ledger):
+def _(record: CopyAck, ledger):
     ledger.highest_epoch = max(ledger.highest_epoch, record.promised)
     return ledger.leadership.on_kept(record) if ledger.leadership else []
 
--- a/sparloom/consensus/reconfiguration.py
+++ b/sparloom/consensus/reconfiguration.py
@@ -4,7 +4,7 @@
 
 from attrs import define, field
 
-from .actions import NEVER, Left, Send
+from .actions import NEVER, LeaveCompleted, Send
 from .records import Leave
 
 
@@ -150,4 +150,4 @@
     def release(self):
         """This member may end."""
         self.released = True
-        return [Left()]
+        return [LeaveCompleted()]
--- a/sparloom/consensus/records.py
+++ b/sparloom/consensus/records.py
@@ -171,7 +171,7 @@
 
 
 @record(45)
-class Seek(Record):
+class Prepare(Record):
     """Promise me this epoch."""
 
     candidate: Member
@@ -207,7 +207,7 @@
 
 
 @record(42)
-class Kept(Record):
+class CopyAck(Record):
     """It is on my disk."""
 
     sender: UInt64
@@ -238,7 +238,7 @@
 
 
 @record(49)
-class Yield(Record):
+class TransferLeadership(Record):
     """Take over. ``leaving``: the sender is about to end. ``view``: the newest active one.
 
     The receiver holds that view's data; it may not have marked the view itself.
--- a/sparloom/consensus/replica.py
+++ b/sparloom/consensus/replica.py
@@ -3,7 +3,7 @@
 from attrs import define, evolve
 
 from .actions import Save, Send
-from .records import Activated, Data, Kept, PreVoteAnswer, Promise, Register
+from .records import Activated, CopyAck, Data, PreVoteAnswer, Promise, Register
 
 
 def primary_of(view):
@@ -98,7 +98,7 @@
     def refuse_copy(self, record):
         """A later epoch was promised."""
         view, number = record.view, record.data.number
-        return Send(primary_of(view), Kept(self.member.id, view.epoch, number, False, self.register.promised))
+        return Send(primary_of(view), CopyAck(self.member.id, view.epoch, number, False, self.register.promised))
 
     def newer_copy(self, record):
         """Whether a copy is no older than the one held of the same epoch."""
@@ -110,5 +110,5 @@
         self.promise(view.epoch)
         self.data = record.data
         self.hold(view.epoch)
-        done = Kept(self.member.id, view.epoch, record.data.number, True, view.epoch)
+        done = CopyAck(self.member.id, view.epoch, record.data.number, True, view.epoch)
         return self.save(Send(primary_of(view), done), data=record.data)
--- a/sparloom/controller/change_requests.py
+++ b/sparloom/controller/change_requests.py
@@ -14,7 +14,7 @@
 
 
 @define(frozen=True, slots=True)
-class Order:
+class ChangeRequest:
     """A change that an operator asks for; ``change`` is a whole configuration (PUT) or an edit (PATCH)."""
 
     method: str
@@ -26,7 +26,7 @@
     def revision(self):
         """The number that the operator gave the change.
 
-        >>> read_order("PATCH", "1", b'{"revision": 4}').unwrap().revision
+        >>> parse_change_request("PATCH", "1", b'{"revision": 4}').unwrap().revision
         4
         """
         return self.change["revision"]
@@ -34,7 +34,7 @@
     def same_as(self, other):
         """Whether this is the other order, sent again.
 
-        >>> a, b = (read_order("PATCH", base, b'{"revision": 4}').unwrap() for base in "12")
+        >>> a, b = (parse_change_request("PATCH", base, b'{"revision": 4}').unwrap() for base in "12")
         >>> a.same_as(a), a.same_as(b)
         (True, False)
         """
@@ -66,12 +66,12 @@
     return int(digits) if digits.isascii() and digits.isdigit() and len(digits) <= MOST_DIGITS else None
 
 
-def read_order(method, if_match, body) -> Result:
+def parse_change_request(method, if_match, body) -> Result:
     """Reads an order. A failure names a fault that lies in the order alone, whatever the state.
 
-    >>> read_order("PUT", "0", b'{"revision": 1}').unwrap().base
+    >>> parse_change_request("PUT", "0", b'{"revision": 1}').unwrap().base
     0
-    >>> read_order("PUT", "", b"{}").failure()
+    >>> parse_change_request("PUT", "", b"{}").failure()
     'If-Match must name the revision that this builds on'
     """
     base = _base(if_match)
@@ -91,7 +91,7 @@
         if not is_successful(whole):
             return whole
     try:
-        return Success(Order(method, base, change, fingerprint(method, base, change)))
+        return Success(ChangeRequest(method, base, change, fingerprint(method, base, change)))
     except RecursionError:
         return Failure("the body is nested too deeply")
 
@@ -111,11 +111,11 @@
     """What becomes of an order upon a decided state.
 
     >>> from .control_state import State
-    >>> order = read_order("PUT", "0", b'{"revision": 3}').unwrap()
+    >>> order = parse_change_request("PUT", "0", b'{"revision": 3}').unwrap()
     >>> first = judge(State({}), order)
     >>> first.verdict.name, judge(first.state, order).verdict.name
     ('NEW', 'TAKEN')
-    >>> judge(first.state, read_order("PUT", "0", b'{"revision": 4}').unwrap()).verdict.name
+    >>> judge(first.state, parse_change_request("PUT", "0", b'{"revision": 4}').unwrap()).verdict.name
     'STALE'
     """
     if _was_taken(state, order):
--- a/sparloom/controller/consensus_service.py
+++ b/sparloom/controller/consensus_service.py
@@ -13,30 +13,30 @@
 from sparloom.consensus import (
     CONTROLLERS,
     SEEDS,
-    Confirmed,
-    Decided,
-    Ledger,
-    Left,
-    Lost,
+    Aborted,
+    Committed,
+    ConsensusMember,
+    ConsensusTiming,
+    LeaveCompleted,
     Member,
+    ReadConfirmed,
     Save,
     Send,
-    Spans,
     founder_id,
 )
 from sparloom.consensus.records import Copy
-from sparloom.membership import CONTROLLER, Ack, Compare, Peer, Ping, PingRequest, Swim, Times
+from sparloom.membership import CONTROLLER, Ack, Peer, Ping, PingRequest, Swim, SwimTiming, TableComparison
 from sparloom.settings import Address
-from sparloom.transport import Datagrams, Frames, bind, dial, steady
+from sparloom.transport import Datagrams, Frames, bind, dial, monotonic
 
-from .durable_writer import Disk
-from .prefix_snapshots import Remember
+from .durable_writer import DurableWriter
+from .prefix_snapshots import PrefixSnapshots
 
 TICK = timedelta(milliseconds=40)
 COPIES_IN_LINE = 4
 
 
-class Core(Service):
+class ConsensusService(Service):
     """One controller's place among the others."""
 
     def __init__(self, up, serve_pipe, news):
@@ -55,7 +55,7 @@
 
     async def on_start(self):
         up, loop, rng = self.up, asyncio.get_running_loop(), random.Random()
-        self.disk = Disk(up.data, loop, self._saved, self._failed)
+        self.disk = DurableWriter(up.data, loop, self._saved, self._failed)
         kept = await self.disk.load()
         # A disk that held something unreadable may have promised something: its machine is no founder.
         first_start = up.first_start and not self.disk.set_aside
@@ -63,12 +63,14 @@
         id = kept[0].id if kept else self._new_id(genesis if first_start else ())
         control = str(up.listen.control or "")
         me = Member(id, up.ip, self.port, up.zone, control)
-        spans = Spans.of(up.bounds.contact)
+        spans = ConsensusTiming.of(up.bounds.contact)
         copies = up.tolerated.copies
-        self.ledger = Ledger.start(me, kept, first_start, spans, rng, copies, genesis, steady())
+        self.ledger = ConsensusMember.start(me, kept, first_start, spans, rng, copies, genesis, monotonic())
         peer = Peer(self.key, CONTROLLER, up.zone, control, int.from_bytes(os.urandom(7)), 0, 0)
-        self.swim = Swim(peer, self.seeds, Times.of(up.bounds.contact), rng)
-        self.prefixes = Remember(up.data, lambda to, rec: self.net.send(to, rec), up.bounds.contact.total_seconds() / 2)
+        self.swim = Swim(peer, self.seeds, SwimTiming.of(up.bounds.contact), rng)
+        self.prefixes = PrefixSnapshots(
+            up.data, lambda to, rec: self.net.send(to, rec), up.bounds.contact.total_seconds() / 2
+        )
         self.prefixes.load()
         self.net = await Datagrams.open(up.ip, self.port, self._arrive)
         await self.add_runtime_dependency(self.prefixes)
@@ -94,7 +96,7 @@
     @Service.task
     async def _beat(self):
         while not self.should_stop:
-            now = steady()
+            now = monotonic()
             self._act(self.ledger.tick(now))
             for s in self.swim.tick(now):
                 self.net.send(s.to, s.rec)
@@ -102,11 +104,11 @@
 
     # -- messages in --------------------------------------------------------
     def _arrive(self, src, rec):
-        if isinstance(rec, (Ping, Ack, PingRequest, Compare)):
-            for s in self.swim.receive(steady(), src, rec):
+        if isinstance(rec, (Ping, Ack, PingRequest, TableComparison)):
+            for s in self.swim.receive(monotonic(), src, rec):
                 self.net.send(s.to, s.rec)
         elif not self.prefixes.arrive(src, rec) and not isinstance(rec, Copy):
-            self._act(self.ledger.receive(steady(), rec))
+            self._act(self.ledger.receive(monotonic(), rec))
 
     async def _pipe(self, reader, writer):
         frames = Frames(reader, writer)
@@ -124,7 +126,7 @@
 
     async def _copies(self, frames, rec):
         while True:
-            self._act(self.ledger.receive(steady(), rec))
+            self._act(self.ledger.receive(monotonic(), rec))
             rec = await frames.read()
             if not isinstance(rec, Copy):
                 return
@@ -143,20 +145,20 @@
         self.disk.put(action)
 
     @_do.register
-    def _(self, action: Decided):
+    def _(self, action: Committed):
         self.news(action.data)
         self._answer(action.id, action.data)
 
     @_do.register
-    def _(self, action: Confirmed):
+    def _(self, action: ReadConfirmed):
         self._answer(action.id, action.data)
 
     @_do.register
-    def _(self, action: Lost):
+    def _(self, action: Aborted):
         self._answer(action.id, None)
 
     @_do.register
-    def _(self, action: Left):
+    def _(self, action: LeaveCompleted):
         self.left.set()
 
     @_do.register
@@ -178,7 +180,7 @@
         if key != self.key:
             self.net.send(key, record)
             return
-        asyncio.get_running_loop().call_soon(lambda: self._act(self.ledger.receive(steady(), record)))
+        asyncio.get_running_loop().call_soon(lambda: self._act(self.ledger.receive(monotonic(), record)))
 
     def _send_copy(self, to, copy):
         """Puts a copy in line for a member's connection; the newest few are kept."""
@@ -209,10 +211,10 @@
 
     def _saved(self, saves):
         for save in saves:
-            self._act(self.ledger.saved(steady(), save))
+            self._act(self.ledger.saved(monotonic(), save))
 
     def _failed(self):
-        self._act(self.ledger.save_failed(steady()))
+        self._act(self.ledger.save_failed(monotonic()))
 
     # -- asked from within --------------------------------------------------
     def _answer(self, call, value):
@@ -239,15 +241,15 @@
 
     async def confirm(self, wait):
         """The data, if this member was the primary after the call began; else None."""
-        return await self._ask(lambda id: self.ledger.read(steady(), id), wait)
+        return await self._ask(lambda id: self.ledger.read(monotonic(), id), wait)
 
     async def write(self, revision, blob, wait):
         """The data once it is on every copy; None when that isn't known."""
-        return await self._ask(lambda id: self.ledger.write(steady(), id, revision, blob), wait)
+        return await self._ask(lambda id: self.ledger.write(monotonic(), id, revision, blob), wait)
 
     async def leave(self, bound):
         """Moves this member's copy and vote to others; returns once that is done, or at the bound."""
-        self._act(self.ledger.leave(steady()))
+        self._act(self.ledger.leave(monotonic()))
         try:
             async with asyncio.timeout(bound.total_seconds()):
                 await self.left.wait()
--- a/sparloom/controller/control_api.py
+++ b/sparloom/controller/control_api.py
@@ -14,12 +14,12 @@
 from returns.pipeline import is_successful
 from returns.result import Failure, Success
 
-from sparloom.feed import POLICY, RUNNERS
+from sparloom.feed import CONFIGURATION, ENDPOINTS
 from sparloom.membership import ROUTER
-from sparloom.metrics.reporter import figures
-from sparloom.transport import bind, steady
+from sparloom.metrics.reporter import process_figures
+from sparloom.transport import bind, monotonic
 
-from .change_requests import Verdict, judge, read_order
+from .change_requests import Verdict, judge, parse_change_request
 from .control_state import State, json_text
 
 PATH = "/-/configuration"
@@ -91,7 +91,7 @@
 
 
 @define(frozen=True, slots=True)
-class Tree:
+class HandlerTable:
     """A tree of matchers: path, then method."""
 
     paths: dict
@@ -99,7 +99,7 @@
     def find(self, method, path):
         """The handler, or the status that says why there is none.
 
-        >>> Tree({"/a": {"GET": 1}}).find("GET", "/a"), Tree({"/a": {}}).find("GET", "/a"), Tree({}).find("GET", "/a")
+        >>> HandlerTable({"/a": {"GET": 1}}).find("GET", "/a"), HandlerTable({"/a": {}}).find("GET", "/a"), HandlerTable({}).find("GET", "/a")
         (1, 405, 404)
         """
         node = self.paths.get(path)
@@ -115,11 +115,11 @@
     @classmethod
     def after_body(cls, length):
         """The deadline of a call whose body of that length was just read."""
-        return cls(steady() + ANSWER_WITHIN + ANSWER_WITHIN_PER_MIB * (length / (1 << 20)))
+        return cls(monotonic() + ANSWER_WITHIN + ANSWER_WITHIN_PER_MIB * (length / (1 << 20)))
 
     def left(self):
         """How much time is left; never less than none."""
-        return max(timedelta(0), self.at - steady())
+        return max(timedelta(0), self.at - monotonic())
 
 
 @define(frozen=True, slots=True)
@@ -141,7 +141,7 @@
     outcome: asyncio.Task
 
 
-class Control(Service):
+class ControlApi(Service):
     """The control address."""
 
     def __init__(self, settings, core, shop):
@@ -149,7 +149,7 @@
         self.settings, self.core, self.shop = settings, core, shop
         self.decided = None
         self.writing = None
-        self.tree = Tree(
+        self.tree = HandlerTable(
             {
                 PATH: {"PUT": self._change, "PATCH": self._change, "GET": self._get},
                 "/-/beliefs": {"GET": self._beliefs},
@@ -174,7 +174,7 @@
         self.decided = self._snapshot(data)
         state = self.decided.state
         if state.revision:
-            self.shop.renew(POLICY, data.stamp, state.policy)
+            self.shop.renew(CONFIGURATION, data.stamp, state.policy)
 
     def _snapshot(self, data):
         """The state in some data; it is unpacked once only."""
@@ -259,7 +259,7 @@
         body = body.unwrap()
         deadline = Deadline.after_body(len(body))
         if_match = request.headers.get("If-Match", "")
-        order = await run(len(body) > LARGE_BYTES, read_order, request.method, if_match, body)
+        order = await run(len(body) > LARGE_BYTES, parse_change_request, request.method, if_match, body)
         if not is_successful(order):
             return fault(400, order.failure())
         return await self._settle(request, order.unwrap(), deadline)
@@ -326,15 +326,15 @@
     # -- looking inside -----------------------------------------------------
     async def _beliefs(self, request):
         ledger = self.core.ledger
-        view, policy, listed = ledger.view, self.shop.held(POLICY), self.shop.held(RUNNERS)
+        view, policy, listed = ledger.view, self.shop.held(CONFIGURATION), self.shop.held(ENDPOINTS)
         return reply(
             200,
             {
                 "node": self.settings.node,
                 "role": "controller",
                 "key": self.core.key,
-                "policy": list(self.shop.shelf.stamp(POLICY)),
-                "runners": list(self.shop.shelf.stamp(RUNNERS)),
+                "policy": list(self.shop.shelf.stamp(CONFIGURATION)),
+                "runners": list(self.shop.shelf.stamp(ENDPOINTS)),
                 "revision": policy["revision"] if policy else 0,
                 "fleet": {r.id: "draining" if r.draining else "ready" for r in listed.runners} if listed else {},
                 "members": {
@@ -350,6 +350,6 @@
                 },
                 "leading": ledger.leading(),
                 "sureMs": self.shop.sureness(),
-                "meter": figures(),
+                "meter": process_figures(),
             },
         )
--- a/sparloom/controller/durable_writer.py
+++ b/sparloom/controller/durable_writer.py
@@ -16,7 +16,7 @@
 STOP_POLLS = 100
 
 
-class Disk:
+class DurableWriter:
     """A thread with the store; ``done`` and ``failed`` are called in the event loop.
 
     Saves reach the disk in the order of asking. One that fails is kept and
--- a/sparloom/controller/endpoint_poller.py
+++ b/sparloom/controller/endpoint_poller.py
@@ -6,15 +6,15 @@
 from absl import logging
 from mode import Service
 
-from sparloom.discovery import Pace, Pages, RunnerList, read_page
-from sparloom.feed import RUNNERS
-from sparloom.transport import steady
+from sparloom.discovery import EndpointList, PageAssembler, PollSchedule, read_page
+from sparloom.feed import ENDPOINTS
+from sparloom.transport import monotonic
 from sparloom.transport.http_client import Connector, open_session
 
 NOT_PRIMARY_PAUSE = 0.05
 
 
-class Poller(Service):
+class EndpointPoller(Service):
     """Polls within the rate while this controller is the primary.
 
     Every page belongs to one epoch: that in which it was asked for. When the
@@ -28,7 +28,7 @@
         super().__init__()
         self.up, self.core, self.shop, self.crowd = up, core, shop, crowd
         self.last, self.epoch, self.number = None, 0, 0
-        self.pages, self.session, self.grumbled = Pages(), None, False
+        self.pages, self.session, self.grumbled = PageAssembler(), None, False
 
     async def on_stop(self):
         if self.session:
@@ -44,18 +44,18 @@
         cloud = self.up.cloud
         if cloud is None:
             return
-        pace = Pace.of(cloud.rate, self.up.bounds.drain)
+        pace = PollSchedule.of(cloud.rate, self.up.bounds.drain)
         while not self.should_stop:
             epoch = self.primary_epoch()
             self.enter(epoch)
             if epoch is None:
                 await asyncio.sleep(NOT_PRIMARY_PAUSE)
                 continue
-            await asyncio.sleep(max(0.0, (pace.next - steady()).total_seconds()))
+            await asyncio.sleep(max(0.0, (pace.next - monotonic()).total_seconds()))
             if self.primary_epoch() != epoch:
                 continue
-            pace.begun = max(pace.begun, steady()) if self.pages.token is None else pace.begun
-            pace.done(steady(), *await self.call(cloud, epoch))
+            pace.begun = max(pace.begun, monotonic()) if self.pages.token is None else pace.begun
+            pace.done(monotonic(), *await self.call(cloud, epoch))
 
     def enter(self, epoch):
         """Notes the epoch of this controller's duty; None while it has none.
@@ -63,15 +63,15 @@
         Numbers go on within an epoch and start anew with the next one.
         """
         if epoch is None:
-            self.last, self.pages = None, Pages()
+            self.last, self.pages = None, PageAssembler()
         elif epoch != self.epoch:
-            self.epoch, self.number, self.last, self.pages = epoch, 0, None, Pages()
+            self.epoch, self.number, self.last, self.pages = epoch, 0, None, PageAssembler()
 
     async def call(self, cloud, epoch):
         """Asks for one page; tells whether more pages follow, and whether the call was over the rate."""
         status, document = await self._ask(cloud)
         if self.primary_epoch() != epoch:
-            self.pages = Pages()
+            self.pages = PageAssembler()
             return False, False
         if status == 429:
             return False, True
@@ -104,15 +104,15 @@
         """The round has failed: the next call asks for the first page again."""
         if not self.grumbled:
             logging.warning("platform: no list (%s).", why)
-        self.grumbled, self.pages = True, Pages()
+        self.grumbled, self.pages = True, PageAssembler()
 
     def _take(self, page):
         """Adds a page; publishes the list after the last one. Whether more pages follow."""
         whole = self.pages.add(*page)
         if whole is None:
             return True
-        whole = RunnerList(whole.runners, self.crowd())
+        whole = EndpointList(whole.runners, self.crowd())
         if whole.news_against(self.last):
             self.last, self.number = whole, self.number + 1
-            self.shop.renew(RUNNERS, (self.epoch, self.number), whole)
+            self.shop.renew(ENDPOINTS, (self.epoch, self.number), whole)
         return False
--- a/sparloom/controller/feed_server.py
+++ b/sparloom/controller/feed_server.py
@@ -6,25 +6,34 @@
 from mode import Service
 
 from sparloom.codec import DecodeError
-from sparloom.feed import POLICY, TOPICS, UNSURE, Change, Follow, Pulse, Shelf, Tracker
+from sparloom.feed import (
+    CONFIGURATION,
+    TOPICS,
+    UNCONFIRMED,
+    Change,
+    FeedHeartbeat,
+    SourceTracker,
+    Subscribe,
+    VersionedStore,
+)
 from sparloom.feed import payload as news
-from sparloom.feed.serving import MS, Bell, serve
-from sparloom.transport import DialPatience, steady
+from sparloom.feed.serving import MS, ChangeSignal, serve_follower
+from sparloom.transport import DialTimeout, monotonic
 
 
-class Shop(Service):
+class FeedServer(Service):
     """The newest states, for all who follow."""
 
     def __init__(self, up):
         super().__init__()
         self.up, self.core = up, None
-        self.shelf = Shelf()
-        self.bell, self.afresh = Bell(), set()
+        self.shelf = VersionedStore()
+        self.bell, self.afresh = ChangeSignal(), set()
         self.told = news.ZERO
         con = up.bounds.contact
         self.pulse, self.patience = con / 10, con / 3
-        self.tracker = Tracker(con / 3, con / 3)
-        self.dialing = DialPatience(con / 40, con / 5)
+        self.tracker = SourceTracker(con / 3, con / 3)
+        self.dialing = DialTimeout(con / 40, con / 5)
 
     def put(self, topic, stamp, blob, step=None):
         """Takes a newer state and rings."""
@@ -34,21 +43,21 @@
     def held(self, topic):
         """The state on the shelf, or None."""
         item = self.shelf.items.get(topic)
-        return item and news.read(topic, item.blob)
+        return item and news.decode_payload(topic, item.blob)
 
     def renew(self, topic, stamp, state):
         """Puts a newer state on the shelf, with the step that leads to it where that is shorter."""
         if stamp > self.shelf.stamp(topic):
-            blob, old = news.whole(topic, state), self.held(topic)
-            self.put(topic, stamp, blob, old and news.step(topic, old, state, len(blob)))
+            blob, old = news.encode_state(topic, state), self.held(topic)
+            self.put(topic, stamp, blob, old and news.encode_delta(topic, old, state, len(blob)))
 
     def sureness(self):
         """ms since the primary was last confirmed, as known here."""
-        now, led = steady(), self.core.ledger
+        now, led = monotonic(), self.core.ledger
         age = led.sure_since(now) if led.leading() else self.tracker.known(now)
-        return UNSURE if age is None else max(0, min(UNSURE - 1, int(age / MS)))
+        return UNCONFIRMED if age is None else max(0, min(UNCONFIRMED - 1, int(age / MS)))
 
-    # What ``serve`` asks: pulses of the primary are passed on when they come.
+    # What ``serve_follower`` asks: pulses of the primary are passed on when they come.
     pulse_age = sureness
 
     def open(self):
@@ -61,12 +70,12 @@
 
     def newest_policy(self):
         """The stamp of the newest policy that this controller has or has heard of."""
-        return max(self.told, self.shelf.stamp(POLICY))
+        return max(self.told, self.shelf.stamp(CONFIGURATION))
 
     async def serve(self, frames, first):
         """Serves one follower until its pipe ends."""
-        if isinstance(first, Follow):
-            await serve(frames, first.place, self)
+        if isinstance(first, Subscribe):
+            await serve_follower(frames, first.place, self)
 
     @Service.task
     async def _follow(self):
@@ -85,12 +94,12 @@
         frames = await self.dialing.dial(to.host, to.port)
         try:
             await frames.write(self.shelf.follow(self.up.node, self.afresh))
-            self.tracker.start(steady())
+            self.tracker.start(monotonic())
             while self.core.ledger.primary() == to:
                 async with asyncio.timeout(self.tracker.silence.total_seconds()):
                     rec = await frames.read()
-                if isinstance(rec, Pulse):
-                    self.tracker.pulse(steady(), rec.age, rec.sent)
+                if isinstance(rec, FeedHeartbeat):
+                    self.tracker.pulse(monotonic(), rec.age, rec.sent)
                     self.told = max(self.told, rec.policy)
                     self.bell.ring()
                 elif not isinstance(rec, Change):
@@ -110,8 +119,8 @@
         if not is_whole and c.base != self.shelf.stamp(c.topic):
             return False
         try:
-            state = news.take(c, None if is_whole else self.held(c.topic))
-        except news.Unfit as e:
+            state = news.apply_change(c, None if is_whole else self.held(c.topic))
+        except news.PayloadError as e:
             logging.warning("feed: a change does not fit (%s); the whole is asked for.", e)
             self.afresh.add(c.topic)
             return False
@@ -119,5 +128,5 @@
             self.put(c.topic, c.stamp, c.blob)
             self.afresh.discard(c.topic)
         else:
-            self.put(c.topic, c.stamp, news.whole(c.topic, state), c.blob)
+            self.put(c.topic, c.stamp, news.encode_state(c.topic, state), c.blob)
         return True
--- a/sparloom/controller/prefix_snapshots.py
+++ b/sparloom/controller/prefix_snapshots.py
@@ -6,12 +6,12 @@
 from absl import logging
 from mode import Service
 
-from sparloom.prefix_cache import Memory, Reads, Recall
+from sparloom.prefix_cache import PlacementQuery, PlacementTable, PrefixPlacements
 
 FILE = "prefixes"
 
 
-class Remember(Service):
+class PrefixSnapshots(Service):
     """Takes routers' words, answers those that start, and keeps it all in a file.
 
     It is a hint only: a file that is late, lost or torn costs some reading.
@@ -22,22 +22,22 @@
     def __init__(self, folder, send, pause):
         super().__init__()
         self.path, self.send, self.pause = os.path.join(folder, FILE), send, pause
-        self.memory = Memory()
+        self.memory = PlacementTable()
 
     def load(self):
         """What the disk holds."""
         try:
             with open(self.path, "rb") as f:
-                self.memory = Memory.unpack(f.read())
+                self.memory = PlacementTable.unpack(f.read())
         except OSError:
             pass
         logging.info("prefixes: %d are remembered.", len(self.memory.items))
 
     def arrive(self, src, rec):
         """Takes a router's record; tells whether it was one for the memory."""
-        if isinstance(rec, Reads):
+        if isinstance(rec, PrefixPlacements):
             self.memory.saw(rec.reads)
-        elif isinstance(rec, Recall):
+        elif isinstance(rec, PlacementQuery):
             for a in self.memory.answers():
                 self.send(src, a)
         else:
--- a/sparloom/controller/program.py
+++ b/sparloom/controller/program.py
@@ -7,15 +7,15 @@
 from mode import Service
 
 from sparloom.launch.early_listen import hangup_came
-from sparloom.metrics import interval
-from sparloom.metrics.reporter import Metering
+from sparloom.metrics import report_interval
+from sparloom.metrics.reporter import MetricsReporter
 from sparloom.settings import read
-from sparloom.transport import Watch
+from sparloom.transport import FileWatch
 
-from .consensus_service import Core
-from .control_api import Control
-from .endpoint_poller import Poller
-from .feed_server import Shop
+from .consensus_service import ConsensusService
+from .control_api import ControlApi
+from .endpoint_poller import EndpointPoller
+from .feed_server import FeedServer
 
 # The part of the grace period that a planned leave may take.
 LEAVE_PART = 0.5
@@ -27,19 +27,19 @@
     def __init__(self, up, path):
         super().__init__()
         self.up, self.path = up, path
-        self.watch = Watch(path)
-        self.shop = self.add_dependency(Shop(up))
-        self.core = Core(up, self.shop.serve, lambda d: self.control.news(d))
-        self.control = Control(up, self.core, self.shop)
-        self.poller = Poller(up, self.core, self.shop, self.control.routers)
+        self.watch = FileWatch(path)
+        self.shop = self.add_dependency(FeedServer(up))
+        self.core = ConsensusService(up, self.shop.serve, lambda d: self.control.news(d))
+        self.control = ControlApi(up, self.core, self.shop)
+        self.poller = EndpointPoller(up, self.core, self.shop, self.control.routers)
         self.shop.core = self.core
         self.done = asyncio.Event()
 
     async def on_start(self):
         for s in (self.core, self.control, self.poller):
             await self.add_runtime_dependency(s)
-        if interval():
-            await self.add_runtime_dependency(Metering(self.up.node, interval()))
+        if report_interval():
+            await self.add_runtime_dependency(MetricsReporter(self.up.node, report_interval()))
 
     def reread(self):
         """Reads the startup file again; a bad one is logged and changes nothing."""
--- a/sparloom/discovery/__init__.py
+++ b/sparloom/discovery/__init__.py
@@ -1,5 +1,14 @@
 """The platform's list of runners: polled by one duty holder."""
 
-from .endpoints import Pace, Pages, Runner, RunnerList, RunnerStep, apply_step, read_page, step
+from .endpoints import Endpoint, EndpointDelta, EndpointList, PageAssembler, PollSchedule, apply_delta, delta, read_page
 
-__all__ = ["Pace", "Pages", "Runner", "RunnerList", "RunnerStep", "apply_step", "read_page", "step"]
+__all__ = [
+    "Endpoint",
+    "EndpointDelta",
+    "EndpointList",
+    "PageAssembler",
+    "PollSchedule",
+    "apply_delta",
+    "delta",
+    "read_page",
+]
--- a/sparloom/discovery/endpoints.py
+++ b/sparloom/discovery/endpoints.py
@@ -13,7 +13,7 @@
 
 
 @record(70)
-class Runner(Record):
+class Endpoint(Record):
     """One life of a runner as the platform lists it."""
 
     id: str
@@ -26,27 +26,27 @@
 
 
 @record(71)
-class RunnerList(Record):
+class EndpointList(Record):
     """All runners, ordered by id; ``crowd``: how many routers share them."""
 
-    runners: list[Runner]
+    runners: list[Endpoint]
     crowd: UInt16
 
     def news_against(self, old):
         """Whether anything but the passing of time has changed.
 
-        >>> RunnerList([], 1).news_against(RunnerList([], 1))
+        >>> EndpointList([], 1).news_against(EndpointList([], 1))
         False
         """
         return old is None or self.crowd != old.crowd or [*map(_plain, self.runners)] != [*map(_plain, old.runners)]
 
 
 @record(72)
-class RunnerStep(Record):
+class EndpointDelta(Record):
     """What makes one list of the next: lives that came or changed, and ids that went."""
 
     crowd: UInt16
-    put: list[Runner]
+    put: list[Endpoint]
     gone: list[str]
 
 
@@ -54,30 +54,30 @@
     return evolve(r, cold=int(bool(r.cold)))
 
 
-def step(old, new):
+def delta(old, new):
     """The change from one list to the next; the passing of time is none.
 
-    >>> a = Runner("a", "s", "h:1", "z", 4, False, 0)
-    >>> step(RunnerList([a], 1), RunnerList([], 2))
-    RunnerStep(crowd=2, put=[], gone=['a'])
+    >>> a = Endpoint("a", "s", "h:1", "z", 4, False, 0)
+    >>> delta(EndpointList([a], 1), EndpointList([], 2))
+    EndpointDelta(crowd=2, put=[], gone=['a'])
     """
     was, now = {r.id: r for r in old.runners}, {r.id: r for r in new.runners}
     put = [r for r in new.runners if r.id not in was or _plain(was[r.id]) != _plain(r)]
-    return RunnerStep(new.crowd, put, [i for i in was if i not in now])
+    return EndpointDelta(new.crowd, put, [i for i in was if i not in now])
 
 
-def apply_step(old, change):
+def apply_delta(old, change):
     """The list that a change makes of another.
 
-    >>> apply_step(RunnerList([], 1), RunnerStep(2, [], ["a"]))
-    RunnerList(runners=[], crowd=2)
+    >>> apply_delta(EndpointList([], 1), EndpointDelta(2, [], ["a"]))
+    EndpointList(runners=[], crowd=2)
     """
     rows = {r.id: r for r in old.runners if r.id not in change.gone} | {r.id: r for r in change.put}
-    return RunnerList([rows[k] for k in sorted(rows)], change.crowd)
+    return EndpointList([rows[k] for k in sorted(rows)], change.crowd)
 
 
 def _runner(d):
-    return Runner(
+    return Endpoint(
         d["runnerId"],
         d["service"],
         d["address"],
@@ -105,11 +105,11 @@
 
 
 @define(slots=True)
-class Pages:
+class PageAssembler:
     """Puts a list together from its pages.
 
-    >>> p = Pages(); p.add([], "t"), p.add([], None)
-    (None, RunnerList(runners=[], crowd=0))
+    >>> p = PageAssembler(); p.add([], "t"), p.add([], None)
+    (None, EndpointList(runners=[], crowd=0))
     """
 
     got: list = field(factory=list)
@@ -118,8 +118,8 @@
     def add(self, runners, token):
         """Adds a page; gives the whole list after the last one.
 
-        >>> Pages().add([], None)
-        RunnerList(runners=[], crowd=0)
+        >>> PageAssembler().add([], None)
+        EndpointList(runners=[], crowd=0)
         """
         self.got += runners
         self.token = token
@@ -127,14 +127,14 @@
             return None
         whole = {r.id: r for r in self.got}
         self.got = []
-        return RunnerList([whole[k] for k in sorted(whole)], 0)
+        return EndpointList([whole[k] for k in sorted(whole)], 0)
 
 
 @define(slots=True)
-class Pace:
+class PollSchedule:
     """When the next call may be made: within the rate, and often enough for draining.
 
-    >>> Pace.of(40.0, timedelta(seconds=3)).period
+    >>> PollSchedule.of(40.0, timedelta(seconds=3)).period
     datetime.timedelta(microseconds=750000)
     """
 
@@ -147,7 +147,7 @@
     def of(cls, rate, drain):
         """A pace from the platform's rate and the time that draining may take.
 
-        >>> Pace.of(1.0, timedelta(seconds=1)).period
+        >>> PollSchedule.of(1.0, timedelta(seconds=1)).period
         datetime.timedelta(seconds=2)
         """
         least = timedelta(seconds=2 / rate)
@@ -156,7 +156,7 @@
     def done(self, now, more, hard=False):
         """A call ended: ``more`` pages follow, or it was turned away (``hard``).
 
-        >>> p = Pace.of(40.0, timedelta(seconds=3)); p.done(timedelta(0), True); p.next
+        >>> p = PollSchedule.of(40.0, timedelta(seconds=3)); p.done(timedelta(0), True); p.next
         datetime.timedelta(microseconds=50000)
         """
         if more:
--- a/sparloom/dynamic_timeout/__init__.py
+++ b/sparloom/dynamic_timeout/__init__.py
@@ -1,17 +1,17 @@
 """Timeouts that follow the load: the Faraday dynamic timeout mechanism."""
 
 from .buckets import Bucket, Capacity, Grant, capacity_buckets, pick
-from .counts import Call, Counts, Held, Holding, Read, Slot
+from .counts import Call, InFlightCounts, InFlightReport, InFlightUpdate, PrefixPlacement, Slot
 
 __all__ = [
     "Bucket",
     "Call",
     "Capacity",
-    "Counts",
     "Grant",
-    "Held",
-    "Holding",
-    "Read",
+    "InFlightCounts",
+    "InFlightReport",
+    "InFlightUpdate",
+    "PrefixPlacement",
     "Slot",
     "capacity_buckets",
     "pick",
--- a/sparloom/dynamic_timeout/counts.py
+++ b/sparloom/dynamic_timeout/counts.py
@@ -24,7 +24,7 @@
 
 
 @record(80)
-class Held(Record):
+class InFlightReport(Record):
     """Calls in flight at one resource, of one holder or summed over several.
 
     ``silent``: how many holders hear nothing from it. ``good`` and ``bad``:
@@ -41,7 +41,7 @@
 
 
 @record(82)
-class Read(Record):
+class PrefixPlacement(Record):
     """A long part of a prompt that went to a resource."""
 
     resource: UInt64
@@ -50,15 +50,15 @@
 
 
 @record(81)
-class Holding(Record):
+class InFlightUpdate(Record):
     """All that a holder has in flight, and what it sent to be read since its last word."""
 
     key: str
     life: UInt64
     seq: UInt32
     crowd: UInt16
-    held: list[Held]
-    reads: list[Read]
+    held: list[InFlightReport]
+    reads: list[PrefixPlacement]
 
 
 @define(frozen=True, slots=True)
@@ -93,7 +93,7 @@
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
-        >>> counts = Counts(timedelta(seconds=3))
+        >>> counts = InFlightCounts(timedelta(seconds=3))
         >>> slot = counts.take("r", buckets, start)
         >>> slot.free(start)
         >>> slot.free(start)
@@ -109,7 +109,7 @@
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
-        >>> counts = Counts(timedelta(seconds=3))
+        >>> counts = InFlightCounts(timedelta(seconds=3))
         >>> slot = counts.take("r", buckets, start, tokens=500)
         >>> slot.read(200)
         >>> counts.tokens("r", start)
@@ -129,13 +129,13 @@
 
 
 @define(slots=True)
-class Counts:
+class InFlightCounts:
     """The shared in-flight counts, as one node knows them.
 
     ``shared``: what a tier of relays tells of all others, by resource; None
     where peers tell each other directly.
 
-    >>> c = Counts(timedelta(seconds=3))
+    >>> c = InFlightCounts(timedelta(seconds=3))
     >>> from .buckets import Bucket
     >>> s = c.take("r", [Bucket(timedelta(seconds=1), 1)], timedelta(0))
     >>> c.count("r", timedelta(0)), c.take("r", [Bucket(timedelta(seconds=1), 1)], timedelta(0))
@@ -168,7 +168,7 @@
     def count(self, resource, now):
         """Calls in flight at a resource across all nodes.
 
-        >>> Counts(timedelta(1)).count("r", timedelta(0))
+        >>> InFlightCounts(timedelta(1)).count("r", timedelta(0))
         0
         """
         return self.own.get(resource, 0) + self._told(resource, now, 0)
@@ -176,7 +176,7 @@
     def tokens(self, resource, now):
         """Prompt tokens on their way to a resource and not yet read, across all nodes.
 
-        >>> Counts(timedelta(1)).tokens("r", timedelta(0))
+        >>> InFlightCounts(timedelta(1)).tokens("r", timedelta(0))
         0
         """
         return self.weight.get(resource, 0) + self._told(resource, now, 1)
@@ -184,7 +184,7 @@
     def silent(self, resource, now):
         """How many peers hear nothing from a resource.
 
-        >>> Counts(timedelta(1)).silent("r", timedelta(0))
+        >>> InFlightCounts(timedelta(1)).silent("r", timedelta(0))
         0
         """
         return self._told(resource, now, 2)
@@ -192,7 +192,7 @@
     def outcomes(self, resource, now):
         """What peers saw of late at a resource: good ends, bad ends, how many saw bad ones.
 
-        >>> Counts(timedelta(1)).outcomes("r", timedelta(0))
+        >>> InFlightCounts(timedelta(1)).outcomes("r", timedelta(0))
         (0, 0, 0)
         """
         return tuple(self._told(resource, now, part) for part in (3, 4, 5))
@@ -202,7 +202,7 @@
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
-        >>> counts = Counts(timedelta(seconds=3))
+        >>> counts = InFlightCounts(timedelta(seconds=3))
         >>> counts.take("r", buckets, start).grant.timeout
         datetime.timedelta(seconds=1)
         >>> counts.take("r", buckets, start) is None
@@ -222,7 +222,7 @@
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
-        >>> counts = Counts(timedelta(seconds=3))
+        >>> counts = InFlightCounts(timedelta(seconds=3))
         >>> counts.lighten(counts.take("r", buckets, start, tokens=500), 500)
         >>> counts.tokens("r", start)
         0
@@ -235,7 +235,7 @@
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
-        >>> counts = Counts(timedelta(seconds=3))
+        >>> counts = InFlightCounts(timedelta(seconds=3))
         >>> counts.hook = lambda call: print(call.resource, call.duration)
         >>> counts.release(counts.take("r", buckets, start), start + timedelta(seconds=2))
         r 0:00:02
@@ -256,7 +256,7 @@
     def hear(self, rec, now, names):
         """Takes a peer's word; ``names`` turns a wire number into a resource.
 
-        >>> c = Counts(timedelta(seconds=3)); c.hear(Holding("p", 1, 1, 1, [Held(7, 2, 0, 0, 0, 0, 0)], []), timedelta(0), {7: "r"})
+        >>> c = InFlightCounts(timedelta(seconds=3)); c.hear(InFlightUpdate("p", 1, 1, 1, [InFlightReport(7, 2, 0, 0, 0, 0, 0)], []), timedelta(0), {7: "r"})
         >>> c.count("r", timedelta(0))
         2
         """
@@ -275,7 +275,7 @@
     def called(self, holders, now):
         """Notes holders (key, life) that work though their words come only in sums.
 
-        >>> c = Counts(timedelta(1)); c.called([("p", 1)], timedelta(0)); c.processes(timedelta(0))
+        >>> c = InFlightCounts(timedelta(1)); c.called([("p", 1)], timedelta(0)); c.processes(timedelta(0))
         2
         """
         for h in holders:
@@ -284,7 +284,7 @@
     def drop(self, key, life=None):
         """A holder is known gone: its slots are free.
 
-        >>> Counts(timedelta(1)).drop("p")
+        >>> InFlightCounts(timedelta(1)).drop("p")
         """
         if key in self.peers and (life is None or self.peers[key].life != life):
             del self.peers[key]
@@ -293,7 +293,7 @@
     def processes(self, now, span=timedelta(seconds=60)):
         """How many processes have called within a span, this one included.
 
-        >>> Counts(timedelta(1)).processes(timedelta(0))
+        >>> InFlightCounts(timedelta(1)).processes(timedelta(0))
         1
         """
         self.callers = {k: t for k, t in self.callers.items() if now - t <= span}
--- a/sparloom/event_stream/events.py
+++ b/sparloom/event_stream/events.py
@@ -19,10 +19,10 @@
 
 
 @define(slots=True)
-class Splitter:
+class EventSplitter:
     """Cuts a stream at blank lines.
 
-    >>> s = Splitter(); s.feed(b"id: 1\\n\\nid:"), s.rest
+    >>> s = EventSplitter(); s.feed(b"id: 1\\n\\nid:"), s.rest
     ([b'id: 1\\n\\n'], b'id:')
     """
 
@@ -31,7 +31,7 @@
     def feed(self, raw):
         """Takes bytes; gives the events that are now whole.
 
-        >>> Splitter().feed(b"a\\n\\nb\\n\\n")
+        >>> EventSplitter().feed(b"a\\n\\nb\\n\\n")
         [b'a\\n\\n', b'b\\n\\n']
         """
         raw, out, at = self.rest + raw, [], 0
@@ -43,10 +43,10 @@
 
 
 @define(slots=True)
-class Thread:
+class ResumableStream:
     """Which events have gone to the requester; a later runner's are joined on.
 
-    >>> t = Thread(); t.take(b"id: 1\\n\\n"), t.last
+    >>> t = ResumableStream(); t.take(b"id: 1\\n\\n"), t.last
     (True, '1')
     >>> t.take(b"id: 1\\n\\n"), t.take(b"id: 2\\n\\n"), t.take(b"id: 4\\n\\n"), t.broken
     (False, True, False, True)
@@ -59,7 +59,7 @@
     def take(self, ev):
         """Whether to pass an event on; sets ``broken`` when one is missing.
 
-        >>> Thread().take(b": note\\n\\n")
+        >>> ResumableStream().take(b": note\\n\\n")
         True
         """
         id = event_id(ev)
--- a/sparloom/feed/__init__.py
+++ b/sparloom/feed/__init__.py
@@ -1,6 +1,17 @@
 """News for the data plane: a numbered feed, followed from a place on."""
 
-from .records import POLICY, RUNNERS, TOPICS, UNSURE, Change, Follow, Pulse
-from .store import Item, Shelf, Tracker
+from .records import CONFIGURATION, ENDPOINTS, TOPICS, UNCONFIRMED, Change, FeedHeartbeat, Subscribe
+from .store import SourceTracker, VersionedItem, VersionedStore
 
-__all__ = ["POLICY", "RUNNERS", "TOPICS", "UNSURE", "Change", "Follow", "Item", "Pulse", "Shelf", "Tracker"]
+__all__ = [
+    "CONFIGURATION",
+    "ENDPOINTS",
+    "TOPICS",
+    "UNCONFIRMED",
+    "Change",
+    "FeedHeartbeat",
+    "SourceTracker",
+    "Subscribe",
+    "VersionedItem",
+    "VersionedStore",
+]
--- a/sparloom/feed/records.py
+++ b/sparloom/feed/records.py
@@ -4,12 +4,12 @@
 
 from sparloom.codec import Record, UInt8, UInt32, UInt64, record
 
-POLICY, RUNNERS = TOPICS = (0, 1)
-UNSURE = 0xFFFFFFFF
+CONFIGURATION, ENDPOINTS = TOPICS = (0, 1)
+UNCONFIRMED = 0xFFFFFFFF
 
 
 @record(60)
-class Follow(Record):
+class Subscribe(Record):
     """I am at this place; send what is newer."""
 
     node: str
@@ -21,7 +21,10 @@
     @property
     def place(self):
         """The follower's stamp of each topic."""
-        return {POLICY: (self.policy_epoch, self.policy_number), RUNNERS: (self.runners_epoch, self.runners_number)}
+        return {
+            CONFIGURATION: (self.policy_epoch, self.policy_number),
+            ENDPOINTS: (self.runners_epoch, self.runners_number),
+        }
 
 
 @record(61)
@@ -47,7 +50,7 @@
 
 
 @record(62)
-class Pulse(Record):
+class FeedHeartbeat(Record):
     """The sender's sureness: ms since the primary was last confirmed.
 
     ``sent``: ms of the sender's steady clock. What a later pulse takes longer
--- a/sparloom/feed/serving.py
+++ b/sparloom/feed/serving.py
@@ -3,16 +3,16 @@
 import asyncio
 from datetime import timedelta
 
-from sparloom.feed import Pulse
-from sparloom.transport import steady
+from sparloom.feed import FeedHeartbeat
+from sparloom.transport import monotonic
 
 MS = timedelta(milliseconds=1)
 
 
-class Bell:
+class ChangeSignal:
     """Rings for all who wait at it.
 
-    >>> Bell().event.is_set()
+    >>> ChangeSignal().event.is_set()
     False
     """
 
@@ -22,13 +22,13 @@
     def ring(self):
         """Wakes all that wait now.
 
-        >>> Bell().ring()
+        >>> ChangeSignal().ring()
         """
         self.event.set()
         self.event = asyncio.Event()
 
 
-async def serve(frames, place, src):
+async def serve_follower(frames, place, src):
     """Brings a follower up from its place and keeps it so, until ``src.open()`` ends or it stops reading.
 
     ``src``: ``shelf``, ``bell``, ``period()`` between pulses, ``pulse_age()`` in ms,
@@ -44,7 +44,7 @@
         await frames.write(rec, src.patience)
 
     async def pulse():
-        await write(Pulse(*src.newest_policy(), src.pulse_age(), int(steady() / MS)))
+        await write(FeedHeartbeat(*src.newest_policy(), src.pulse_age(), int(monotonic() / MS)))
 
     await pulse()
     while src.open():
--- a/sparloom/feed/store.py
+++ b/sparloom/feed/store.py
@@ -4,19 +4,19 @@
 
 from attrs import define, field
 
-from .records import POLICY, RUNNERS, UNSURE, Change, Follow
+from .records import CONFIGURATION, ENDPOINTS, UNCONFIRMED, Change, Subscribe
 
 ZERO = (0, 0)
 
 
 @define(slots=True)
-class Item:
+class VersionedItem:
     """A topic's newest state, and the small changes that led to it.
 
     ``made``: the whole state's bytes, or a function that makes them when they
     are first asked for. ``size``: their size when last known.
 
-    >>> Item((1, 1), lambda: b"x").blob
+    >>> VersionedItem((1, 1), lambda: b"x").blob
     b'x'
     """
 
@@ -29,7 +29,7 @@
     def blob(self):
         """The whole state's bytes.
 
-        >>> Item((1, 1), b"x").blob
+        >>> VersionedItem((1, 1), b"x").blob
         b'x'
         """
         if callable(self.made):
@@ -50,13 +50,13 @@
 
 
 @define(slots=True)
-class Shelf:
+class VersionedStore:
     """The newest state of each topic; it never goes back a stamp.
 
     Steps are kept while they are together smaller than the whole state, and
     ``keep`` at most.
 
-    >>> s = Shelf(); s.put(POLICY, (1, 1), b"x"), s.put(POLICY, (1, 1), b"y")
+    >>> s = VersionedStore(); s.put(CONFIGURATION, (1, 1), b"x"), s.put(CONFIGURATION, (1, 1), b"y")
     (True, False)
     """
 
@@ -66,7 +66,7 @@
     def stamp(self, topic):
         """The stamp held of a topic.
 
-        >>> Shelf().stamp(RUNNERS)
+        >>> VersionedStore().stamp(ENDPOINTS)
         (0, 0)
         """
         return self.items[topic].stamp if topic in self.items else ZERO
@@ -76,7 +76,7 @@
 
         ``blob``: the whole state's bytes, or a function that makes them.
 
-        >>> Shelf().put(RUNNERS, (0, 0), b"")
+        >>> VersionedStore().put(ENDPOINTS, (0, 0), b"")
         False
         """
         old = self.items.get(topic)
@@ -84,14 +84,14 @@
             return False
         size = old.size if callable(blob) and old else 0 if callable(blob) else len(blob)
         steps = _tail((*old.steps, (old.stamp, stamp, step))[-self.keep :], size) if old and step is not None else ()
-        self.items[topic] = Item(stamp, blob, steps, size)
+        self.items[topic] = VersionedItem(stamp, blob, steps, size)
         return True
 
     def lacking(self, place):
         """The changes that bring a follower up from its place.
 
-        >>> s = Shelf(); _ = s.put(POLICY, (1, 1), b"a"); _ = s.put(POLICY, (1, 2), b"ab", b"+b")
-        >>> [(c.blob, c.base) for c in s.lacking({POLICY: (1, 1)})], [c.blob for c in s.lacking({})]
+        >>> s = VersionedStore(); _ = s.put(CONFIGURATION, (1, 1), b"a"); _ = s.put(CONFIGURATION, (1, 2), b"ab", b"+b")
+        >>> [(c.blob, c.base) for c in s.lacking({CONFIGURATION: (1, 1)})], [c.blob for c in s.lacking({})]
         ([(b'+b', (1, 1))], [b'ab'])
         """
         return [c for t in sorted(self.items) for c in self._lacking(t, place.get(t, ZERO))]
@@ -108,7 +108,7 @@
     def lacks(self, place):
         """Whether there is news for a follower at this place.
 
-        >>> s = Shelf(); _ = s.put(POLICY, (1, 1), b"a"); s.lacks({}), s.lacks({POLICY: (1, 1)})
+        >>> s = VersionedStore(); _ = s.put(CONFIGURATION, (1, 1), b"a"); s.lacks({}), s.lacks({CONFIGURATION: (1, 1)})
         (True, False)
         """
         return any(it.stamp > place.get(t, ZERO) for t, it in self.items.items())
@@ -116,15 +116,15 @@
     def follow(self, node, afresh=()):
         """The record with which to start following; topics of ``afresh`` are asked for whole.
 
-        >>> Shelf().follow("r").place
+        >>> VersionedStore().follow("r").place
         {0: (0, 0), 1: (0, 0)}
         """
-        at = {t: ZERO if t in afresh else self.stamp(t) for t in (POLICY, RUNNERS)}
-        return Follow(node, *at[POLICY], *at[RUNNERS])
+        at = {t: ZERO if t in afresh else self.stamp(t) for t in (CONFIGURATION, ENDPOINTS)}
+        return Subscribe(node, *at[CONFIGURATION], *at[ENDPOINTS])
 
 
 @define(slots=True)
-class Tracker:
+class SourceTracker:
     """A follower's judgement of the one that it follows.
 
     Silence, or word that the other itself is cut from the primary, sends the
@@ -143,7 +143,7 @@
     def start(self, now):
         """Another one is followed.
 
-        >>> Tracker(timedelta(1), timedelta(1)).start(timedelta(0))
+        >>> SourceTracker(timedelta(1), timedelta(1)).start(timedelta(0))
         """
         self.since = self.heard = now
         self.age, self.pulses, self.offset = None, 0, None
@@ -151,7 +151,7 @@
     def pulse(self, now, ms, sent=None):
         """A pulse came; ``sent``: ms of the sender's clock, by which delay on the way is seen.
 
-        >>> t = Tracker(timedelta(1), timedelta(1)); S = timedelta(seconds=1)
+        >>> t = SourceTracker(timedelta(1), timedelta(1)); S = timedelta(seconds=1)
         >>> t.pulse(9 * S, 5, 1000), t.pulse(11 * S, 5, 2000), t.age
         (None, None, datetime.timedelta(seconds=1, microseconds=5000))
         """
@@ -162,7 +162,7 @@
             way = now - timedelta(milliseconds=sent)
             self.offset = way if self.offset is None else min(way, self.offset)
             lag = way - self.offset
-        self.age = None if ms == UNSURE else timedelta(milliseconds=ms) + lag
+        self.age = None if ms == UNCONFIRMED else timedelta(milliseconds=ms) + lag
         if self.age is not None:
             at = now - self.age
             self.confirmed = at if self.confirmed is None else max(at, self.confirmed)
@@ -170,14 +170,14 @@
     def change(self, now):
         """A change came.
 
-        >>> Tracker(timedelta(1), timedelta(1)).change(timedelta(0))
+        >>> SourceTracker(timedelta(1), timedelta(1)).change(timedelta(0))
         """
         self.heard = now
 
     def sureness(self, now):
         """How old the sureness of the one followed is, or None.
 
-        >>> Tracker(timedelta(1), timedelta(1)).sureness(timedelta(0)) is None
+        >>> SourceTracker(timedelta(1), timedelta(1)).sureness(timedelta(0)) is None
         True
         """
         return None if self.age is None else self.age + (now - self.heard)
@@ -185,7 +185,7 @@
     def known(self, now):
         """How long ago the primary was confirmed, by whatever was ever heard, or None.
 
-        >>> t = Tracker(timedelta(1), timedelta(1)); t.pulse(timedelta(0), 0); t.start(timedelta(1)); t.known(timedelta(2))
+        >>> t = SourceTracker(timedelta(1), timedelta(1)); t.pulse(timedelta(0), 0); t.start(timedelta(1)); t.known(timedelta(2))
         datetime.timedelta(days=2)
         """
         return None if self.confirmed is None else max(timedelta(0), now - self.confirmed)
@@ -193,7 +193,7 @@
     def due(self, now, first=None):
         """How long until silence or age may send the follower on; ``first``: bound for the first pulse.
 
-        >>> t = Tracker(timedelta(seconds=1), timedelta(seconds=1)); t.start(timedelta(0)); t.due(timedelta(0))
+        >>> t = SourceTracker(timedelta(seconds=1), timedelta(seconds=1)); t.start(timedelta(0)); t.due(timedelta(0))
         datetime.timedelta(seconds=1, microseconds=1000)
         """
         ends = [self.heard + self.silence]
@@ -208,7 +208,7 @@
     def move_on(self, now):
         """Whether to try another one.
 
-        >>> t = Tracker(timedelta(seconds=1), timedelta(seconds=1)); t.start(timedelta(0)); t.move_on(timedelta(seconds=2))
+        >>> t = SourceTracker(timedelta(seconds=1), timedelta(seconds=1)); t.start(timedelta(0)); t.move_on(timedelta(seconds=2))
         True
         """
         if now - self.heard > self.silence:
--- a/sparloom/load_balancing/__init__.py
+++ b/sparloom/load_balancing/__init__.py
@@ -1,6 +1,6 @@
 """Which runner gets a request: where the prompt's parts are likely kept, within bounds of load."""
 
-from .cached_prefixes import Kept, parse_parts
-from .rank import Standing, Weights, choose, heavy, lean
+from .cached_prefixes import CachedPrefixes, parse_parts
+from .rank import Candidate, Weights, choose, is_heavy_prefill, rendezvous_weight
 
-__all__ = ["Kept", "Standing", "Weights", "choose", "heavy", "lean", "parse_parts"]
+__all__ = ["CachedPrefixes", "Candidate", "Weights", "choose", "is_heavy_prefill", "parse_parts", "rendezvous_weight"]
--- a/sparloom/load_balancing/cached_prefixes.py
+++ b/sparloom/load_balancing/cached_prefixes.py
@@ -27,10 +27,10 @@
 
 
 @define(slots=True)
-class Kept:
+class CachedPrefixes:
     """An estimate of one runner's kept parts, the longest unused given up first.
 
-    >>> k = Kept(10); k.saw((("a", 6),)); k.unread((("a", 6), ("a,b", 5)))
+    >>> k = CachedPrefixes(10); k.saw((("a", 6),)); k.unread((("a", 6), ("a,b", 5)))
     5
     >>> k.saw((("c", 9),)); k.unread((("a", 6),))
     6
@@ -43,7 +43,7 @@
     def saw(self, parts):
         """Notes that a prompt went to the runner.
 
-        >>> k = Kept(10); k.saw((("a", 6),)); k.used
+        >>> k = CachedPrefixes(10); k.saw((("a", 6),)); k.used
         6
         """
         for key, n in parts:
@@ -55,7 +55,7 @@
     def recalled(self, key, n):
         """Notes a part that went to the runner before all that is known here.
 
-        >>> k = Kept(10); k.saw((("a", 6),)); k.recalled("b", 3); k.recalled("c", 3); list(k.parts)
+        >>> k = CachedPrefixes(10); k.saw((("a", 6),)); k.recalled("b", 3); k.recalled("c", 3); list(k.parts)
         ['b', 'a']
         """
         if key not in self.parts and self.used + n <= self.room:
@@ -66,7 +66,7 @@
     def unread(self, parts):
         """The tokens of a prompt that the runner would have to read.
 
-        >>> Kept(10).unread((("a", 6),))
+        >>> CachedPrefixes(10).unread((("a", 6),))
         6
         """
         left = sum(n for _, n in parts)
--- a/sparloom/load_balancing/rank.py
+++ b/sparloom/load_balancing/rank.py
@@ -30,12 +30,12 @@
 
 
 @define(slots=True)
-class Standing:
+class Candidate:
     """A runner as one request sees it; tokens measure work.
 
-    ``lean`` is the rendezvous weight of the prefix there.
+    ``affinity_weight`` is the rendezvous weight of the prefix there.
 
-    >>> Standing("a", 100).calls
+    >>> Candidate("a", 100).calls
     0
     """
 
@@ -48,28 +48,28 @@
     doubt: int = 0
     near: bool = False
     warm: bool = False
-    lean: int = 0
+    affinity_weight: int = 0
 
 
-def lean(key, number):
+def rendezvous_weight(key, number):
     """The rendezvous weight of a prefix at a runner: the same on every router.
 
     Both are spread evenly already (hashes); the product mixes them.
 
-    >>> lean(1, 2) == lean(1, 2), lean(1, 2) == lean(1, 3)
+    >>> rendezvous_weight(1, 2) == rendezvous_weight(1, 2), rendezvous_weight(1, 2) == rendezvous_weight(1, 3)
     (True, False)
     """
     x = ((key ^ number) * 0x9E3779B97F4A7C15) & MASK
     return ((x ^ (x >> 29)) * 0xBF58476D1CE4E5B9) & MASK
 
 
-def heavy(unread, room, slots):
+def is_heavy_prefill(unread, room, slots):
     """Whether a prompt has more to be read than a slot's share of the runner's memory.
 
     Such a prompt is late whatever its place in the order, and everything that
     waits behind it is late with it; so it lets the others go first.
 
-    >>> heavy(30000, 378959, 16), heavy(3000, 378959, 16), heavy(3000, 0, 16)
+    >>> is_heavy_prefill(30000, 378959, 16), is_heavy_prefill(3000, 378959, 16), is_heavy_prefill(3000, 0, 16)
     (True, False, False)
     """
     return room > 0 and unread * max(1, slots) > room
@@ -91,9 +91,9 @@
     Doubted and cold runners come last, and so do full ones. Among runners of
     about the same work, near ones and those with an open connection win.
 
-    >>> [s.id for s in choose([Standing("a", 100, waiting=5000), Standing("b", 100)])]
+    >>> [s.id for s in choose([Candidate("a", 100, waiting=5000), Candidate("b", 100)])]
     ['b', 'a']
-    >>> [s.id for s in choose([Standing("a", 100), Standing("b", 100, near=True)])]
+    >>> [s.id for s in choose([Candidate("a", 100), Candidate("b", 100, near=True)])]
     ['b', 'a']
     """
     if not stands:
@@ -102,7 +102,7 @@
     most = w.even * sum(s.calls for s in stands) / len(stands) + w.spare
     unread = [s.unread for s in stands]
     least = min(unread)
-    home = max(stands, key=lambda s: s.lean) if least == max(unread) else None
+    home = max(stands, key=lambda s: s.affinity_weight) if least == max(unread) else None
 
     def cost(s):
         work = s.unread + s.waiting + w.call * s.calls + w.again * (s.unread - least)
@@ -114,6 +114,6 @@
             work -= w.near
         if s.warm:
             work -= w.warm
-        return s.doubt, s.slots and s.calls >= s.slots, s.cold, work, -s.lean
+        return s.doubt, s.slots and s.calls >= s.slots, s.cold, work, -s.affinity_weight
 
     return sorted(stands, key=cost)
--- a/sparloom/membership/__init__.py
+++ b/sparloom/membership/__init__.py
@@ -1,8 +1,21 @@
 """Who is there: probes in turn, indirect probes, suspicion before removal (SWIM)."""
 
-from .records import ALIVE, CONTROLLER, DEAD, ROUTER, SUSPECT, Ack, Compare, Peer, PeerState, Ping, PingRequest, Role
+from .records import (
+    ALIVE,
+    CONTROLLER,
+    DEAD,
+    ROUTER,
+    SUSPECT,
+    Ack,
+    Peer,
+    PeerState,
+    Ping,
+    PingRequest,
+    Role,
+    TableComparison,
+)
 from .swim import Send, Swim
-from .timing import Times
+from .timing import SwimTiming
 
 __all__ = [
     "ALIVE",
@@ -11,7 +24,6 @@
     "ROUTER",
     "SUSPECT",
     "Ack",
-    "Compare",
     "Peer",
     "PeerState",
     "Ping",
@@ -19,5 +31,6 @@
     "Role",
     "Send",
     "Swim",
-    "Times",
+    "SwimTiming",
+    "TableComparison",
 ]
--- a/sparloom/membership/records.py
+++ b/sparloom/membership/records.py
@@ -96,7 +96,7 @@
 
 
 @record(5)
-class Compare(Record):
+class TableComparison(Record):
     """Our beliefs differ: these are the low bits of my marks, for the keys that fall in one part of several."""
 
     peer: Peer
--- a/sparloom/membership/swim.py
+++ b/sparloom/membership/swim.py
@@ -7,8 +7,8 @@
 
 from attrs import define, evolve, field
 
-from .records import ALIVE, DEAD, SUSPECT, Ack, Compare, Peer, Ping, PingRequest
-from .timing import Times, retransmissions
+from .records import ALIVE, DEAD, SUSPECT, Ack, Peer, Ping, PingRequest, TableComparison
+from .timing import SwimTiming, retransmissions
 
 NEWS_PER_DATAGRAM = 18
 RANDOM_NEWS_PER_DATAGRAM = 2
@@ -69,7 +69,7 @@
 
     me: Peer
     seeds: tuple
-    times: Times
+    times: SwimTiming
     rng: object
     now: timedelta = timedelta(0)
     sequence: int = 0
@@ -98,7 +98,7 @@
     def alive(self):
         """The others that are believed up, suspects included, as a tuple; kept until a belief changes.
 
-        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), Times.of(timedelta(seconds=3)), None).alive()
+        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).alive()
         ()
         """
         if self._alive is None:
@@ -111,7 +111,7 @@
     def up(self, role):
         """How many others of a role are believed up.
 
-        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), Times.of(timedelta(seconds=3)), None).up(0)
+        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).up(0)
         0
         """
         self.alive()
@@ -120,7 +120,7 @@
     def holds(self, key, life):
         """Whether nothing known speaks against this life at an address.
 
-        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), Times.of(timedelta(seconds=3)), None).holds("b:1", 7)
+        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).holds("b:1", 7)
         True
         """
         entry = self.table.get(key)
@@ -129,7 +129,7 @@
     def take_ended(self):
         """Lives that ended since the last question: keys, each with the life that goes on there or None.
 
-        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), Times.of(timedelta(seconds=3)), None).take_ended()
+        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).take_ended()
         []
         """
         ended, self.ended = self.ended, []
@@ -163,7 +163,7 @@
         parts = ceil((len(self.table) + 1) / MARKS_PER_DATAGRAM)
         part = self.rng.randrange(parts)
         marks = [peer.mark() & MARK_BITS for peer in self._part(part, parts)]
-        return Compare(self.me, self.digest, part, parts, marks)
+        return TableComparison(self.me, self.digest, part, parts, marks)
 
     # -- what is learned ---------------------------------------------------------
     def _learn(self, peer):
@@ -203,7 +203,7 @@
     def tick(self, now):
         """Moves time on; gives the datagrams that are due.
 
-        >>> s = Swim(Peer("a:1", 0, "", "", 1, 0, 0), ("b:1",), Times.of(timedelta(seconds=3)), __import__("random").Random(1))
+        >>> s = Swim(Peer("a:1", 0, "", "", 1, 0, 0), ("b:1",), SwimTiming.of(timedelta(seconds=3)), __import__("random").Random(1))
         >>> [m.to for m in s.tick(timedelta(0))]
         ['b:1']
         """
@@ -311,7 +311,7 @@
     def receive(self, now, src, rec):
         """Takes a record from ``src``; gives the datagrams that follow from it.
 
-        >>> s = Swim(Peer("a:1", 0, "", "", 1, 0, 0), ("b:1",), Times.of(timedelta(seconds=3)), __import__("random").Random(1))
+        >>> s = Swim(Peer("a:1", 0, "", "", 1, 0, 0), ("b:1",), SwimTiming.of(timedelta(seconds=3)), __import__("random").Random(1))
         >>> [type(m.rec).__name__ for m in s.receive(timedelta(0), "b:1", Ping(7, Peer("b:1", 0, "", "", 2, 0, 0), 0, []))]
         ['Ack']
         """
@@ -347,7 +347,7 @@
         return [Send(src, self._compare())] if self.differs else []
 
     @_take.register
-    def _(self, rec: Compare, src, joins, outdated):
+    def _(self, rec: TableComparison, src, joins, outdated):
         theirs = set(rec.marks)
         lacking = [peer for peer in self._part(rec.part, max(1, rec.parts)) if peer.mark() & MARK_BITS not in theirs]
         if not lacking:
@@ -364,7 +364,7 @@
     def leave(self):
         """Tells everyone that this process goes.
 
-        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), Times.of(timedelta(seconds=3)), None).leave()
+        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).leave()
         []
         """
         gone = evolve(self.me, incarnation=self.me.incarnation + 1, state=DEAD)
--- a/sparloom/membership/timing.py
+++ b/sparloom/membership/timing.py
@@ -18,14 +18,14 @@
 
 
 @define(frozen=True, slots=True)
-class Times:
+class SwimTiming:
     """The protocol's times, all derived from the contact bound.
 
     ``period``: from probe to probe. ``wait``: for an answer, before indirect
     probes. ``suspicion``: from suspect to dead. ``forget``: from dead to
     removed from the table.
 
-    >>> Times.of(timedelta(seconds=3)).period
+    >>> SwimTiming.of(timedelta(seconds=3)).period
     datetime.timedelta(microseconds=500000)
     """
 
@@ -38,7 +38,7 @@
     def of(cls, contact):
         """Times that notice a loss well inside the bound.
 
-        >>> Times.of(timedelta(seconds=6)).suspicion
+        >>> SwimTiming.of(timedelta(seconds=6)).suspicion
         datetime.timedelta(seconds=2)
         """
         return cls(period=contact / 6, wait=contact / 15, suspicion=contact / 3, forget=contact * 20)
--- a/sparloom/metrics/__init__.py
+++ b/sparloom/metrics/__init__.py
@@ -1,5 +1,5 @@
 """Counts what a process sends, takes and opens, by kind; off unless asked for."""
 
-from .meter import Meter, here, interval, note, start
+from .meter import Meter, count_event, current_meter, report_interval, start_meter
 
-__all__ = ["Meter", "here", "interval", "note", "start"]
+__all__ = ["Meter", "count_event", "current_meter", "report_interval", "start_meter"]
--- a/sparloom/metrics/meter.py
+++ b/sparloom/metrics/meter.py
@@ -47,41 +47,41 @@
         return {k: list(self.tallies[k]) for k in sorted(self.tallies)}
 
 
-def here():
+def current_meter():
     """This process's meter; None when it keeps none.
 
-    >>> here() is None
+    >>> current_meter() is None
     True
     """
     return _HERE[0] if _HERE else None
 
 
-def note(name, times=1):
+def count_event(name, times=1):
     """Counts an event, if this process counts at all.
 
-    >>> note("opened runner")
+    >>> count_event("opened runner")
     """
     if _HERE:
         _HERE[0].add(name, times=times)
 
 
-def start(on=True):
+def start_meter(on=True):
     """Starts this process's meter, or ends it; call it before sockets are made.
 
-    >>> start(); here().figures(); start(False); here() is None
+    >>> start_meter(); current_meter().figures(); start_meter(False); current_meter() is None
     {}
     True
     """
     _HERE[:] = [Meter()] if on else []
 
 
-def interval(environ=os.environ, options=sys._xoptions):
+def report_interval(environ=os.environ, options=sys._xoptions):
     """How often the figures are logged, as a timedelta; None when nothing is counted.
 
     Seconds in ``SPARLOOM_METER``, or after ``-X meter=`` where the command line
     is all that can be set. What is no number above 0 counts as off.
 
-    >>> interval({"SPARLOOM_METER": "5"}, {}), interval({}, {"meter": "0.5"}), interval({}, {}), interval({"SPARLOOM_METER": "x"}, {})
+    >>> report_interval({"SPARLOOM_METER": "5"}, {}), report_interval({}, {"meter": "0.5"}), report_interval({}, {}), report_interval({"SPARLOOM_METER": "x"}, {})
     (datetime.timedelta(seconds=5), datetime.timedelta(microseconds=500000), None, None)
     """
     try:
--- a/sparloom/metrics/reporter.py
+++ b/sparloom/metrics/reporter.py
@@ -8,18 +8,18 @@
 from absl import logging
 from mode import Service
 
-from sparloom.metrics import here
+from sparloom.metrics import current_meter
 
 
-def figures():
+def process_figures():
     """The meter's figures with the process's own: processor seconds, memory in kB, descriptors.
 
     None when nothing is counted; a figure that the system doesn't tell is -1.
 
-    >>> figures() is None
+    >>> process_figures() is None
     True
     """
-    m = here()
+    m = current_meter()
     return m and {
         "cpu": round(time.process_time(), 3),
         "memory": _memory(),
@@ -43,7 +43,7 @@
         return -1
 
 
-class Metering(Service):
+class MetricsReporter(Service):
     """The log lines, each ``meter: JSON``."""
 
     def __init__(self, node, span):
@@ -61,4 +61,4 @@
 
     def tell(self):
         """Logs the figures of this moment."""
-        logging.info("meter: %s", json.dumps({"node": self.node, **figures()}, separators=(",", ":")))
+        logging.info("meter: %s", json.dumps({"node": self.node, **process_figures()}, separators=(",", ":")))
--- a/sparloom/prefix_cache/__init__.py
+++ b/sparloom/prefix_cache/__init__.py
@@ -1,5 +1,5 @@
 """Which runner keeps which long prefix, remembered for routers that start."""
 
-from .memory import Memory, Reads, Recall
+from .memory import PlacementQuery, PlacementTable, PrefixPlacements
 
-__all__ = ["Memory", "Reads", "Recall"]
+__all__ = ["PlacementQuery", "PlacementTable", "PrefixPlacements"]
--- a/sparloom/prefix_cache/memory.py
+++ b/sparloom/prefix_cache/memory.py
@@ -9,33 +9,33 @@
 from attrs import define, field
 
 from sparloom.codec import Record, record
-from sparloom.dynamic_timeout import Read
+from sparloom.dynamic_timeout import PrefixPlacement
 
 _ITEM, _SUM = Struct("!QQI"), Struct("!I")
 
 
 @record(95)
-class Reads(Record):
+class PrefixPlacements(Record):
     """Long parts of prompts and the runner lives (by number) that they went to."""
 
-    reads: list[Read]
+    reads: list[PrefixPlacement]
 
 
 @record(96)
-class Recall(Record):
+class PlacementQuery(Record):
     """A router that started asks for all that is remembered."""
 
     key: str
 
 
 @define(slots=True)
-class Memory:
+class PlacementTable:
     """Parts that went to runners, the longest unused given up first; a hint, never a promise.
 
     A runner's number is that of one life, so what ended with a runner fits
     nothing any more and falls out by age.
 
-    >>> m = Memory(2); m.saw([Read(7, 1, 2000), Read(8, 2, 3000), Read(7, 3, 1000)])
+    >>> m = PlacementTable(2); m.saw([PrefixPlacement(7, 1, 2000), PrefixPlacement(8, 2, 3000), PrefixPlacement(7, 3, 1000)])
     >>> [(r.resource, r.part, r.tokens) for r in m.answers()[0].reads]
     [(7, 3, 1000), (8, 2, 3000)]
     """
@@ -47,7 +47,7 @@
     def saw(self, reads):
         """Notes parts that went to runners.
 
-        >>> m = Memory(); m.saw([Read(7, 1, 2000)]); m.changed
+        >>> m = PlacementTable(); m.saw([PrefixPlacement(7, 1, 2000)]); m.changed
         True
         """
         for r in reads:
@@ -60,16 +60,16 @@
     def answers(self, each=48):
         """All of it as records that fit datagrams, newest first; at least one, if an empty one.
 
-        >>> [len(a.reads) for a in Memory().answers()]
+        >>> [len(a.reads) for a in PlacementTable().answers()]
         [0]
         """
-        reads = [Read(r, p, n) for (r, p), n in reversed(self.items.items())]
-        return [Reads(reads[i : i + each]) for i in range(0, max(1, len(reads)), each)]
+        reads = [PrefixPlacement(r, p, n) for (r, p), n in reversed(self.items.items())]
+        return [PrefixPlacements(reads[i : i + each]) for i in range(0, max(1, len(reads)), each)]
 
     def pack(self):
         """The bytes to keep: a checksum, then the items.
 
-        >>> m = Memory(); m.saw([Read(7, 1, 2000)]); Memory.unpack(m.pack()).items
+        >>> m = PlacementTable(); m.saw([PrefixPlacement(7, 1, 2000)]); PlacementTable.unpack(m.pack()).items
         OrderedDict([((7, 1), 2000)])
         """
         raw = b"".join(_ITEM.pack(r, p, n) for (r, p), n in self.items.items())
@@ -79,11 +79,11 @@
     def unpack(raw, most=1024):
         """The memory in some bytes; an empty one where they are torn.
 
-        >>> Memory.unpack(b"torn").items
+        >>> PlacementTable.unpack(b"torn").items
         OrderedDict()
         """
-        m, body = Memory(most), raw[_SUM.size :]
+        m, body = PlacementTable(most), raw[_SUM.size :]
         if len(raw) >= _SUM.size and len(body) % _ITEM.size == 0 and _SUM.unpack_from(raw)[0] == zlib.crc32(body):
-            m.saw([Read(*i) for i in _ITEM.iter_unpack(body)])
+            m.saw([PrefixPlacement(*i) for i in _ITEM.iter_unpack(body)])
             m.changed = False
         return m
--- a/sparloom/relay/plan.py
+++ b/sparloom/relay/plan.py
@@ -13,7 +13,7 @@
 
 
 @define(frozen=True, slots=True)
-class Tier:
+class RelayTier:
     """What one router makes of the membership.
 
     ``relays``: all relays' keys. ``parents``: those that this router may
@@ -31,7 +31,7 @@
     def stands(self):
         """Whether there is a tier.
 
-        >>> Tier().stands
+        >>> RelayTier().stands
         False
         """
         return bool(self.relays)
@@ -54,7 +54,7 @@
     }
 
 
-def plan(me, zone, others):
+def plan_tier(me, zone, others):
     """The tier as ``me`` sees it; ``others``: key and zone of each other router.
 
     Groups hold about the square root of all routers: a relay then hears as
@@ -68,9 +68,9 @@
     changes a relay or two and hands few followers over. What should ride out
     a flicker (whom a router follows) waits for itself: see ``Upstream``.
 
-    >>> plan("a", "z", [("b", "z")]).stands
+    >>> plan_tier("a", "z", [("b", "z")]).stands
     False
-    >>> t = plan("n0", "z", [(f"n{i}", "z") for i in range(1, 64)])
+    >>> t = plan_tier("n0", "z", [(f"n{i}", "z") for i in range(1, 64)])
     >>> len(t.relays), len(t.parents) == 8 or t.relay, t.near == len(t.parents)
     (8, True, True)
     """
@@ -81,7 +81,7 @@
     by_zone = _relays(zones, _group(n))
     relays = tuple(sorted(k for ks in by_zone.values() for k in ks))
     if n - 1 < 2 * (ceil(n / len(relays)) + len(relays)):
-        return Tier()
+        return RelayTier()
     near = set(by_zone.get(zone, ()))
     parents = sorted((k for k in relays if k != me), key=lambda k: (k not in near, -_weight(me, k)))
-    return Tier(relays, tuple(parents), me in relays, sum(k in near for k in parents))
+    return RelayTier(relays, tuple(parents), me in relays, sum(k in near for k in parents))
--- a/sparloom/relay/upstream.py
+++ b/sparloom/relay/upstream.py
@@ -11,17 +11,17 @@
 
 from attrs import define, field
 
-from sparloom.feed import Tracker
+from sparloom.feed import SourceTracker
 
-from .plan import Tier
+from .plan import RelayTier
 
 ZERO = timedelta(0)
-NO_TIER = Tier()
+NO_TIER = RelayTier()
 SILENT, STALE, GENTLE, GONE = "silent", "stale", "gentle", "gone"
 
 
 @define(frozen=True, slots=True)
-class Spans:
+class UpstreamTiming:
     """How long to wait for what, derived from the contact bound.
 
     A relay notices trouble before its followers do: it has found another
@@ -42,7 +42,7 @@
     def of(cls, contact):
         """The spans for a contact bound.
 
-        >>> Spans.of(timedelta(seconds=6)).dial
+        >>> UpstreamTiming.of(timedelta(seconds=6)).dial
         datetime.timedelta(microseconds=500000)
         """
         return cls(
@@ -59,17 +59,17 @@
 class Upstream:
     """One router's place in the tier; time and messages in, decisions out.
 
-    >>> u = Upstream("r:1", Spans.of(timedelta(seconds=3)), __import__("random").Random(1))
+    >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1))
     >>> u.choose(ZERO, ("c:1", "d:1")), u.serves()
     ('c:1', True)
     """
 
     me: str
-    spans: Spans
+    spans: UpstreamTiming
     rng: object
-    tier: Tier = NO_TIER
+    tier: RelayTier = NO_TIER
     suspects: frozenset = frozenset()
-    tracker: Tracker = None
+    tracker: SourceTracker = None
     parent: str | None = None
     direct: bool = True
     under: bool = False
@@ -84,7 +84,7 @@
     tried: list = field(factory=list)
 
     def __attrs_post_init__(self):
-        self.tracker = Tracker(*self.spans.single)
+        self.tracker = SourceTracker(*self.spans.single)
         self._patience()
 
     def _some(self, least, more):
@@ -97,7 +97,7 @@
     def see(self, now, tier, suspects=frozenset()):
         """Takes the tier as membership has it now; ``suspects`` are tried last.
 
-        >>> Upstream("r:1", Spans.of(timedelta(seconds=3)), __import__("random").Random(1)).see(ZERO, Tier())
+        >>> Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)).see(ZERO, RelayTier())
         """
         self.suspects = suspects
         self.avoid = {k: t for k, t in self.avoid.items() if t > now}
@@ -121,7 +121,7 @@
     def serves(self):
         """Whether this router may serve followers: only one that follows a controller.
 
-        >>> Upstream("r:1", Spans.of(timedelta(seconds=3)), __import__("random").Random(1)).serves()
+        >>> Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)).serves()
         True
         """
         return self.direct
@@ -130,7 +130,7 @@
     def depth(self):
         """Hops to the controller: 1, or 2 under a relay.
 
-        >>> Upstream("r:1", Spans.of(timedelta(seconds=3)), __import__("random").Random(1)).depth
+        >>> Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)).depth
         1
         """
         return 1 if self.direct else 2
@@ -141,7 +141,7 @@
         There are about as many routers in a group as there are relays. More
         would fill a thin link for long with one large change.
 
-        >>> Upstream("r:1", Spans.of(timedelta(seconds=3)), __import__("random").Random(1)).room()
+        >>> Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)).room()
         2
         """
         return 2 * max(1, len(self.tier.relays))
@@ -177,7 +177,7 @@
     def start(self, now, to):
         """A pipe to ``to`` is being opened.
 
-        >>> u = Upstream("r:1", Spans.of(timedelta(seconds=3)), __import__("random").Random(1))
+        >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1))
         >>> u.start(ZERO, "c:1"); u.parent
         'c:1'
         """
@@ -194,7 +194,7 @@
     def pulse(self, now, age, sent=None):
         """A pulse came: ``age`` in ms since the primary was confirmed, ``sent`` in ms of the sender's clock.
 
-        >>> u = Upstream("r:1", Spans.of(timedelta(seconds=3)), __import__("random").Random(1)); u.start(ZERO, "c:1")
+        >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)); u.start(ZERO, "c:1")
         >>> u.pulse(ZERO, 20); u.fresh == ZERO
         True
         """
@@ -208,14 +208,14 @@
     def change(self, now):
         """A change came.
 
-        >>> u = Upstream("r:1", Spans.of(timedelta(seconds=3)), __import__("random").Random(1)); u.change(ZERO)
+        >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)); u.change(ZERO)
         """
         self.tracker.change(now)
 
     def due(self, now):
         """How long it may wait for the next record before ``leave`` must be asked again.
 
-        >>> u = Upstream("r:1", Spans.of(timedelta(seconds=3)), __import__("random").Random(1)); u.start(ZERO, "c:1")
+        >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)); u.start(ZERO, "c:1")
         >>> u.due(ZERO)
         datetime.timedelta(seconds=1, microseconds=1000)
         """
@@ -224,7 +224,7 @@
     def leave(self, now):
         """Why to leave the one that is followed, or None.
 
-        >>> u = Upstream("r:1", Spans.of(timedelta(seconds=3)), __import__("random").Random(1)); u.start(ZERO, "c:1")
+        >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)); u.start(ZERO, "c:1")
         >>> u.leave(ZERO), u.leave(timedelta(seconds=2))
         (None, 'silent')
         """
@@ -265,7 +265,7 @@
     def ended(self, now, why):
         """The pipe has ended, or none came about.
 
-        >>> u = Upstream("r:1", Spans.of(timedelta(seconds=3)), __import__("random").Random(1)); u.start(ZERO, "c:1")
+        >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)); u.start(ZERO, "c:1")
         >>> u.ended(ZERO, GONE); u.parent is None
         True
         """
--- a/sparloom/retry/__init__.py
+++ b/sparloom/retry/__init__.py
@@ -1,7 +1,18 @@
 """Further tries: what an ending proves, whether another attempt is allowed, the budget."""
 
-from .budget import Budget
-from .decision import GiveUp, Plan, Retry, after
+from .budget import RetryBudget
+from .decision import GiveUp, Retry, RetryContext, next_step
 from .verdict import MAY_HAVE_RUN, NOT_RUN, RAN, Verdict, judge_head
 
-__all__ = ["MAY_HAVE_RUN", "NOT_RUN", "RAN", "Budget", "GiveUp", "Plan", "Retry", "Verdict", "after", "judge_head"]
+__all__ = [
+    "MAY_HAVE_RUN",
+    "NOT_RUN",
+    "RAN",
+    "GiveUp",
+    "Retry",
+    "RetryBudget",
+    "RetryContext",
+    "Verdict",
+    "judge_head",
+    "next_step",
+]
--- a/sparloom/retry/budget.py
+++ b/sparloom/retry/budget.py
@@ -7,7 +7,7 @@
 
 
 @define(slots=True)
-class Budget:
+class RetryBudget:
     """Further arrivals of one service within a sliding window.
 
     A node spends a part of ``ratio`` times the asks that it took itself, which
@@ -18,7 +18,7 @@
     any more. The slack is shared among the most nodes told within two windows,
     so one that joins doesn't stretch the sum.
 
-    >>> b = Budget(timedelta(seconds=10), 0.2, 0, timedelta(0)); b.allowed(timedelta(0), 1)
+    >>> b = RetryBudget(timedelta(seconds=10), 0.2, 0, timedelta(0)); b.allowed(timedelta(0), 1)
     False
     >>> b.asked(timedelta(0), 20); b.allowed(timedelta(0), 1)
     True
@@ -45,7 +45,7 @@
     def asked(self, now, n=1):
         """Counts asks taken from requesters.
 
-        >>> b = Budget(timedelta(seconds=1), 0.2, 0, timedelta(0)); b.asked(timedelta(0)); b.total
+        >>> b = RetryBudget(timedelta(seconds=1), 0.2, 0, timedelta(0)); b.asked(timedelta(0)); b.total
         1
         """
         tick = self.window / 40
@@ -65,7 +65,7 @@
     def allowed(self, now, nodes):
         """Whether one more arrival fits, with that many nodes about.
 
-        >>> Budget(timedelta(seconds=10), 0.0, 40, timedelta(0)).allowed(timedelta(seconds=10), 1)
+        >>> RetryBudget(timedelta(seconds=10), 0.0, 40, timedelta(0)).allowed(timedelta(seconds=10), 1)
         True
         """
         self._trim(now)
@@ -74,7 +74,7 @@
     def spend(self, now):
         """Counts a further arrival.
 
-        >>> b = Budget(timedelta(seconds=1), 0.2, 0, timedelta(0)); b.spend(timedelta(0)); len(b.spent)
+        >>> b = RetryBudget(timedelta(seconds=1), 0.2, 0, timedelta(0)); b.spend(timedelta(0)); len(b.spent)
         1
         """
         self.spent.append(now)
--- a/sparloom/retry/decision.py
+++ b/sparloom/retry/decision.py
@@ -8,7 +8,7 @@
 
 
 @define(frozen=True, slots=True)
-class Plan:
+class RetryContext:
     """What is known when an attempt has ended."""
 
     repeatable: bool
@@ -34,15 +34,15 @@
     cut: bool = False
 
 
-def after(p):
+def next_step(p):
     """The step after an attempt that brought no whole reply.
 
     >>> from sparloom.retry.verdict import MAY_HAVE_RUN
-    >>> after(Plan(False, 2, 1, MAY_HAVE_RUN, left=timedelta(1), within_budget=True, others=True))
+    >>> next_step(RetryContext(False, 2, 1, MAY_HAVE_RUN, left=timedelta(1), within_budget=True, others=True))
     GiveUp(status=502, cut=False)
-    >>> after(Plan(False, 2, 1, NOT_RUN, left=timedelta(1), within_budget=True, others=True))
+    >>> next_step(RetryContext(False, 2, 1, NOT_RUN, left=timedelta(1), within_budget=True, others=True))
     Retry()
-    >>> after(Plan(True, 2, 1, MAY_HAVE_RUN, began=True, left=timedelta(1), within_budget=True, others=True))
+    >>> next_step(RetryContext(True, 2, 1, MAY_HAVE_RUN, began=True, left=timedelta(1), within_budget=True, others=True))
     Retry()
     """
     may = p.repeatable or p.verdict is NOT_RUN
--- a/sparloom/retry/verdict.py
+++ b/sparloom/retry/verdict.py
@@ -26,7 +26,7 @@
 
 
 @define(frozen=True, slots=True)
-class Head:
+class ResponseHead:
     """The parts of a runner's answer that judge it.
 
     ``id_fits``: it bears the attempt id of the request. ``nameless``: neither
@@ -46,7 +46,7 @@
 
         Only a 400 that turns away a request without an id may lack it.
 
-        >>> Head(503, True, False, False, True).belongs, Head(400, True, False, False, True, nameless=True).belongs
+        >>> ResponseHead(503, True, False, False, True).belongs, ResponseHead(400, True, False, False, True, nameless=True).belongs
         (False, True)
         """
         return self.id_fits or self.nameless and self.status == 400 and self.not_run
@@ -58,11 +58,11 @@
     An answer that doesn't belong to the request proves nothing of it, a
     refusal no more than a success.
 
-    >>> judge_head(Head(200, False, True, True, True))
+    >>> judge_head(ResponseHead(200, False, True, True, True))
     (<Verdict.RAN: 2>, True)
-    >>> judge_head(Head(503, True, False, True, True))[0], judge_head(Head(503, False, False, True, True))
+    >>> judge_head(ResponseHead(503, True, False, True, True))[0], judge_head(ResponseHead(503, False, False, True, True))
     (<Verdict.NOT_RUN: 0>, (<Verdict.MAY_HAVE_RUN: 1>, False))
-    >>> judge_head(Head(503, True, False, False, True)), judge_head(Head(421, False, False, False, True))
+    >>> judge_head(ResponseHead(503, True, False, False, True)), judge_head(ResponseHead(421, False, False, False, True))
     ((<Verdict.MAY_HAVE_RUN: 1>, False), (<Verdict.MAY_HAVE_RUN: 1>, False))
     """
     if not head.belongs:
--- a/sparloom/router/admission_queues.py
+++ b/sparloom/router/admission_queues.py
@@ -4,15 +4,15 @@
 from datetime import timedelta
 from itertools import count
 
-from sparloom.admission import Away, Gate, Granted, Need, Room, Waits, members_of
-from sparloom.transport import steady
+from sparloom.admission import AdmissionController, Admitted, Capacity, Demand, Queued, Rejected, members_of
+from sparloom.transport import monotonic
 
 from .timeout_buckets import most
 
 TOLD = timedelta(milliseconds=200)
 
 
-class Lines:
+class AdmissionQueues:
     """All gates of this router."""
 
     def __init__(self, know):
@@ -42,7 +42,7 @@
             return old[4]
         slots = sum(most(p.slots or (s.slots if s else 0)) for p in posts)
         self.wholes[service] = slots
-        room = Room(k.crowd.part(slots), k.crowd.part(s.cache_tokens * len(posts)) if s else 0)
+        room = Capacity(k.crowd.part(slots), k.crowd.part(s.cache_tokens * len(posts)) if s else 0)
         self.rooms[service] = (posts, s, k.crowd.divisor, k.crowd.open, room)
         return room
 
@@ -62,7 +62,7 @@
         """The gate of a service, with the room of this moment."""
         g = self.gates.get(service)
         if g is None:
-            g = self.gates[service] = Gate(self._room(service), dict(self._parts()))
+            g = self.gates[service] = AdmissionController(self._room(service), dict(self._parts()))
         return g
 
     def member(self, route):
@@ -73,10 +73,10 @@
     async def enter(self, service, ask):
         """Waits for a place; gives Granted or Away."""
         id = next(self.ids)
-        gate, need = self.gate(service), Need(sum(n for _, n in ask.parts))
+        gate, need = self.gate(service), Demand(sum(n for _, n in ask.parts))
         self._step(service, gate)
-        got = gate.enter(steady(), id, self.member(ask.route), ask.route.priority, need, ask.horizon)
-        if not isinstance(got, Waits):
+        got = gate.enter(monotonic(), id, self.member(ask.route), ask.route.priority, need, ask.horizon)
+        if not isinstance(got, Queued):
             return got
         fut = self.waits[id] = asyncio.get_running_loop().create_future()
         try:
@@ -89,7 +89,7 @@
 
     def leave(self, service, id):
         """An ask has ended; those that wait may follow."""
-        self._heed(self.gates[service].leave(steady(), id))
+        self._heed(self.gates[service].leave(monotonic(), id))
 
     def tick(self):
         """Time moves on for all lines."""
@@ -98,7 +98,7 @@
                 self._step(s, g)
 
     def _step(self, service, gate):
-        now, k, room = steady(), self.know, self._room(service)
+        now, k, room = monotonic(), self.know, self._room(service)
         whole, gate.extra = self.wholes[service], 0
         if gate.tight():
             gate.extra = k.crowd.extra(whole, whole * sum(self._parts().values()), self._in_use(service, now))
@@ -123,8 +123,8 @@
 
     def figures(self):
         """Every gate's figures."""
-        now = steady()
+        now = monotonic()
         return {s: g.figures(now) for s, g in self.gates.items()}
 
 
-__all__ = ["Away", "Granted", "Lines"]
+__all__ = ["AdmissionQueues", "Admitted", "Rejected"]
--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -7,10 +7,10 @@
 from absl import logging
 
 from sparloom.retry import MAY_HAVE_RUN, NOT_RUN, judge_head
-from sparloom.transport import steady
+from sparloom.transport import monotonic
 
 from . import request as names
-from .inactivity_timer import SilenceWatch
+from .inactivity_timer import InactivityTimer
 from .target import url_for
 
 REFUSAL_BODY = timedelta(milliseconds=50)
@@ -30,10 +30,10 @@
         self.know, self.ask, self.post, self.slot = know, ask, post, slot
         self.response, self.connected = None, True
         post.open += 1
-        self.watch = SilenceWatch(post, slot, lambda post: self._strike(SILENT), on_silence)
+        self.watch = InactivityTimer(post, slot, lambda post: self._strike(SILENT), on_silence)
 
     def _strike(self, part):
-        self.post.strike(steady(), self.know.up.bounds.contact * part)
+        self.post.strike(monotonic(), self.know.up.bounds.contact * part)
 
     async def open(self, last_event_id):
         """Sends the request; None once a head has come that may be passed on, else a verdict."""
@@ -62,7 +62,7 @@
             ask.method,
             url_for(self.post.address, ask.path),
             data=ask.body or None,
-            headers=names.onward(ask, self.post, steady(), last_event_id),
+            headers=names.onward(ask, self.post, monotonic(), last_event_id),
             allow_redirects=False,
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_within),
         )
@@ -98,4 +98,4 @@
             self.response.release()
         if self.slot.open:
             self.post.open -= 1
-            self.slot.free(steady())
+            self.slot.free(monotonic())
--- a/sparloom/router/backends.py
+++ b/sparloom/router/backends.py
@@ -7,12 +7,12 @@
 import aiohttp
 from attrs import define, field
 
-from sparloom.load_balancing import Kept
-from sparloom.metrics import note
+from sparloom.load_balancing import CachedPrefixes
+from sparloom.metrics import count_event
 from sparloom.transport import tune
 from sparloom.transport.http_client import Connector, open_session
 
-from .target import Request
+from .target import RawTargetRequest
 
 NONE = timedelta(0)
 
@@ -30,12 +30,12 @@
     sock = socket.socket(info[0], info[1], info[2])
     sock.setblocking(False)
     tune(sock)
-    note("opened runner")
+    count_event("opened runner")
     return sock
 
 
 @define(slots=True, eq=False)
-class Post:
+class Backend:
     """One life of a runner, with its pipes and what was learned from traffic."""
 
     id: str
@@ -46,7 +46,7 @@
     draining: bool
     cold: bool
     number: int
-    kept: Kept
+    kept: CachedPrefixes
     session: object = None
     doubt_till: timedelta = NONE
     strikes: int = 0
@@ -58,7 +58,7 @@
     def doubted(self, now):
         """Whether traffic says to avoid it for now.
 
-        >>> Post("i", "s", "h:1", "z", 1, False, False, 0, None).doubted(timedelta(seconds=1))
+        >>> Backend("i", "s", "h:1", "z", 1, False, False, 0, None).doubted(timedelta(seconds=1))
         False
         """
         return now < self.doubt_till
@@ -84,7 +84,7 @@
             )
             self.session = open_session(
                 connector,
-                request_class=Request,
+                request_class=RawTargetRequest,
                 auto_decompress=False,
                 timeout=aiohttp.ClientTimeout(total=None),
                 skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
@@ -94,7 +94,7 @@
     def warm(self):
         """Whether an open connection waits unused: no new one is needed.
 
-        >>> Post("i", "s", "h:1", "z", 1, False, False, 0, None).warm()
+        >>> Backend("i", "s", "h:1", "z", 1, False, False, 0, None).warm()
         False
         """
         return self.session is not None and not self.session.closed and self.session.connector.has_idle()
@@ -110,10 +110,10 @@
 
 
 @define(frozen=True, slots=True)
-class Fleet:
+class BackendTable:
     """All runners, by service and by number.
 
-    >>> Fleet().of("s")
+    >>> BackendTable().of("s")
     ()
     """
 
@@ -134,7 +134,7 @@
         for r in runners:
             old = self.posts.get(r.id)
             if old is None or (old.address, old.service) != (r.address, r.service):
-                old = Post(
+                old = Backend(
                     r.id,
                     r.service,
                     r.address,
@@ -143,7 +143,7 @@
                     r.draining,
                     bool(r.cold),
                     number(r.id),
-                    Kept(room(r.service)),
+                    CachedPrefixes(room(r.service)),
                 )
             old.draining, old.cold, old.slots = r.draining, bool(r.cold), r.slots
             old.kept.room = room(r.service)
@@ -151,7 +151,7 @@
         for p in self.posts.values():
             p.gone = posts.get(p.id) is not p
         names = {p.service for p in posts.values()}
-        return Fleet(
+        return BackendTable(
             posts,
             {s: tuple(p for p in posts.values() if p.service == s and not p.draining) for s in names},
             {p.number: p.id for p in posts.values()},
--- a/sparloom/router/client_connections.py
+++ b/sparloom/router/client_connections.py
@@ -5,7 +5,7 @@
 
 from aiohttp import web
 
-from sparloom.transport import steady
+from sparloom.transport import monotonic
 
 # A connection is kept at least so long, whatever the configuration allows.
 LEAST_IDLE = timedelta(seconds=75)
@@ -33,7 +33,7 @@
             keepalive_timeout=LIBRARY_KEEPALIVE_S,
             **OPTIONS,
         )
-        self.partial, self.touched = False, steady()
+        self.partial, self.touched = False, monotonic()
 
     @property
     def keepalive_timeout(self):
@@ -53,12 +53,12 @@
     def data_received(self, data):
         """Bytes came; where still no request is in hand, they are a part of one."""
         super().data_received(data)
-        self.touched = steady()
+        self.touched = monotonic()
         self.partial = self._waits
 
     def request_ended(self):
         """Its answer is made."""
-        self.touched = steady()
+        self.touched = monotonic()
 
 
 class ClientServer(web.Server):
@@ -82,7 +82,7 @@
 
     def end_idle(self):
         """Closes each connection that has rested for longer than it may."""
-        oldest = steady() - self.idle_bound()
+        oldest = monotonic() - self.idle_bound()
         for connection in self.connections:
             if connection.resting and connection.touched < oldest:
                 connection.force_close()
--- a/sparloom/router/feed_client.py
+++ b/sparloom/router/feed_client.py
@@ -8,25 +8,25 @@
 
 from sparloom.codec import DecodeError
 from sparloom.configuration import build
-from sparloom.feed import POLICY, TOPICS, Change, Pulse, Shelf
+from sparloom.feed import CONFIGURATION, TOPICS, Change, FeedHeartbeat, VersionedStore
 from sparloom.feed import payload as news
-from sparloom.feed.serving import Bell
+from sparloom.feed.serving import ChangeSignal
 from sparloom.membership import CONTROLLER
-from sparloom.relay import GONE, Spans, Upstream
-from sparloom.transport import DialPatience, steady
+from sparloom.relay import GONE, Upstream, UpstreamTiming
+from sparloom.transport import DialTimeout, monotonic
 
 MS = timedelta(milliseconds=1)
 
 
-class Follow(Service):
+class FeedClient(Service):
     """Follows one controller or relay at a time; ``Upstream`` says which, and when to leave."""
 
     def __init__(self, know):
         super().__init__()
         self.know = know
-        self.shelf, self.bell = Shelf(), Bell()
-        self.upstream = Upstream(know.key, Spans.of(know.up.bounds.contact), know.rng)
-        self.dialing = DialPatience(know.up.bounds.contact / 40, self.upstream.spans.dial)
+        self.shelf, self.bell = VersionedStore(), ChangeSignal()
+        self.upstream = Upstream(know.key, UpstreamTiming.of(know.up.bounds.contact), know.rng)
+        self.dialing = DialTimeout(know.up.bounds.contact / 40, self.upstream.spans.dial)
         self.raw, self.afresh = None, set()
         self.told = news.ZERO
 
@@ -42,15 +42,15 @@
     async def _follow(self):
         up = self.upstream
         while not self.should_stop:
-            to = up.choose(steady(), self._controllers())
+            to = up.choose(monotonic(), self._controllers())
             if to is not None:
-                up.start(steady(), to)
+                up.start(monotonic(), to)
                 why = GONE
                 try:
                     why = await self._from(to)
                 except (OSError, EOFError, DecodeError, TimeoutError):
                     pass
-                up.ended(steady(), why)
+                up.ended(monotonic(), why)
             await asyncio.sleep(0.02 + 0.04 * self.know.rng.random())
 
     async def _from(self, to):
@@ -59,17 +59,17 @@
         frames = await self.dialing.dial(host, int(port))
         try:
             await frames.write(self.shelf.follow(self.know.up.node, self.afresh))
-            up.tracker.start(steady())
+            up.tracker.start(monotonic())
             logging.info("feed: follows %s at depth %d.", to, up.depth)
             while True:
                 # After a stall of its own it first reads what waits, and then judges.
-                why = up.leave(steady())
-                rec = await self._read(frames, up.spans.contact / 100 if why else up.due(steady()))
+                why = up.leave(monotonic())
+                rec = await self._read(frames, up.spans.contact / 100 if why else up.due(monotonic()))
                 if rec is None and why:
                     logging.info("feed: leaves %s (%s).", to, why)
                     return why
-                if isinstance(rec, Pulse):
-                    up.pulse(steady(), rec.age, rec.sent)
+                if isinstance(rec, FeedHeartbeat):
+                    up.pulse(monotonic(), rec.age, rec.sent)
                     self.told = max(self.told, rec.policy)
                     self._sure(rec)
                     self.bell.ring()
@@ -95,35 +95,35 @@
 
     def newest_policy(self):
         """The stamp of the newest policy that this router has or has heard of."""
-        return max(self.told, self.shelf.stamp(POLICY))
+        return max(self.told, self.shelf.stamp(CONFIGURATION))
 
     def _sure(self, rec):
         """A pulse makes this router sure only when it holds the policy that the pulse speaks of."""
         k = self.know
         known = k.listed is not None and k.policy is not None
-        up_to_date = self.shelf.stamp(POLICY) >= self.newest_policy()
+        up_to_date = self.shelf.stamp(CONFIGURATION) >= self.newest_policy()
         k.sure = k.sure or known and up_to_date and rec.age < self.upstream.tracker.doubt / MS
 
     def _state(self, topic):
-        return self.raw if topic == POLICY else self.know.listed
+        return self.raw if topic == CONFIGURATION else self.know.listed
 
     def _take(self, c):
         """Whether the change was taken or known. The whole state's bytes are made again when asked for."""
         k = self.know
         if c.topic not in TOPICS:
             raise DecodeError("a change of no known topic")
-        self.upstream.change(steady())
+        self.upstream.change(monotonic())
         if c.stamp <= self.shelf.stamp(c.topic):
             return True
         if c.base != news.ZERO and c.base != self.shelf.stamp(c.topic):
             return False
         try:
-            new = news.take(c, self._state(c.topic))
-        except news.Unfit as e:
+            new = news.apply_change(c, self._state(c.topic))
+        except news.PayloadError as e:
             logging.warning("feed: a change does not fit (%s); the whole is asked for.", e)
             self.afresh.add(c.topic)
             return False
-        if c.topic == POLICY:
+        if c.topic == CONFIGURATION:
             self.raw, k.policy = new, build(new)
             logging.info("feed: revision %d is in force.", k.policy.revision)
         else:
@@ -134,6 +134,6 @@
             self.afresh.discard(c.topic)
             self.shelf.put(c.topic, c.stamp, c.blob)
         else:
-            self.shelf.put(c.topic, c.stamp, lambda: news.whole(c.topic, new), c.blob)
+            self.shelf.put(c.topic, c.stamp, lambda: news.encode_state(c.topic, new), c.blob)
         self.bell.ring()
         return True
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -7,14 +7,14 @@
 from aiohttp import web
 from attrs import evolve
 
-from sparloom.event_stream import Splitter, Thread
-from sparloom.load_balancing import Standing, choose, heavy, lean
-from sparloom.metrics import note
-from sparloom.retry import MAY_HAVE_RUN, NOT_RUN, RAN, GiveUp, Plan, Retry, after
-from sparloom.transport import steady
+from sparloom.event_stream import EventSplitter, ResumableStream
+from sparloom.load_balancing import Candidate, choose, is_heavy_prefill, rendezvous_weight
+from sparloom.metrics import count_event
+from sparloom.retry import MAY_HAVE_RUN, NOT_RUN, RAN, GiveUp, Retry, RetryContext, next_step
+from sparloom.transport import monotonic
 
 from . import request as names
-from .admission_queues import Away
+from .admission_queues import Rejected
 from .attempt import RUNNER_FAILURES, Attempt
 from .outcomes import Outcome
 from .timeout_buckets import buckets_for
@@ -22,11 +22,11 @@
 ZERO = timedelta(0)
 
 
-class ClientGone(Exception):
+class ClientDisconnectedError(Exception):
     """The client's connection takes no more bytes."""
 
 
-class Ahead:
+class HedgedAttempt:
     """An attempt that is opened while an earlier one is silent; ``opened``: called once it has, or has failed."""
 
     def __init__(self, attempt, last_event_id, within, opened):
@@ -54,7 +54,7 @@
         self.attempt.end()
 
 
-class Forwarding:
+class RequestForwarder:
     """The way of one request through this router.
 
     ``closing()``: whether the client's connection is to end with this request.
@@ -64,7 +64,7 @@
     def __init__(self, know, req, ask, closing):
         self.know, self.req, self.ask, self.closing = know, req, ask, closing
         self.out = None
-        self.thread = Thread()
+        self.thread = ResumableStream()
         self.service = self._choose_service()
         self.attempts, self.tried, self.reserved = 0, set(), False
         self.worst, self.allowed = NOT_RUN, None
@@ -74,7 +74,7 @@
 
     def left(self):
         """How much of its time is left."""
-        return self.ask.horizon - steady()
+        return self.ask.horizon - monotonic()
 
     # -- choosing -----------------------------------------------------------
     def _runners(self):
@@ -101,7 +101,7 @@
     def _stands(self, posts, now):
         c, parts, key = self.know.counts, self.ask.parts, self.ask.key
         return [
-            Standing(
+            Candidate(
                 p.id,
                 p.kept.unread(parts),
                 c.tokens(p.id, now),
@@ -111,24 +111,24 @@
                 2 * p.doubted(now) + (c.silent(p.id, now) > 0) + 4 * (p.id in self.tried),
                 p.zone == self.know.up.zone,
                 p.warm(),
-                lean(key, p.number),
+                rendezvous_weight(key, p.number),
             )
             for p in posts
         ]
 
     def _pick(self):
         """The best runner with room, and a slot there."""
-        now = steady()
+        now = monotonic()
         posts = {p.id: p for p in self._runners()}
         pipes = self.know.lines.connections(self.service)
-        note("weighed runners", len(posts))
+        count_event("weighed runners", len(posts))
         for s in choose(self._stands(posts.values(), now), sum(n for _, n in self.ask.parts[:-1])):
             p = posts[s.id]
             if p.id in self.tried or p.open >= pipes[p.id]:
                 continue
             slot = self.know.counts.take(p.id, buckets_for(self.ask.route, p.slots, self.reserved), now, s.unread)
             if slot:
-                self.ask.yields = heavy(s.unread, p.kept.room, p.slots)
+                self.ask.yields = is_heavy_prefill(s.unread, p.kept.room, p.slots)
                 p.kept.saw(self.ask.parts)
                 self.know.tell.sent(p, self.ask.parts[:-1])
                 self.know.prefixes.sent(p, self.ask.parts[:-1])
@@ -143,31 +143,31 @@
         post, slot = picked
         self.tried.add(post.id)
         if self.attempts:
-            self.know.budget(self.service).spend(steady())
+            self.know.budget(self.service).spend(monotonic())
         self.attempts += 1
-        note("attempts")
+        count_event("attempts")
         return Attempt(self.know, self.ask, post, slot, self._look_elsewhere)
 
     def _plan(self, verdict):
         r = self.ask.route
-        return Plan(
+        return RetryContext(
             r.repeatable,
             r.max_attempts,
             self.attempts,
             verdict,
             self.out is not None,
             self.left(),
-            self.attempts == 0 or self.know.budget(self.service).allowed(steady(), self.know.nodes()),
+            self.attempts == 0 or self.know.budget(self.service).allowed(monotonic(), self.know.nodes()),
             any(p.id not in self.tried for p in self._runners()),
         )
 
     # -- the whole way ------------------------------------------------------
     async def run(self):
         """Brings the reply, whatever it is."""
-        self.know.budget(self.service).asked(steady())
+        self.know.budget(self.service).asked(monotonic())
         try:
             return await self._run()
-        except ClientGone as error:
+        except ClientDisconnectedError as error:
             self.outcome = Outcome.CLIENT_LEFT
             raise asyncio.CancelledError from error
         except asyncio.CancelledError:
@@ -184,7 +184,7 @@
                 place = await self.know.lines.enter(self.service, self.ask)
         except TimeoutError:
             return self._give_up(GiveUp(503))
-        if isinstance(place, Away):
+        if isinstance(place, Rejected):
             return self._give_up(GiveUp(503), place.back)
         self.reserved = place.reserved
         try:
@@ -206,16 +206,16 @@
             attempt = await self._opened_ahead()
             if attempt is not None:
                 continue
-            step = after(self._plan(verdict if self.ask.route.repeatable else self.worst))
+            step = next_step(self._plan(verdict if self.ask.route.repeatable else self.worst))
             if isinstance(step, GiveUp):
                 return self._give_up(step)
             attempt = self._next_attempt()
-        return self._give_up(after(evolve(self._plan(verdict), others=False)))
+        return self._give_up(next_step(evolve(self._plan(verdict), others=False)))
 
     def expire(self):
         """This router ends: what can still be answered is answered now."""
         self.expired = True
-        self.ask.horizon = steady()
+        self.ask.horizon = monotonic()
         self._drop_ahead()
         if self.limit is not None:
             self._end_at(asyncio.get_running_loop().time())
@@ -279,7 +279,7 @@
             return response.status == 200
         if response.status < 500 or not self.ask.route.repeatable:
             return True
-        return not isinstance(after(self._plan(MAY_HAVE_RUN)), Retry)
+        return not isinstance(next_step(self._plan(MAY_HAVE_RUN)), Retry)
 
     # -- silence --------------------------------------------------------------
     def _look_elsewhere(self):
@@ -290,11 +290,11 @@
         """
         if self.ahead is not None or not self.ask.route.repeatable:
             return
-        if not isinstance(after(self._plan(MAY_HAVE_RUN)), Retry):
+        if not isinstance(next_step(self._plan(MAY_HAVE_RUN)), Retry):
             return
         attempt = self._next_attempt()
         if attempt is not None:
-            self.ahead = Ahead(attempt, self.thread.last, self.left(), self._ahead_opened)
+            self.ahead = HedgedAttempt(attempt, self.thread.last, self.left(), self._ahead_opened)
 
     def _ahead_opened(self):
         """The other runner has answered: it takes over, unless it refuses or fails."""
@@ -351,7 +351,7 @@
         return await self._finish()
 
     async def _relay_stream(self, attempt):
-        response, split = attempt.response, Splitter()
+        response, split = attempt.response, EventSplitter()
         joined = self.ask.route.repeatable
         length = None if joined else response.headers.get("Content-Length")
         async for raw in response.content.iter_any():
@@ -397,4 +397,4 @@
         try:
             await sending
         except (aiohttp.ClientError, OSError) as error:
-            raise ClientGone from error
+            raise ClientDisconnectedError from error
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -7,13 +7,13 @@
 from aiohttp import web
 from mode import Service
 
-from sparloom.feed import POLICY, RUNNERS
-from sparloom.metrics.reporter import figures
-from sparloom.transport import bind, steady
+from sparloom.feed import CONFIGURATION, ENDPOINTS
+from sparloom.metrics.reporter import process_figures
+from sparloom.transport import bind, monotonic
 
 from .client_connections import LEAST_IDLE, ClientServer
-from .forwarding import Forwarding
-from .graceful_shutdown import Ending
+from .forwarding import RequestForwarder
+from .graceful_shutdown import GracefulShutdown
 from .outcomes import Outcome, Outcomes
 from .request import make, time_left
 
@@ -22,7 +22,7 @@
 NOT_KNOWN_YET = "0.2"
 
 
-class Front(Service):
+class Frontend(Service):
     """Takes requests and sends replies."""
 
     def __init__(self, up, know):
@@ -83,13 +83,13 @@
 
     def beliefs(self):
         """What this router believes, for the comparison."""
-        k, now = self.know, steady()
+        k, now = self.know, monotonic()
         return {
             "node": self.up.node,
             "role": "router",
             "key": k.key,
-            "policy": list(k.shelf.stamp(POLICY)),
-            "runners": list(k.shelf.stamp(RUNNERS)),
+            "policy": list(k.shelf.stamp(CONFIGURATION)),
+            "runners": list(k.shelf.stamp(ENDPOINTS)),
             "revision": k.policy.revision if k.policy else 0,
             "members": {p.key: ["alive", "suspect", "dead"][p.state] for p in (e.peer for e in k.swim.table.values())},
             "fleet": {p.id: "draining" if p.draining else "ready" for p in k.fleet.posts.values()},
@@ -102,7 +102,7 @@
             "requests": self.outcomes.figures(),
             "isolation": self.up.isolation.fingerprints() if self.up.isolation else [],
             "runnersBeforeIsolation": k.lives_before_isolation(),
-            "meter": figures(),
+            "meter": process_figures(),
         }
 
     async def _handle(self, req):
@@ -116,7 +116,7 @@
             connection.request_ended()
 
     async def _take(self, req):
-        now, k = steady(), self.know
+        now, k = monotonic(), self.know
         await k.wait_known(time_left(req.headers, self.up.bounds.contact))
         policy = k.policy
         if policy is None:
@@ -131,13 +131,13 @@
         if route is None:
             return web.Response(status=404)
         ask = make(req, body, route, k.policy, now, k.lines.member(route), self.up.isolation)
-        return await self._forward(Forwarding(k, req, ask, lambda: self.stopping))
+        return await self._forward(RequestForwarder(k, req, ask, lambda: self.stopping))
 
     async def _forward(self, forwarding):
         """Forwards a request, or refuses it where this router ends before it may."""
         self.forwarding.add(forwarding)
         try:
-            if self.ending and not self.ending.admits(steady(), forwarding.ask.horizon):
+            if self.ending and not self.ending.admits(monotonic(), forwarding.ask.horizon):
                 return forwarding.refuse()
             return await forwarding.run()
         finally:
@@ -173,9 +173,9 @@
     # -- a planned end --------------------------------------------------------
     async def drain(self):
         """Unready at once; later listens no more and ends each connection as its requests are done."""
-        self.ending = Ending.of(steady(), self.up.bounds.grace)
+        self.ending = GracefulShutdown.of(monotonic(), self.up.bounds.grace)
         logging.info("front: unready; %d requests are in hand.", len(self.forwarding))
-        await asyncio.sleep((self.ending.takes_until - steady()).total_seconds())
+        await asyncio.sleep((self.ending.takes_until - monotonic()).total_seconds())
         await self._stop_listening()
         await self._finish(self.ending.breaks_off)
         if self.forwarding:
@@ -191,7 +191,7 @@
 
     async def _finish(self, until):
         """Waits until no client is connected; ends the connections on which nothing is under way."""
-        while steady() < until:
+        while monotonic() < until:
             self.client_server.end_resting()
             await asyncio.sleep(DRAIN_POLL.total_seconds())
             if not self.client_server.connections:
--- a/sparloom/router/graceful_shutdown.py
+++ b/sparloom/router/graceful_shutdown.py
@@ -22,7 +22,7 @@
 
 
 @define(frozen=True, slots=True)
-class Ending:
+class GracefulShutdown:
     """The moments of a planned end, on the steady clock.
 
     ``takes_until``: until then requests are taken as ever. ``breaks_off``: what
@@ -38,7 +38,7 @@
     def of(cls, now, grace):
         """The end of a router that was told so now.
 
-        >>> Ending.of(timedelta(0), timedelta(seconds=8)).takes_until.total_seconds()
+        >>> GracefulShutdown.of(timedelta(0), timedelta(seconds=8)).takes_until.total_seconds()
         2.75
         """
         takes_for = min(TAKES_FOR, grace * TAKES_FOR_PART)
@@ -47,7 +47,7 @@
     def admits(self, now, deadline):
         """Whether a request that was read whole now is taken, by its deadline.
 
-        >>> ending = Ending.of(timedelta(0), timedelta(seconds=8))
+        >>> ending = GracefulShutdown.of(timedelta(0), timedelta(seconds=8))
         >>> ending.admits(timedelta(seconds=4), timedelta(seconds=6))
         True
         >>> ending.admits(timedelta(seconds=4), timedelta(seconds=9))
--- a/sparloom/router/in_flight_gossip.py
+++ b/sparloom/router/in_flight_gossip.py
@@ -8,32 +8,32 @@
 import os
 from functools import singledispatchmethod
 
-from sparloom.aggregation import Sum, Sums, Total, Up, short
-from sparloom.dynamic_timeout import Held, Holding, Read
+from sparloom.aggregation import FleetTotal, GroupAggregate, InFlightAggregator, MemberUpdate, short
+from sparloom.dynamic_timeout import InFlightReport, InFlightUpdate, PrefixPlacement
 from sparloom.membership import ROUTER
-from sparloom.transport import steady
+from sparloom.transport import monotonic
 
 LONG = 1024
-WORDS = (Holding, Up, Sum, Total)
+WORDS = (InFlightUpdate, MemberUpdate, GroupAggregate, FleetTotal)
 
 
-class Tell:
+class InFlightGossip:
     """Words about calls in flight and about long prompts, both ways."""
 
     def __init__(self, know):
         self.know = know
         self.life, self.said = int.from_bytes(os.urandom(7)), None
-        self.sums = Sums(know.key, self.life, know.up.bounds.contact)
+        self.sums = InFlightAggregator(know.key, self.life, know.up.bounds.contact)
         self.reads, self.soon, self.timer = [], False, None
         self.fleet, self.shorts, self.tiered = None, {}, False
         self.seen, self.up = None, {}
 
     def sent(self, post, parts):
         """A prompt went out: the other routers hear at once of its long parts."""
-        reads = [Read(post.number, k, n) for k, n in parts if n >= LONG]
+        reads = [PrefixPlacement(post.number, k, n) for k, n in parts if n >= LONG]
         if reads and self.tiered:
-            self._note(steady())
-            self.sums.read(steady(), reads)
+            self._note(monotonic())
+            self.sums.read(monotonic(), reads)
             self._hurry()
         elif reads:
             self.reads += reads
@@ -47,10 +47,10 @@
     # -- words out ----------------------------------------------------------
     def _held(self):
         """What this router holds now, per runner."""
-        k, now = self.know, steady()
+        k, now = self.know, monotonic()
         posts = k.fleet.posts
         return [
-            Held(
+            InFlightReport(
                 posts[id].number,
                 min(n, 0xFFFF),
                 min(k.counts.weight.get(id, 0), 0xFFFFFFFF),
@@ -70,22 +70,25 @@
         if not k.tier.stands and (turn % 4 == 0 or self.soon):
             self._directly(turn)
         if self.tiered and turn % 20 == 0:
-            k.counts.called(self._up().items(), steady())
+            k.counts.called(self._up().items(), monotonic())
         if self.tiered or was:
             self._through(was)
             if turn % (2 if self.sums.acting else 4) == 0 or not self.tiered:
-                self._take_view(steady())
+                self._take_view(monotonic())
 
     def _directly(self, turn):
         k, held = self.know, self._held()
         if held == self.said and turn % 20 and not self.reads:
             return
         self.said, self.soon = held, False
-        rec, self.reads = Holding(k.key, self.life, self.sums.word(steady()), k.crowd.divisor, held, self.reads), []
+        rec, self.reads = (
+            InFlightUpdate(k.key, self.life, self.sums.word(monotonic()), k.crowd.divisor, held, self.reads),
+            [],
+        )
         k.net.send(tuple(self._up()), rec)
 
     def _through(self, was):
-        k, now, up = self.know, steady(), self._up()
+        k, now, up = self.know, monotonic(), self._up()
         if not was:
             for key, p in k.counts.peers.items():
                 self.sums.hear_direct(
@@ -113,14 +116,14 @@
 
     def _hurry(self):
         """Long prompts do not wait for the next beat."""
-        wait = self.sums.wait(steady())
+        wait = self.sums.wait(monotonic())
         if wait is not None and not wait and not self.sums.acting:
-            self._send(steady())
+            self._send(monotonic())
         elif wait is not None and self.timer is None:
             self.timer = self.later(wait, self._flush)
 
     def _flush(self):
-        self.timer, now = None, steady()
+        self.timer, now = None, monotonic()
         self._send(now)
         if self.sums.acting:
             self._take_view(now)
@@ -157,18 +160,18 @@
     @singledispatchmethod
     def hear(self, rec, src):
         """Takes another router's word; one of a life that is known gone tells nothing."""
-        now = steady()
+        now = monotonic()
         if not self.know.swim.holds(rec.key, rec.life):
             return
         self.sums.hear(now, rec)
         self._saw(rec.reads)
-        if isinstance(rec, Total):
+        if isinstance(rec, FleetTotal):
             self._take_view(now)
         self._hurry()
 
     @hear.register
-    def _(self, rec: Holding, src):
-        k, now = self.know, steady()
+    def _(self, rec: InFlightUpdate, src):
+        k, now = self.know, monotonic()
         if not k.swim.holds(rec.key, rec.life):
             return
         k.counts.hear(rec, now, k.fleet.numbers)
@@ -189,7 +192,7 @@
 
     def crowds(self):
         """What the others divide by, as far as they told; a newcomer waits for its first total."""
-        k, now, up = self.know, steady(), self._up()
+        k, now, up = self.know, monotonic(), self._up()
         if k.counts.shared is not None:
             return self.sums.crowds(now)
         told = {key: p.crowd for key, p in k.counts.peers.items() if key in up}
--- a/sparloom/router/inactivity_timer.py
+++ b/sparloom/router/inactivity_timer.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 
-class SilenceWatch:
+class InactivityTimer:
     """The timeout of one call, from sign to sign of its runner.
 
     Its end marks the runner as doubtful, and ``on_silence`` is called, again
--- a/sparloom/router/prefix_recall.py
+++ b/sparloom/router/prefix_recall.py
@@ -2,17 +2,17 @@
 
 import asyncio
 
-from sparloom.dynamic_timeout import Read
+from sparloom.dynamic_timeout import PrefixPlacement
 from sparloom.membership import CONTROLLER
-from sparloom.prefix_cache import Reads, Recall
-from sparloom.transport import steady
+from sparloom.prefix_cache import PlacementQuery, PrefixPlacements
+from sparloom.transport import monotonic
 
 from .in_flight_gossip import LONG
 
 TURNS = 20
 
 
-class Prefixes:
+class PrefixRecall:
     """This router's side of the memory.
 
     A router that starts knows nothing of what runners keep, and after a loss
@@ -43,9 +43,11 @@
                 items = list(self.batch.items())
                 self.batch = {}
                 for i in range(0, len(items), 48):
-                    k.net.send(near.key, Reads([Read(r, part, n) for (r, part), n in items[i : i + 48]]))
+                    k.net.send(
+                        near.key, PrefixPlacements([PrefixPlacement(r, part, n) for (r, part), n in items[i : i + 48]])
+                    )
         if self.began is not None and turn % 4 == 0:
-            if steady() - self.began > k.up.bounds.contact:
+            if monotonic() - self.began > k.up.bounds.contact:
                 self.began = None
             else:
                 self._ask()
@@ -53,7 +55,7 @@
     def ask(self):
         """Asks all controllers at the start; ``known`` is set once they answered, or after a moment."""
         if self.began is None:
-            self.began = steady()
+            self.began = monotonic()
             self._ask()
             asyncio.get_running_loop().call_later(self.know.up.bounds.contact.total_seconds() / 30, self.know.known.set)
 
@@ -61,7 +63,7 @@
         k = self.know
         self.asked = frozenset(k.seeds) | {p.key for p in k.swim.alive() if p.role == CONTROLLER}
         for to in self.asked - self.heard:
-            k.net.send(to, Recall(k.key))
+            k.net.send(to, PlacementQuery(k.key))
 
     def hear(self, src, rec):
         """Takes an answer: what it tells is older than all that this router has seen itself."""
--- a/sparloom/router/program.py
+++ b/sparloom/router/program.py
@@ -7,13 +7,13 @@
 from mode import Service
 
 from sparloom.launch.early_listen import hangup_came
-from sparloom.metrics import interval
-from sparloom.metrics.reporter import Metering
+from sparloom.metrics import report_interval
+from sparloom.metrics.reporter import MetricsReporter
 from sparloom.settings import read
-from sparloom.transport import Watch
+from sparloom.transport import FileWatch
 
-from .frontend import Front
-from .router_state import Know
+from .frontend import Frontend
+from .router_state import RouterState
 
 
 class Router(Service):
@@ -22,15 +22,15 @@
     def __init__(self, up, path):
         super().__init__()
         self.up, self.path = up, path
-        self.watch = Watch(path)
-        self.know = Know(up)
-        self.front = Front(up, self.know)
+        self.watch = FileWatch(path)
+        self.know = RouterState(up)
+        self.front = Frontend(up, self.know)
 
     async def on_start(self):
         await self.add_runtime_dependency(self.know)
         await self.add_runtime_dependency(self.front)
-        if interval():
-            await self.add_runtime_dependency(Metering(self.up.node, interval()))
+        if report_interval():
+            await self.add_runtime_dependency(MetricsReporter(self.up.node, report_interval()))
 
     def reread(self):
         """Reads the startup file again; a bad one is logged and changes nothing."""
--- a/sparloom/router/relay_server.py
+++ b/sparloom/router/relay_server.py
@@ -5,13 +5,13 @@
 from mode import Service
 
 from sparloom.codec import DecodeError
-from sparloom.feed import UNSURE, Follow
-from sparloom.feed.serving import MS, serve
+from sparloom.feed import UNCONFIRMED, Subscribe
+from sparloom.feed.serving import MS, serve_follower
 from sparloom.settings import Address
-from sparloom.transport import Frames, bind, steady
+from sparloom.transport import Frames, bind, monotonic
 
 
-class Serve(Service):
+class RelayServer(Service):
     """Serves followers while this router itself follows a controller.
 
     The port is not bound early: a router that is not ready to serve should
@@ -62,17 +62,17 @@
 
     def pulse_age(self):
         """ms since the primary was confirmed, as known here; it grows while this router is cut off."""
-        age = self.follow.upstream.tracker.known(steady())
-        return UNSURE if age is None else min(UNSURE - 1, int(age / MS))
+        age = self.follow.upstream.tracker.known(monotonic())
+        return UNCONFIRMED if age is None else min(UNCONFIRMED - 1, int(age / MS))
 
     async def _pipe(self, reader, writer):
         frames = Frames(reader, writer)
         try:
             async with asyncio.timeout(self.patience.total_seconds()):
                 first = await frames.read()
-            if isinstance(first, Follow) and self.open() and len(self.followers) < self.follow.upstream.room():
+            if isinstance(first, Subscribe) and self.open() and len(self.followers) < self.follow.upstream.room():
                 self.followers[frames] = first.node
-                await serve(frames, first.place, self)
+                await serve_follower(frames, first.place, self)
         except (OSError, EOFError, DecodeError, TimeoutError, asyncio.CancelledError):
             pass
         finally:
@@ -81,7 +81,7 @@
 
     def told(self):
         """This router's place in the tier, for its beliefs."""
-        up, now = self.follow.upstream, steady()
+        up, now = self.follow.upstream, monotonic()
         age = up.tracker.known(now)
         return {
             "follows": up.parent,
--- a/sparloom/router/request.py
+++ b/sparloom/router/request.py
@@ -7,7 +7,7 @@
 
 from sparloom.isolation import part_ids
 from sparloom.load_balancing import parse_parts
-from sparloom.retry.verdict import Head
+from sparloom.retry.verdict import ResponseHead
 
 HOP = frozenset(
     (
@@ -31,7 +31,7 @@
 
 
 @define(slots=True)
-class Ask:
+class Request:
     """One ask, read whole."""
 
     id: str
@@ -71,7 +71,7 @@
     ids = answer.headers.getall(ID, [])
     coding = answer.headers.get("Transfer-Encoding")
     framed = coding is None and ("Content-Length" in answer.headers or answer.status in (204, 304))
-    return Head(
+    return ResponseHead(
         status=answer.status,
         not_run=NOT_RUN in answer.headers,
         sealed=SEAL in answer.headers,
@@ -104,7 +104,7 @@
     """An ask from what the server read; with isolation its parts are numbered under its member's key."""
     heads = end_to_end(req.raw_headers)
     prompt = heads.get(PARTS)
-    return Ask(
+    return Request(
         heads.get(ID, ""),
         req.method,
         req.raw_path,
