--- a/sparloom/router/router_state.py
+++ b/sparloom/router/router_state.py
@@ -7,43 +7,43 @@
 
 from mode import Service
 
-from sparloom.admission import Crowd
-from sparloom.dynamic_timeout import Counts
-from sparloom.membership import ROUTER, SUSPECT, Ack, Compare, Peer, Ping, PingRequest, Swim, Times
-from sparloom.prefix_cache import Reads
-from sparloom.relay import Tier, plan
-from sparloom.retry import Budget
-from sparloom.transport import Datagrams, steady
-
-from .admission_queues import Lines
-from .backends import Fleet
-from .feed_client import Follow
-from .in_flight_gossip import WORDS, Tell
-from .prefix_recall import Prefixes
-from .relay_server import Serve
+from sparloom.admission import FleetSize
+from sparloom.dynamic_timeout import InFlightCounts
+from sparloom.membership import ROUTER, SUSPECT, Ack, Peer, Ping, PingRequest, Swim, SwimTiming, TableComparison
+from sparloom.prefix_cache import PrefixPlacements
+from sparloom.relay import RelayTier, plan_tier
+from sparloom.retry import RetryBudget
+from sparloom.transport import Datagrams, monotonic
+
+from .admission_queues import AdmissionQueues
+from .backends import BackendTable
+from .feed_client import FeedClient
+from .in_flight_gossip import WORDS, InFlightGossip
+from .prefix_recall import PrefixRecall
+from .relay_server import RelayServer
 
 TICK = timedelta(milliseconds=50)
 
 
-class Know(Service):
+class RouterState(Service):
     """The router's picture of the world; other parts read its snapshots."""
 
     def __init__(self, up):
         super().__init__()
         self.up = up
         self.key = f"{up.ip}:{up.router_port}"
-        self.policy, self.listed, self.fleet = None, None, Fleet()
+        self.policy, self.listed, self.fleet = None, None, BackendTable()
         self.sure = False
         con = up.bounds.contact
-        self.counts = Counts(con)
-        self.budgets, self.born = {}, steady()
-        self.crowd, self.lines = Crowd(con), Lines(self)
+        self.counts = InFlightCounts(con)
+        self.budgets, self.born = {}, monotonic()
+        self.crowd, self.lines = FleetSize(con), AdmissionQueues(self)
         self.known = asyncio.Event()
         self.before_isolation = frozenset()
         self.swim = None
-        self.rng, self.tier, self.members = random.Random(), Tier(), None
-        self.follow, self.tell, self.prefixes = Follow(self), Tell(self), Prefixes(self)
-        self.serve = Serve(self, self.follow)
+        self.rng, self.tier, self.members = random.Random(), RelayTier(), None
+        self.follow, self.tell, self.prefixes = FeedClient(self), InFlightGossip(self), PrefixRecall(self)
+        self.serve = RelayServer(self, self.follow)
 
     @property
     def shelf(self):
@@ -60,7 +60,7 @@
         return (
             self.policy is not None
             and self.listed is not None
-            and (self.sure or steady() - self.born > self.up.bounds.contact * 2)
+            and (self.sure or monotonic() - self.born > self.up.bounds.contact * 2)
         )
 
     def note_isolation(self, isolation):
@@ -81,12 +81,12 @@
         b = self.budgets.get(service)
         if b is None:
             bd = self.up.bounds
-            b = self.budgets[service] = Budget(bd.budget_window, bd.budget_ratio, bd.budget_slack, self.born)
+            b = self.budgets[service] = RetryBudget(bd.budget_window, bd.budget_ratio, bd.budget_slack, self.born)
         return b
 
     async def on_start(self):
         peer = Peer(self.key, ROUTER, self.up.zone, "", self.tell.life, 0, 0)
-        self.swim = Swim(peer, self.seeds, Times.of(self.up.bounds.contact), self.rng)
+        self.swim = Swim(peer, self.seeds, SwimTiming.of(self.up.bounds.contact), self.rng)
         self.net = await Datagrams.open(self.up.ip, self.up.router_port, self._arrive)
         await self.add_runtime_dependency(self.serve)
         await self.add_runtime_dependency(self.follow)
@@ -102,10 +102,10 @@
     def _arrive(self, src, rec):
         if isinstance(rec, WORDS):
             self.tell.hear(rec, src)
-        elif isinstance(rec, Reads):
+        elif isinstance(rec, PrefixPlacements):
             self.prefixes.hear(src, rec)
-        elif isinstance(rec, (Ping, Ack, PingRequest, Compare)):
-            for s in self.swim.receive(steady(), src, rec):
+        elif isinstance(rec, (Ping, Ack, PingRequest, TableComparison)):
+            for s in self.swim.receive(monotonic(), src, rec):
                 self.net.send(s.to, s.rec)
             self._drop_ended()
 
@@ -118,7 +118,7 @@
         """Notes by how many routers the whole is divided."""
         up = sorted(p.key for p in self.swim.alive() if p.role == ROUTER)
         self.crowd.see(
-            steady(), 1 + len(up), self.listed.crowd if self.listed else 0, self.tell.crowds(), bisect(up, self.key)
+            monotonic(), 1 + len(up), self.listed.crowd if self.listed else 0, self.tell.crowds(), bisect(up, self.key)
         )
 
     def see_tier(self):
@@ -126,15 +126,15 @@
         up = [p for p in self.swim.alive() if p.role == ROUTER]
         members = frozenset((p.key, p.zone) for p in up)
         if members != self.members:
-            self.members, self.tier = members, plan(self.key, self.up.zone, list(members))
-        self.follow.upstream.see(steady(), self.tier, frozenset(p.key for p in up if p.state == SUSPECT))
+            self.members, self.tier = members, plan_tier(self.key, self.up.zone, list(members))
+        self.follow.upstream.see(monotonic(), self.tier, frozenset(p.key for p in up if p.state == SUSPECT))
 
     @Service.task
     async def _beat(self):
         turn = 0
         while not self.should_stop:
             turn += 1
-            for s in self.swim.tick(steady()):
+            for s in self.swim.tick(monotonic()):
                 self.net.send(s.to, s.rec)
             self._drop_ended()
             self.lines.tick()
--- a/sparloom/router/target.py
+++ b/sparloom/router/target.py
@@ -28,7 +28,7 @@
     return URL(f"http://{address}/#{MARK}{target}", encoded=True)
 
 
-class Request(ClientRequest):
+class RawTargetRequest(ClientRequest):
     """A request that honours such a fragment."""
 
     async def send(self, conn):
--- a/sparloom/settings/__init__.py
+++ b/sparloom/settings/__init__.py
@@ -1,15 +1,27 @@
 """The startup (settings) file of a process: read, checked, reread."""
 
-from .checks import Address, Bounds, CloudApi, Limits, Listen, Startup, Tolerated, from_dict, read, read_toml, where
+from .checks import (
+    Address,
+    Bounds,
+    CloudApi,
+    Limits,
+    ListenAddresses,
+    Settings,
+    ToleratedLosses,
+    from_dict,
+    read,
+    read_toml,
+    where,
+)
 
 __all__ = [
     "Address",
     "Bounds",
     "CloudApi",
     "Limits",
-    "Listen",
-    "Startup",
-    "Tolerated",
+    "ListenAddresses",
+    "Settings",
+    "ToleratedLosses",
     "from_dict",
     "read",
     "read_toml",
--- a/sparloom/settings/checks.py
+++ b/sparloom/settings/checks.py
@@ -9,7 +9,7 @@
 from returns.result import Failure, Result, Success
 
 from sparloom import isolation
-from sparloom.admission.member import declared
+from sparloom.admission.member import parse_members
 from sparloom.isolation import Isolation
 
 VARIABLE = "SPARLOOM_CONFIG"
@@ -33,7 +33,7 @@
 
 
 @define(frozen=True, slots=True)
-class Listen:
+class ListenAddresses:
     """Where the process serves; a part that it does not serve is None."""
 
     front: Address | None = None
@@ -50,7 +50,7 @@
 
 
 @define(frozen=True, slots=True)
-class Tolerated:
+class ToleratedLosses:
     """What may be lost at once while every promise still holds."""
 
     machines: int = 0
@@ -61,7 +61,7 @@
     def copies(self):
         """How many backups a write needs besides its primary.
 
-        >>> Tolerated(machines=1).copies
+        >>> ToleratedLosses(machines=1).copies
         1
         """
         return max(self.machines, self.zones, self.regions)
@@ -93,7 +93,7 @@
 
 
 @define(frozen=True, slots=True)
-class Startup:
+class Settings:
     """All that a process is told when it starts."""
 
     node: str
@@ -102,13 +102,13 @@
     zone: str
     ports: tuple
     seeds: tuple
-    listen: Listen
+    listen: ListenAddresses
     zones: dict = field(factory=dict)
     first_start: bool = False
     counted: bool = False
     data: str | None = None
     limits: Limits = field(factory=Limits)
-    tolerated: Tolerated = field(factory=Tolerated)
+    tolerated: ToleratedLosses = field(factory=ToleratedLosses)
     bounds: Bounds = field(factory=Bounds)
     cloud: CloudApi | None = None
     members: tuple = ()
@@ -125,7 +125,7 @@
         return self.ports[0] + 1
 
 
-class Bad(Exception):
+class SettingsError(Exception):
     """A startup file that can't be used; its text is the sentence to print."""
 
 
@@ -144,16 +144,16 @@
     keys, value = path.split("."), table
     for key in keys:
         if not isinstance(value, dict):
-            raise Bad(f"{path} can't be read: {keys[0]} must be a table.")
+            raise SettingsError(f"{path} can't be read: {keys[0]} must be a table.")
         value = value.get(key)
         if value is None:
             if needed:
-                raise Bad(f"{path} is missing.")
+                raise SettingsError(f"{path} is missing.")
             return default
     if kind is float and type(value) is int:
         value = float(value)
     if type(value) is not kind:
-        raise Bad(f"{path} must be {_KINDS[kind]}.")
+        raise SettingsError(f"{path} must be {_KINDS[kind]}.")
     return value
 
 
@@ -164,7 +164,7 @@
 def _address(value, path):
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not host or not port.isdigit() or not _is_port(int(port)):
-        raise Bad(f"{path} must be HOST:PORT.")
+        raise SettingsError(f"{path} must be HOST:PORT.")
     return Address(host, int(port))
 
 
@@ -172,9 +172,9 @@
     """A whole number or a fraction, as it stands; the operators write either."""
     value = _get(table, path, float, default)
     if value < 0:
-        raise Bad(f"{path} must not be negative.")
+        raise SettingsError(f"{path} must not be negative.")
     if not isfinite(value):
-        raise Bad(f"{path} must be a number with an end.")
+        raise SettingsError(f"{path} must be a number with an end.")
     return value
 
 
@@ -191,7 +191,7 @@
 def _ports(table):
     ports = _get(table, "internalPortRange", list, needed=True)
     if len(ports) != 2 or not all(map(_is_port, ports)) or ports[1] <= ports[0]:
-        raise Bad("internalPortRange must be two rising port numbers.")
+        raise SettingsError("internalPortRange must be two rising port numbers.")
     return tuple(ports)
 
 
@@ -202,7 +202,7 @@
 def _listen(table):
     given = _get(table, "listenAddresses", dict, {})
     names = [name for name in ("front", "readiness", "control") if name in given]
-    return Listen(**{name: _address(given[name], f"listenAddresses.{name}") for name in names})
+    return ListenAddresses(**{name: _address(given[name], f"listenAddresses.{name}") for name in names})
 
 
 def _limits(table):
@@ -213,7 +213,7 @@
 
 
 def _tolerated(table):
-    return Tolerated(
+    return ToleratedLosses(
         machines=_count(table, "toleratedLosses.machines", whole=ceil),
         zones=_count(table, "toleratedLosses.zones", whole=ceil),
         regions=_count(table, "toleratedLosses.regions", whole=ceil),
@@ -240,7 +240,7 @@
     """Where the platform's list is, or None where there is none; the rate is checked in any case."""
     rate = _get(table, "cloudApi.ratePerS", float, 1.0)
     if rate <= 0:
-        raise Bad("cloudApi.ratePerS must be above 0.")
+        raise SettingsError("cloudApi.ratePerS must be above 0.")
     address = _get(table, "cloudApi.address", str)
     if not address:
         return None
@@ -249,16 +249,16 @@
 
 
 def _members(table):
-    given = declared(table.get("members", {}))
+    given = parse_members(table.get("members", {}))
     if not isinstance(given, Success):
-        raise Bad(given.failure())
+        raise SettingsError(given.failure())
     return given.unwrap()
 
 
 def _isolation(table, members):
     given = isolation.declared(table.get("isolation"), members)
     if not isinstance(given, Success):
-        raise Bad(given.failure())
+        raise SettingsError(given.failure())
     return given.unwrap()
 
 
@@ -266,7 +266,7 @@
     ports = _ports(table)
     cloud = _cloud(table)
     members = _members(table)
-    return Startup(
+    return Settings(
         node=_get(table, "nodeName", str, needed=True),
         role=_get(table, "role", str, ""),
         ip=_get(table, "ipAddress", str, needed=True),
@@ -295,7 +295,7 @@
     """
     try:
         return Success(_build(table))
-    except Bad as e:
+    except SettingsError as e:
         return Failure(str(e))
 
 
--- a/sparloom/transport/__init__.py
+++ b/sparloom/transport/__init__.py
@@ -1,7 +1,7 @@
 """Sockets for the project's own records, and the clock that they go by."""
 
-from .clock import steady
-from .file_watch import Watch
-from .sockets import Datagrams, DialPatience, Frames, bind, dial, tune
+from .clock import monotonic
+from .file_watch import FileWatch
+from .sockets import Datagrams, DialTimeout, Frames, bind, dial, tune
 
-__all__ = ["Datagrams", "DialPatience", "Frames", "Watch", "bind", "dial", "steady", "tune"]
+__all__ = ["Datagrams", "DialTimeout", "FileWatch", "Frames", "bind", "dial", "monotonic", "tune"]
--- a/sparloom/transport/clock.py
+++ b/sparloom/transport/clock.py
@@ -4,10 +4,10 @@
 from datetime import timedelta
 
 
-def steady():
+def monotonic():
     """Time on the steady clock; the time of day is never asked.
 
-    >>> steady() <= steady()
+    >>> monotonic() <= monotonic()
     True
     """
     return timedelta(seconds=time.monotonic())
--- a/sparloom/transport/file_watch.py
+++ b/sparloom/transport/file_watch.py
@@ -6,10 +6,10 @@
 
 
 @define(slots=True)
-class Watch:
+class FileWatch:
     """A file's last known make.
 
-    >>> Watch("/nowhere").changed()
+    >>> FileWatch("/nowhere").changed()
     False
     """
 
@@ -29,7 +29,7 @@
     def changed(self):
         """Whether the file changed since the last question.
 
-        >>> Watch("/nowhere").changed()
+        >>> FileWatch("/nowhere").changed()
         False
         """
         old, self.mark = self.mark, self._look()
--- a/sparloom/transport/sockets.py
+++ b/sparloom/transport/sockets.py
@@ -9,7 +9,7 @@
 
 from sparloom.codec import DecodeError, pack, unpack
 from sparloom.launch.early_listen import take
-from sparloom.metrics import here
+from sparloom.metrics import current_meter
 
 _SIZE = struct.Struct("!I")
 MOST = 1 << 25
@@ -52,7 +52,7 @@
     earlier life of the process at an address: what its record says of life and
     sequence is checked by those who take it.
 
-    >>> from sparloom.feed import Follow
+    >>> from sparloom.feed import Subscribe
     >>> async def to_itself(record):
     ...     got = asyncio.get_running_loop().create_future()
     ...     there = await Datagrams.open("127.0.0.1", 0, lambda sender, record: got.set_result((sender, record)))
@@ -62,12 +62,12 @@
     ...     sender, record = await got
     ...     there.close()
     ...     return sender == f"{host}:{port}", record.node
-    >>> asyncio.run(to_itself(Follow("router-1", 0, 0, 0, 0)))
+    >>> asyncio.run(to_itself(Subscribe("router-1", 0, 0, 0, 0)))
     (True, 'router-1')
     """
 
     def __init__(self, take):
-        self.take, self.transport, self.addrs, self.meter = take, None, {}, here()
+        self.take, self.transport, self.addrs, self.meter = take, None, {}, current_meter()
 
     @classmethod
     async def open(cls, host, port, take):
@@ -119,7 +119,7 @@
 class Frames:
     """Records over a connection, each with its size ahead.
 
-    >>> from sparloom.feed import Follow
+    >>> from sparloom.feed import Subscribe
     >>> async def there(record):
     ...     arrived = asyncio.get_running_loop().create_future()
     ...     server = await asyncio.start_server(lambda r, w: arrived.set_result(Frames(r, w)), "127.0.0.1", 0)
@@ -130,12 +130,12 @@
     ...     for end in (near, far, server):
     ...         end.close()
     ...     return got.node
-    >>> asyncio.run(there(Follow("router-1", 0, 0, 0, 0)))
+    >>> asyncio.run(there(Subscribe("router-1", 0, 0, 0, 0)))
     'router-1'
     """
 
     def __init__(self, reader, writer):
-        self.reader, self.writer, self.meter = reader, writer, here()
+        self.reader, self.writer, self.meter = reader, writer, current_meter()
         if self.meter is not None:
             self.meter.add("pipe opened")
 
@@ -189,14 +189,14 @@
 
 
 @define(slots=True)
-class DialPatience:
+class DialTimeout:
     """How long connections may take to open: little at first, half as much again after each that took too long.
 
     A machine without power swallows the opening packet, and the system sends
     it again only after a second. To try anew is cheap and finds the machine as
     soon as it listens; a peer that is far away gets the time that it needs.
 
-    >>> patience = DialPatience(timedelta(seconds=1), timedelta(seconds=3))
+    >>> patience = DialTimeout(timedelta(seconds=1), timedelta(seconds=3))
     >>> patience.took_too_long(); patience.span
     datetime.timedelta(seconds=1, microseconds=500000)
     >>> patience.opened(); patience.span
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -6,7 +6,16 @@
 
 from returns.pipeline import is_successful
 
-from sparloom.admission import Away, Crowd, Gate, Granted, Need, Room, Waits, declared
+from sparloom.admission import (
+    AdmissionController,
+    Admitted,
+    Capacity,
+    Demand,
+    FleetSize,
+    Queued,
+    Rejected,
+    parse_members,
+)
 from sparloom.configuration import Route
 from sparloom.router.timeout_buckets import buckets_for, most
 from tests.support.aggregation_fleet import Fleet as Sums
@@ -30,32 +39,32 @@
                 "members a, b add up to 1.4",
             ),
         ):
-            res = declared(table)
+            res = parse_members(table)
             self.assertFalse(is_successful(res))
             self.assertIn(words, res.failure())
 
 
 class Reserves(unittest.TestCase):
     def gate(self):
-        return Gate(Room(10, 1000), {"a": 0.3, "b": 0.3})
+        return AdmissionController(Capacity(10, 1000), {"a": 0.3, "b": 0.3})
 
     def enter(self, g, id, m, pri=0, tokens=0, at=0 * S, horizon=60 * S):
-        return type(g.enter(at, id, m, pri, Need(tokens), horizon))
+        return type(g.enter(at, id, m, pri, Demand(tokens), horizon))
 
     def test_a_flood_leaves_the_others_reserve(self):
         g = self.gate()
         got = [self.enter(g, i, "b") for i in range(20)]
-        self.assertEqual(got.count(Granted), 7)
-        self.assertEqual([self.enter(g, 100 + i, "a") for i in range(4)], [Granted] * 3 + [Waits])
+        self.assertEqual(got.count(Admitted), 7)
+        self.assertEqual([self.enter(g, 100 + i, "a") for i in range(4)], [Admitted] * 3 + [Queued])
 
     def test_tokens_are_held_too(self):
         g = self.gate()
         got = [self.enter(g, i, "b", tokens=200) for i in range(5)]
-        self.assertEqual(got.count(Granted), 3)
-        self.assertEqual(self.enter(g, 9, "a", tokens=300), Granted)
+        self.assertEqual(got.count(Admitted), 3)
+        self.assertEqual(self.enter(g, 9, "a", tokens=300), Admitted)
 
     def test_an_ask_larger_than_its_share_is_not_stuck_for_ever(self):
-        self.assertEqual(self.enter(self.gate(), 1, "a", tokens=10**6), Granted)
+        self.assertEqual(self.enter(self.gate(), 1, "a", tokens=10**6), Admitted)
 
     def test_the_line_goes_by_priority_then_age_and_stays_in_its_share(self):
         g = self.gate()
@@ -72,7 +81,7 @@
             for i in range(600):
                 now += rng.randrange(1, 20) * MS
                 if rng.random() < 0.6 or not held:
-                    got = g.enter(now, i, rng.choice("abz"), rng.randrange(2), Need(rng.randrange(300)), now + S)
+                    got = g.enter(now, i, rng.choice("abz"), rng.randrange(2), Demand(rng.randrange(300)), now + S)
                     seen.add(i)
                     acts = [got]
                 else:
@@ -80,11 +89,11 @@
                     held.discard(gone)
                     acts = g.leave(now, gone)
                 for a in acts + g.tick(now):
-                    if isinstance(a, Granted):
+                    if isinstance(a, Admitted):
                         self.assertNotIn(a.id, held)
                         held.add(a.id)
                         waits.discard(a.id)
-                    elif isinstance(a, Waits):
+                    elif isinstance(a, Queued):
                         waits.add(a.id)
                     else:
                         waits.discard(a.id)
@@ -97,15 +106,15 @@
         for i in range(7):
             self.enter(g, i, "b")
         g.hold = 2 * S
-        got = g.enter(0 * S, 50, "b", 0, Need(), S / 2)
-        self.assertIsInstance(got, Away)
+        got = g.enter(0 * S, 50, "b", 0, Demand(), S / 2)
+        self.assertIsInstance(got, Rejected)
         self.assertGreater(got.back, 0 * S)
 
     def test_one_that_waits_too_long_is_told_so(self):
         g = self.gate()
         for i in range(8):
             self.enter(g, i, "b", horizon=S)
-        self.assertEqual([type(a) for a in g.tick(2 * S)], [Away])
+        self.assertEqual([type(a) for a in g.tick(2 * S)], [Rejected])
 
     def test_a_requester_that_goes_leaves_the_line(self):
         g = self.gate()
@@ -121,26 +130,30 @@
 
     def test_a_reserve_of_less_than_a_slot_still_holds_against_a_flood(self):
         for slots, members, safe in ((13, 2, 2), (13, 40, 2), (4, 2, 1), (3, 350, 1), (2, 350, 1)):
-            g = Gate(Room(slots), {f"m{i}": 0.125 / members for i in range(members)})
+            g = AdmissionController(Capacity(slots), {f"m{i}": 0.125 / members for i in range(members)})
             flood = [self.enter(g, i, "m0") for i in range(20)]
-            self.assertLessEqual(flood.count(Granted), slots - safe)
+            self.assertLessEqual(flood.count(Admitted), slots - safe)
             others = [self.enter(g, 100 + i, f"m{i}") for i in range(1, members)]
-            self.assertGreaterEqual(others.count(Granted), min(safe, members - 1))
+            self.assertGreaterEqual(others.count(Admitted), min(safe, members - 1))
             self.assertLessEqual(len(g.held), slots)
 
     def test_the_running_sum_is_what_counting_anew_gives(self):
         for seed in range(20):
-            rng, g, now = random.Random(seed), Gate(Room(11, 900), {"a": 0.13, "b": 0.3, "c": 0.02}), 0 * S
+            rng, g, now = (
+                random.Random(seed),
+                AdmissionController(Capacity(11, 900), {"a": 0.13, "b": 0.3, "c": 0.02}),
+                0 * S,
+            )
             for i in range(400):
                 now += 5 * MS
                 if rng.random() < 0.6:
-                    g.enter(now, i, rng.choice("abcz"), 0, Need(rng.randrange(300)), now + S)
+                    g.enter(now, i, rng.choice("abcz"), 0, Demand(rng.randrange(300)), now + S)
                 elif g.held:
                     g.leave(now, rng.choice(sorted(g.held)))
                 if rng.random() < 0.05:
                     g.tick(
                         now,
-                        Room(rng.randrange(14), rng.randrange(1, 900)),
+                        Capacity(rng.randrange(14), rng.randrange(1, 900)),
                         rng.choice(({"a": 0.5}, {"a": 0.13, "b": 0.3, "c": 0.02})),
                     )
                 g.tick(now)
@@ -158,7 +171,7 @@
     def test_the_parts_add_up_to_no_more_than_the_whole(self):
         for seed in range(30):
             rng, whole = random.Random(seed), 320
-            crowds, up, recorded, now = {i: Crowd(3 * S) for i in range(8)}, set(range(8)), 8, 0 * S
+            crowds, up, recorded, now = {i: FleetSize(3 * S) for i in range(8)}, set(range(8)), 8, 0 * S
             views, cut = {i: set(range(8)) for i in range(8)}, set()
             for step in range(400):
                 now += 200 * MS
@@ -166,7 +179,7 @@
                 if r < 0.01 and len(up) < 10:
                     new = max(crowds) + 1
                     up.add(new)
-                    crowds[new], views[new] = Crowd(3 * S), set(up)
+                    crowds[new], views[new] = FleetSize(3 * S), set(up)
                 elif r < 0.02 and len(up) > 6:
                     up.discard(rng.choice(sorted(up)))
                 elif r < 0.03 and not cut:
@@ -190,14 +203,14 @@
 
     def test_nothing_is_lost_by_rounding_nor_held_twice_with_more_routers_than_things(self):
         for routers in (63, 73, 1600):
-            crowds = [Crowd(3 * S, divisor=routers, index=i) for i in range(routers)]
+            crowds = [FleetSize(3 * S, divisor=routers, index=i) for i in range(routers)]
             for salt in (0, 5, 2**63 + 11):
                 self.assertEqual(sum(c.pieces(510, salt) for c in crowds), 446)
             some = [c.pieces(510, salt=7 * r) for c in crowds[:1] for r in range(routers)]
             self.assertGreater(sum(some), 0)
 
     def test_a_start_of_all_together_begins_with_the_recorded_number(self):
-        crowds = [Crowd(3 * S) for _ in range(8)]
+        crowds = [FleetSize(3 * S) for _ in range(8)]
         for c in crowds:
             c.see(0 * S, 1, 8, {})
         self.assertLessEqual(sum(c.part(320) for c in crowds), 320)
@@ -246,8 +259,8 @@
 
     def flood(self, seed, steps=60):
         rng, whole, parts = random.Random(seed), self.RUNNERS * most(self.SLOTS), {"a": 0.2, "b": 0.1}
-        crowds = [Crowd(3 * S, divisor=self.ROUTERS, index=i) for i in range(self.ROUTERS)]
-        gates = [Gate(Room(c.part(whole)), parts) for c in crowds]
+        crowds = [FleetSize(3 * S, divisor=self.ROUTERS, index=i) for i in range(self.ROUTERS)]
+        gates = [AdmissionController(Capacity(c.part(whole)), parts) for c in crowds]
         route = Route("r", "h", "/", "safe", (), 9 * S, S, S)
         own = [[0] * self.RUNNERS for _ in gates]
         told, deaf, ends, late, most_b, ids = [list(o) for o in own], rng.choice([None, 3]), [], 0, 0, 0
@@ -266,10 +279,10 @@
                 for m in ["b"] * (250 if step == 5 else step > 5 and rng.choice((0, 5, 30))) + ["a"] * rng.randrange(2):
                     ids, g.extra = ids + 1, crowds[i].extra(whole, whole * 0.3, sum(known)) if g.tight() else 0
                     before = g.used.get("a", (0, 0))[0]
-                    got = g.enter(now, ids, m, 0, Need(), now + 9 * S)
+                    got = g.enter(now, ids, m, 0, Demand(), now + 9 * S)
                     if m == "a" and before < int(g.room.slots * 0.2):
-                        self.assertTrue(isinstance(got, Granted) and got.reserved, (seed, step))
-                    if isinstance(got, Granted):
+                        self.assertTrue(isinstance(got, Admitted) and got.reserved, (seed, step))
+                    if isinstance(got, Admitted):
                         run = min(range(self.RUNNERS), key=lambda r: known[r])
                         fits = known[run] < max(b.limit for b in buckets_for(route, self.SLOTS, got.reserved))
                         late += m == "a" and not fits
@@ -279,7 +292,7 @@
                         known[run] += 1
                         own[i][run] += 1
                         ends.append((now + rng.randrange(300, 1500) * MS, i, ids, run))
-                    elif isinstance(got, Waits):
+                    elif isinstance(got, Queued):
                         g.leave(now, ids)
                 most_b = max(most_b, sum(g.used.get("b", (0, 0))[0] for g in gates))
         return late, most_b / whole
@@ -291,10 +304,10 @@
             self.assertLess(most_b, 2 - 0.2)
 
     def test_a_router_with_more_than_its_part_serves_it_while_the_others_are_idle(self):
-        g, c = Gate(Room(84), {"a": 0.0625, "b": 0.0625}), Crowd(3 * S, divisor=8)
+        g, c = AdmissionController(Capacity(84), {"a": 0.0625, "b": 0.0625}), FleetSize(3 * S, divisor=8)
         got = []
         for i in range(157):
             g.extra = c.extra(768, 96, 200 + i) if g.tight() else 0
-            got.append(type(g.enter(0 * S, i, "a", 0, Need(), 9 * S)))
-        self.assertGreater(got.count(Granted), 120)
-        self.assertEqual(type(g.enter(0 * S, 999, "b", 0, Need(), 9 * S)), Granted)
+            got.append(type(g.enter(0 * S, i, "a", 0, Demand(), 9 * S)))
+        self.assertGreater(got.count(Admitted), 120)
+        self.assertEqual(type(g.enter(0 * S, 999, "b", 0, Demand(), 9 * S)), Admitted)
--- a/tests/aggregation/test_aggregator.py
+++ b/tests/aggregation/test_aggregator.py
@@ -4,8 +4,8 @@
 import unittest
 from math import log, pi, sqrt
 
-from sparloom.aggregation import Sums, coded, decoded
-from sparloom.relay import Tier
+from sparloom.aggregation import InFlightAggregator, coded, decoded
+from sparloom.relay import RelayTier
 from tests.support.aggregation_fleet import CONTACT, MS, Fleet
 
 S = 1000 * MS
@@ -22,7 +22,7 @@
         self.now = 0 * MS
         self.up = {"a": 1, "b": 1, "f": 1, "g": 1}
         self.parents = {"f": ("a", "b"), "g": ("b", "a")}
-        self.nodes = {k: Sums(k, 1, CONTACT) for k in self.up}
+        self.nodes = {k: InFlightAggregator(k, 1, CONTACT) for k in self.up}
         self.holds, self.cut, self.loose = {"a": 1, "b": 2, "f": 4, "g": 8}, set(), []
 
     def beat(self, span, prefer=None):
@@ -35,7 +35,7 @@
                 if k in up or k in self.up:
                     s.see(
                         self.now,
-                        Tier(("a", "b"), tuple(p for p in self.parents.get(k, ()) if p in up), k in "ab"),
+                        RelayTier(("a", "b"), tuple(p for p in self.parents.get(k, ()) if p in up), k in "ab"),
                         up,
                         (prefer or {}).get(k),
                     )
@@ -99,8 +99,8 @@
 
     def test_a_relay_that_hears_no_other_says_so(self):
         """Three relays: a is heard by f, and hears neither b nor c."""
-        a, now = Sums("a", 1, CONTACT), 10 * S
-        a.see(0 * S, Tier(("a", "b", "c"), (), True), {"b": 1, "c": 1, "f": 1})
+        a, now = InFlightAggregator("a", 1, CONTACT), 10 * S
+        a.see(0 * S, RelayTier(("a", "b", "c"), (), True), {"b": 1, "c": 1, "f": 1})
         self.assertEqual(a.age(now), now)
         a.hear(now, _sum("b", 1, {}, 0))
         self.assertEqual(a.age(now + S), S)
@@ -121,8 +121,8 @@
         self.assertEqual(self.x.counts(), {"a": 10, "b": 9, "g": 3})
 
     def test_a_sum_that_overlaps_is_set_aside_and_the_one_before_stands(self):
-        r = Sums("r", 1, CONTACT)
-        r.see(0 * S, Tier(("a", "b", "r"), (), True), {"a": 1, "b": 1})
+        r = InFlightAggregator("r", 1, CONTACT)
+        r.see(0 * S, RelayTier(("a", "b", "r"), (), True), {"a": 1, "b": 1})
         one = lambda key, seq, cover, n: r.hear(S, _sum(key, seq, cover, n))
         one("a", 1, {1: 1, 2: 1}, 2)
         one("b", 1, {3: 1}, 8)
@@ -147,15 +147,17 @@
 
 
 def _sum(key, seq, cover, n):
-    from sparloom.aggregation import Cover, Sum
+    from sparloom.aggregation import Coverage, GroupAggregate
 
-    return Sum(key, 1, seq, 1, 0, 0xFFFFFFFF, [Cover(h, q) for h, q in cover.items()], coded(held(n)), [], [])
+    return GroupAggregate(
+        key, 1, seq, 1, 0, 0xFFFFFFFF, [Coverage(h, q) for h, q in cover.items()], coded(held(n)), [], []
+    )
 
 
 def _up(key, seq, crowd):
-    from sparloom.aggregation import Up
+    from sparloom.aggregation import MemberUpdate
 
-    return Up(key, 1, seq, crowd, coded(held(8)), [])
+    return MemberUpdate(key, 1, seq, crowd, coded(held(8)), [])
 
 
 class Words(unittest.TestCase):
@@ -173,11 +175,11 @@
             self.assertEqual(decoded(coded(d)), d)
 
     def test_ten_thousand_runners_go_in_pieces_of_which_any_may_be_lost(self):
-        a, f = Sums("a", 1, CONTACT), Sums("f", 1, CONTACT)
-        tier = Tier(("a",), ("a",), False)
+        a, f = InFlightAggregator("a", 1, CONTACT), InFlightAggregator("f", 1, CONTACT)
+        tier = RelayTier(("a",), ("a",), False)
         rng = random.Random(1)
         shorts = rng.sample(range(1 << 32), 10**4)
-        a.see(0 * S, Tier(("a",), (), True), {"f": 1})
+        a.see(0 * S, RelayTier(("a",), (), True), {"f": 1})
         a.note(0 * S, {k: (1, 0, 0, 0, 0, 0) for k in shorts}, 1)
         f.see(0 * S, tier, {"a": 1})
         f.note(0 * S, held(1, shorts[0]), 1)
--- a/tests/codec/test_records.py
+++ b/tests/codec/test_records.py
@@ -7,7 +7,7 @@
 
 from sparloom.codec import DecodeError, Record, UInt16, UInt64, pack, record, unpack
 from sparloom.codec.records import _FIXED
-from sparloom.dynamic_timeout import Held, Holding, Read
+from sparloom.dynamic_timeout import InFlightReport, InFlightUpdate, PrefixPlacement
 
 
 @record(248)
@@ -39,7 +39,9 @@
         self.assertEqual(unpack(pack(Rows(rows, "x"))), Rows(rows, "x"))
 
     def test_every_cut_is_noticed(self):
-        raw = pack(Holding("k:1", 1, 2, 3, [Held(7, 2, 0, 0, 0, 0, 0)] * 3, [Read(1, 2, 3)]))
+        raw = pack(
+            InFlightUpdate("k:1", 1, 2, 3, [InFlightReport(7, 2, 0, 0, 0, 0, 0)] * 3, [PrefixPlacement(1, 2, 3)])
+        )
         for n in range(len(raw)):
             with self.assertRaises(DecodeError):
                 unpack(raw[:n])
@@ -50,4 +52,4 @@
         import struct
 
         with self.assertRaises(struct.error):
-            pack(Holding("k:1", 1, 2, 3, [Held(7, 1 << 16, 0, 0, 0, 0, 0)], []))
+            pack(InFlightUpdate("k:1", 1, 2, 3, [InFlightReport(7, 1 << 16, 0, 0, 0, 0, 0)], []))
--- a/tests/consensus/test_stateful.py
+++ b/tests/consensus/test_stateful.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule, run_state_machine_as_test
 
 from simulator.check.history import Violation
-from sparloom.consensus import Confirmed
+from sparloom.consensus import ReadConfirmed
 from sparloom.consensus.leadership import Leadership
 from tests.support.watched_core import WatchedCore
 
@@ -219,7 +219,7 @@
 
 
 def _confirm_the_newest(self, confirm=Leadership._confirm):
-    return [Confirmed(action.id, self.ledger.data) for action in confirm(self)]
+    return [ReadConfirmed(action.id, self.ledger.data) for action in confirm(self)]
 
 
 class Mutated(unittest.TestCase):
--- a/tests/controller/test_consensus_service.py
+++ b/tests/controller/test_consensus_service.py
@@ -8,22 +8,22 @@
 
 from attrs import evolve
 
-from sparloom.consensus import Data, Ledger, Member, Register, Spans, View
+from sparloom.consensus import ConsensusMember, ConsensusTiming, Data, Member, Register, View
 from sparloom.consensus.records import Copy
 from sparloom.controller import consensus_service as core
 from sparloom.settings import from_dict
 from tests.support.router_fixture import STARTUP
 
-SPANS = Spans.of(timedelta(milliseconds=600))
+SPANS = ConsensusTiming.of(timedelta(milliseconds=600))
 ME, OTHER = Member(1, "127.0.0.1", 7300, "z", ""), Member(2, "127.0.0.2", 7300, "z", "")
 
 
 class Case(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         told = {**STARTUP, "seedNodes": [], "dataDirectory": "/nowhere", "ipAddress": "127.0.0.1"}
-        self.core = core.Core(from_dict(told).unwrap(), None, lambda data: None)
+        self.core = core.ConsensusService(from_dict(told).unwrap(), None, lambda data: None)
         kept = (Register(1, False, 0, [], False, 0), Data(0, 0, 0, b""))
-        self.core.ledger = Ledger.start(ME, kept, False, SPANS, mock.Mock(), 1, (), timedelta(0))
+        self.core.ledger = ConsensusMember.start(ME, kept, False, SPANS, mock.Mock(), 1, (), timedelta(0))
 
     async def test_a_copy_is_given_up_for_want_of_progress_only(self):
         """A large configuration on a thin link took longer than the patience and was begun again for ever."""
@@ -66,7 +66,7 @@
         self.core.ledger = SimpleNamespace(leave=lambda now: [])
         await self.core.leave(timedelta(0))
         self.assertFalse(self.core.left.is_set())
-        self.core.ledger = SimpleNamespace(leave=lambda now: [core.Left()])
+        self.core.ledger = SimpleNamespace(leave=lambda now: [core.LeaveCompleted()])
         await self.core.leave(timedelta(hours=1))
         self.assertTrue(self.core.left.is_set())
 
--- a/tests/controller/test_control_api.py
+++ b/tests/controller/test_control_api.py
@@ -13,10 +13,10 @@
 from sparloom.consensus.records import Data
 from sparloom.controller import control_api as control
 from sparloom.controller import control_state as state
-from sparloom.controller.change_requests import Verdict, judge, read_order
-from sparloom.controller.control_api import Control
+from sparloom.controller.change_requests import Verdict, judge, parse_change_request
+from sparloom.controller.control_api import ControlApi
 from sparloom.controller.control_state import History, State, fingerprint
-from sparloom.feed import UNSURE
+from sparloom.feed import UNCONFIRMED
 from tests.support.router_fixture import POLICY, route
 
 MS = timedelta(milliseconds=1)
@@ -79,9 +79,9 @@
         async def run():
             self.core = Core()
             bounds = SimpleNamespace(acknowledge=timedelta(seconds=4), contact=timedelta(seconds=3))
-            self.sureness = UNSURE
+            self.sureness = UNCONFIRMED
             shop = SimpleNamespace(renew=lambda *args: None, sureness=lambda: self.sureness)
-            self.handler = Control(SimpleNamespace(bounds=bounds), self.core, shop)
+            self.handler = ControlApi(SimpleNamespace(bounds=bounds), self.core, shop)
             self.handler.news(self.core.data)
             await story()
 
@@ -220,7 +220,9 @@
         new = State.unpack(old)
         self.assertEqual((new.revision, new.router_count), (5, 7))
         orders = (("0", POLICY | {"revision": 5}), ("0", POLICY | {"revision": 3}), ("5", POLICY | {"revision": 6}))
-        verdicts = [judge(new, read_order("PUT", b, json.dumps(d).encode()).unwrap()).verdict for b, d in orders]
+        verdicts = [
+            judge(new, parse_change_request("PUT", b, json.dumps(d).encode()).unwrap()).verdict for b, d in orders
+        ]
         self.assertEqual(verdicts, [Verdict.TAKEN, Verdict.FORGOTTEN, Verdict.NEW])
         with self.assertRaises(ValueError):
             State.unpack(b"\x09" + bytes(40))
@@ -231,9 +233,9 @@
 
     def test_what_no_program_can_hold_is_invalid(self):
         for text in (b'{"revision": 18446744073709551616}', b'{"revision": 1, "x": NaN}', b"[" * 5000):
-            self.assertEqual(read_order("PUT", "0", text).value_or(None), None, text[:40])
+            self.assertEqual(parse_change_request("PUT", "0", text).value_or(None), None, text[:40])
         for base in ("", "x", "\u00b2", "9" * 5000, "-1"):
-            self.assertIsNone(read_order("PUT", base, json.dumps(POLICY).encode()).value_or(None), base[:9])
+            self.assertIsNone(parse_change_request("PUT", base, json.dumps(POLICY).encode()).value_or(None), base[:9])
         for edit in ({"timeoutMs": 1e999}, {"targetMs": 1e300}):
             text = json.dumps({**POLICY, "routes": [route("x", "/x/", **edit)]}).replace("Infinity", "1e999")
             self.assertIsNone(parse(text.encode()).bind(check).value_or(None))
--- a/tests/controller/test_durable_writer.py
+++ b/tests/controller/test_durable_writer.py
@@ -8,7 +8,7 @@
 
 from sparloom.consensus import EMPTY, Data, Register, Save, Store
 from sparloom.consensus.store import FILE, SET_ASIDE
-from sparloom.controller.durable_writer import Disk
+from sparloom.controller.durable_writer import DurableWriter
 
 DATA = Data(7, 1, 3, b"xyz")
 
@@ -41,7 +41,7 @@
             done.extend(saves)
             end.set()
 
-        disk = Disk("/nowhere", asyncio.get_running_loop(), finished, lambda: failed.append(1))
+        disk = DurableWriter("/nowhere", asyncio.get_running_loop(), finished, lambda: failed.append(1))
         disk.store = FailingStore(failures)
         for save in saves:
             disk.put(save)
--- a/tests/controller/test_endpoint_poller.py
+++ b/tests/controller/test_endpoint_poller.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 from fakes.platform import Platform
-from sparloom.controller.endpoint_poller import Poller
+from sparloom.controller.endpoint_poller import EndpointPoller
 from sparloom.settings import from_dict
 from tests.support.router_fixture import STARTUP
 
@@ -43,7 +43,7 @@
         self.addAsyncCleanup(self.platform.stop)
         self.duty, self.shop = Duty(), Shop()
         self.cloud = SimpleNamespace(address=f"127.0.0.1:{self.platform.port}", rate=40.0)
-        self.poller = Poller(from_dict(STARTUP).unwrap(), SimpleNamespace(ledger=self.duty), self.shop)
+        self.poller = EndpointPoller(from_dict(STARTUP).unwrap(), SimpleNamespace(ledger=self.duty), self.shop)
         self.addAsyncCleanup(self.poller.on_stop)
 
     async def call(self):
--- a/tests/dynamic_timeout/test_counts.py
+++ b/tests/dynamic_timeout/test_counts.py
@@ -5,7 +5,15 @@
 from datetime import timedelta
 
 from sparloom.configuration import Route
-from sparloom.dynamic_timeout import Bucket, Capacity, Counts, Held, Holding, capacity_buckets, pick
+from sparloom.dynamic_timeout import (
+    Bucket,
+    Capacity,
+    InFlightCounts,
+    InFlightReport,
+    InFlightUpdate,
+    capacity_buckets,
+    pick,
+)
 from sparloom.router.timeout_buckets import buckets_for
 
 S = timedelta(seconds=1)
@@ -46,11 +54,13 @@
 class Shared(unittest.TestCase):
     def setUp(self):
         self.calls = []
-        self.c = Counts(3 * S, self.calls.append)
+        self.c = InFlightCounts(3 * S, self.calls.append)
         self.names = {7: "r", 8: "q"}
 
     def hear(self, at, n, key="p", life=1, seq=1, res=7):
-        self.c.hear(Holding(key, life, seq, 1, [Held(res, n, 100, 0, 0, 0, 0)], []), at * S, self.names)
+        self.c.hear(
+            InFlightUpdate(key, life, seq, 1, [InFlightReport(res, n, 100, 0, 0, 0, 0)], []), at * S, self.names
+        )
 
     def test_a_call_takes_a_slot_in_every_bucket_and_gives_it_back_once(self):
         slots = [self.c.take("r", SOURCE, 0 * S) for _ in range(6)]
--- a/tests/event_stream/test_events.py
+++ b/tests/event_stream/test_events.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from sparloom.event_stream import Splitter, Thread, event_id
+from sparloom.event_stream import EventSplitter, ResumableStream, event_id
 
 
 def stream(a, b):
@@ -15,7 +15,7 @@
         evs = stream(1, 20)
         raw = b"".join(evs)
         for seed in range(50):
-            rng, s, out, at = random.Random(seed), Splitter(), [], 0
+            rng, s, out, at = random.Random(seed), EventSplitter(), [], 0
             while at < len(raw):
                 n = rng.randrange(1, 30)
                 out += s.feed(raw[at : at + n])
@@ -23,18 +23,18 @@
             self.assertEqual((out, s.rest), (evs, b""))
 
     def test_line_ends_of_all_kinds(self):
-        self.assertEqual(Splitter().feed(b"id:1\r\n\r\nid:2\n\n"), [b"id:1\r\n\r\n", b"id:2\n\n"])
+        self.assertEqual(EventSplitter().feed(b"id:1\r\n\r\nid:2\n\n"), [b"id:1\r\n\r\n", b"id:2\n\n"])
         self.assertEqual(event_id(b"event: a\r\nid:9\r\n\r\n"), "9")
 
     def test_a_resumed_stream_has_no_gap_and_no_double(self):
-        t = Thread()
+        t = ResumableStream()
         first = [e for e in stream(1, 6) if t.take(e)]
         again = [e for e in stream(4, 11) if t.take(e)]
         self.assertEqual(first + again, stream(1, 11))
         self.assertFalse(t.broken)
 
     def test_a_missing_event_breaks_the_thread(self):
-        t = Thread()
+        t = ResumableStream()
         [t.take(e) for e in stream(1, 4)]
         t.take(stream(6, 7)[0])
         self.assertTrue(t.broken)
--- a/tests/feed/test_store.py
+++ b/tests/feed/test_store.py
@@ -4,7 +4,7 @@
 import unittest
 from datetime import timedelta
 
-from sparloom.feed import POLICY, RUNNERS, UNSURE, Shelf, Tracker
+from sparloom.feed import CONFIGURATION, ENDPOINTS, UNCONFIRMED, SourceTracker, VersionedStore
 
 S = timedelta(seconds=1)
 
@@ -12,14 +12,14 @@
 class Following(unittest.TestCase):
     def test_a_follower_is_brought_up_from_any_place(self):
         for seed in range(30):
-            rng, src, dst = random.Random(seed), Shelf(), {}
+            rng, src, dst = random.Random(seed), VersionedStore(), {}
             text, epoch = "", 1
             for n in range(1, 40):
                 epoch += rng.random() < 0.1
                 text += chr(97 + n % 26)
-                src.put(POLICY, (epoch, n), text.encode(), text[-1].encode() if rng.random() < 0.8 else None)
+                src.put(CONFIGURATION, (epoch, n), text.encode(), text[-1].encode() if rng.random() < 0.8 else None)
                 if rng.random() < 0.4:
-                    for c in src.lacking({POLICY: dst.get("at", (0, 0))}):
+                    for c in src.lacking({CONFIGURATION: dst.get("at", (0, 0))}):
                         if c.base == (0, 0):
                             dst["text"] = c.blob.decode()
                         else:
@@ -30,29 +30,29 @@
                     self.assertEqual(dst["text"], text)
 
     def test_it_never_goes_back_a_stamp(self):
-        s = Shelf()
-        self.assertTrue(s.put(POLICY, (2, 5), b"new"))
+        s = VersionedStore()
+        self.assertTrue(s.put(CONFIGURATION, (2, 5), b"new"))
         for old in ((1, 9), (2, 5), (2, 4)):
-            self.assertFalse(s.put(POLICY, old, b"old"))
-        self.assertEqual(s.items[POLICY].blob, b"new")
+            self.assertFalse(s.put(CONFIGURATION, old, b"old"))
+        self.assertEqual(s.items[CONFIGURATION].blob, b"new")
 
     def test_topics_are_apart(self):
-        s = Shelf()
-        s.put(POLICY, (1, 1), b"p")
-        s.put(RUNNERS, (3, 7), b"r")
-        self.assertEqual([c.topic for c in s.lacking({POLICY: (1, 1)})], [RUNNERS])
+        s = VersionedStore()
+        s.put(CONFIGURATION, (1, 1), b"p")
+        s.put(ENDPOINTS, (3, 7), b"r")
+        self.assertEqual([c.topic for c in s.lacking({CONFIGURATION: (1, 1)})], [ENDPOINTS])
 
 
 class MovingOn(unittest.TestCase):
     def follow(self, story):
         """Each line: seconds, what came, whether the follower then moves on."""
-        t = Tracker(S, S)
+        t = SourceTracker(S, S)
         t.start(0 * S)
         for line in story.strip().splitlines():
             at, what, moves = line.split()
             now = float(at) * S
             if what.startswith("pulse"):
-                t.pulse(now, UNSURE if what == "pulse?" else int(what[5:]))
+                t.pulse(now, UNCONFIRMED if what == "pulse?" else int(what[5:]))
             elif what == "change":
                 t.change(now)
             self.assertEqual(t.move_on(now), moves == "moves", line)
--- a/tests/golden_names.py
+++ b/tests/golden_names.py
@@ -21,11 +21,11 @@
 from sparloom.controller import control_api as control
 from sparloom.controller import prefix_snapshots as remember
 from sparloom.controller.control_state import State, fingerprint
-from sparloom.feed import POLICY, RUNNERS, Change
-from sparloom.feed.payload import step, take, whole
+from sparloom.feed import CONFIGURATION, ENDPOINTS, Change
+from sparloom.feed.payload import apply_change, encode_delta, encode_state
 from sparloom.isolation import part_ids
 from sparloom.load_balancing import parse_parts
-from sparloom.prefix_cache import Memory
+from sparloom.prefix_cache import PlacementTable
 from sparloom.router import request as ask
 from sparloom.router.backends import number
 from sparloom.router.outcomes import Outcome
@@ -35,20 +35,20 @@
 
 __all__ = [
     "BY_TAG",
-    "POLICY",
-    "RUNNERS",
+    "CONFIGURATION",
+    "ENDPOINTS",
     "Change",
-    "Memory",
+    "PlacementTable",
     "Router",
     "State",
     "Store",
+    "apply_change",
+    "encode_delta",
+    "encode_state",
     "from_dict",
     "pack",
     "read",
-    "step",
-    "take",
     "unpack",
-    "whole",
 ]
 
 HEADER_NAMES = (ask.ID, ask.LEFT, ask.SEAL, ask.EXPECT, ask.NOT_RUN, ask.PARTS, ask.URGENCY, ask.LAST)
@@ -92,7 +92,7 @@
 
 def control_paths() -> dict[str, list[str]]:
     """The paths of the control address and the methods of each."""
-    return {path: sorted(methods) for path, methods in control.Control(None, None, None).tree.paths.items()}
+    return {path: sorted(methods) for path, methods in control.ControlApi(None, None, None).tree.paths.items()}
 
 
 def not_primary(known: bool, sure_ms: int) -> Any:
@@ -101,7 +101,7 @@
     ledger = SimpleNamespace(primary=lambda: primary, member=SimpleNamespace(id=8), leading=lambda: False)
     settings = SimpleNamespace(bounds=SimpleNamespace(contact=timedelta(seconds=3)))
     shop = SimpleNamespace(sureness=lambda: sure_ms)
-    return control.Control(settings, SimpleNamespace(ledger=ledger), shop)._elsewhere()
+    return control.ControlApi(settings, SimpleNamespace(ledger=ledger), shop)._elsewhere()
 
 
 def control_answers() -> list[list]:
@@ -146,7 +146,7 @@
 
 def kept_again(folder: str) -> None:
     """Reads a folder's remembered prefixes and writes them anew."""
-    service = remember.Remember(folder, None, 1)
+    service = remember.PrefixSnapshots(folder, None, 1)
     service.load()
     os.remove(os.path.join(folder, remember.FILE))
     service._write(service.memory.pack())
--- a/tests/load_balancing/test_rank.py
+++ b/tests/load_balancing/test_rank.py
@@ -4,7 +4,7 @@
 import sys
 import unittest
 
-from sparloom.load_balancing import Standing, Weights, choose, lean
+from sparloom.load_balancing import Candidate, Weights, choose, rendezvous_weight
 from tests.support.load_balancing_fleet import Fleet
 from tests.support.router_fixture import Rig
 
@@ -17,36 +17,47 @@
 
 class Order(unittest.TestCase):
     def test_a_prefix_waits_where_it_is_kept(self):
-        self.assertEqual(order(Standing("a", 3000, waiting=40_000), Standing("b", 16_000), shared=13_000), ["a", "b"])
-        self.assertEqual(order(Standing("a", 3000, waiting=100_000), Standing("b", 16_000), shared=13_000), ["b", "a"])
+        self.assertEqual(order(Candidate("a", 3000, waiting=40_000), Candidate("b", 16_000), shared=13_000), ["a", "b"])
+        self.assertEqual(
+            order(Candidate("a", 3000, waiting=100_000), Candidate("b", 16_000), shared=13_000), ["b", "a"]
+        )
 
     def test_an_unknown_prefix_goes_home(self):
         self.assertEqual(
-            order(Standing("a", 9000, lean=1, near=True, warm=True), Standing("b", 9000, lean=2), shared=8000),
+            order(
+                Candidate("a", 9000, affinity_weight=1, near=True, warm=True),
+                Candidate("b", 9000, affinity_weight=2),
+                shared=8000,
+            ),
             ["b", "a"],
         )
 
     def test_near_and_warm_runners_win_among_equals_only(self):
         self.assertEqual(
-            order(Standing("a", 300), Standing("b", 300, warm=True), Standing("c", 300, near=True, warm=True)),
+            order(Candidate("a", 300), Candidate("b", 300, warm=True), Candidate("c", 300, near=True, warm=True)),
             ["c", "b", "a"],
         )
-        self.assertEqual(order(Standing("a", 300), Standing("b", 300, waiting=2000, near=True, warm=True)), ["a", "b"])
+        self.assertEqual(
+            order(Candidate("a", 300), Candidate("b", 300, waiting=2000, near=True, warm=True)), ["a", "b"]
+        )
 
     def test_full_cold_and_doubted_runners_come_last(self):
         self.assertEqual(
             order(
-                Standing("a", 0, doubt=1),
-                Standing("b", 0, calls=4, slots=4),
-                Standing("c", 0, cold=True),
-                Standing("d", 9000),
+                Candidate("a", 0, doubt=1),
+                Candidate("b", 0, calls=4, slots=4),
+                Candidate("c", 0, cold=True),
+                Candidate("d", 9000),
             ),
             ["d", "c", "b", "a"],
         )
 
     def test_homes_are_spread_evenly(self):
         homes = [
-            max(range(36), key=lambda i: lean(k * 0x9E3779B97F4A7C15 % 2**64, (i + 1) * 0xD1342543DE82EF95 % 2**64))
+            max(
+                range(36),
+                key=lambda i: rendezvous_weight(k * 0x9E3779B97F4A7C15 % 2**64, (i + 1) * 0xD1342543DE82EF95 % 2**64),
+            )
             for k in range(3600)
         ]
         self.assertLess(max(homes.count(i) for i in range(36)), 150)
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -5,13 +5,15 @@
 from datetime import timedelta
 
 from simulator.net import Net
-from sparloom.membership import ALIVE, DEAD, ROUTER, Ack, Peer, Ping, Swim, Times
+from sparloom.membership import ALIVE, DEAD, ROUTER, Ack, Peer, Ping, Swim, SwimTiming
 
 
 class Lives(unittest.TestCase):
     def prober(self, life):
         """A process that has just probed another one; gives it and its probe."""
-        swim = Swim(Peer("a:1", ROUTER, "z", "", life, 0, ALIVE), (), Times.of(timedelta(seconds=3)), random.Random(1))
+        swim = Swim(
+            Peer("a:1", ROUTER, "z", "", life, 0, ALIVE), (), SwimTiming.of(timedelta(seconds=3)), random.Random(1)
+        )
         swim.receive(timedelta(0), "b:1", Ping(0, self.other, 0, []))
         return swim, next(s.rec for s in swim.tick(timedelta(0)) if s.to == "b:1")
 
--- a/tests/metrics/test_meter.py
+++ b/tests/metrics/test_meter.py
@@ -6,9 +6,9 @@
 
 from sparloom import metrics as meter
 from sparloom.codec import pack
-from sparloom.feed import Follow, Pulse
+from sparloom.feed import FeedHeartbeat, Subscribe
 from sparloom.membership import ALIVE, ROUTER, Peer, Ping
-from sparloom.metrics.reporter import Metering, figures
+from sparloom.metrics.reporter import MetricsReporter, process_figures
 from sparloom.transport import Datagrams, Frames, dial
 from tests.support.router_fixture import Rig
 
@@ -23,8 +23,8 @@
     async def serve(reader, writer):
         f = Frames(reader, writer)
         await f.read()
-        await f.write(Pulse(1, 1, 2, 0))
-        await f.write(Pulse(1, 1, 3, 0))
+        await f.write(FeedHeartbeat(1, 1, 2, 0))
+        await f.write(FeedHeartbeat(1, 1, 3, 0))
         f.close()
         f.close()
         served.set()
@@ -33,7 +33,7 @@
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     a.send(f"127.0.0.1:{a.transport.get_extra_info('sockname')[1]}", PING)
     f = await dial("127.0.0.1", server.sockets[0].getsockname()[1], SECOND)
-    await f.write(Follow("r", 0, 0, 0, 0))
+    await f.write(Subscribe("r", 0, 0, 0, 0))
     await f.read(), await f.read()
     f.close()
     async with asyncio.timeout(5):
@@ -44,17 +44,17 @@
 
 class Counted(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
-        meter.start()
-        self.addCleanup(meter.start, False)
+        meter.start_meter()
+        self.addCleanup(meter.start_meter, False)
 
     async def test_records_and_pipes_by_kind(self):
         await _swap()
-        size, got = len(pack(PING)), meter.here().figures()
+        size, got = len(pack(PING)), meter.current_meter().figures()
         self.assertEqual(got["datagram out Ping"], [1, size])
         self.assertEqual(got["datagram in Ping"], [1, size])
-        self.assertEqual(got["frame out Pulse"], [2, 2 * (4 + len(pack(Pulse(1, 1, 2, 0))))])
-        self.assertEqual(got["frame in Pulse"], got["frame out Pulse"])
-        self.assertEqual(got["frame in Follow"][0], 1)
+        self.assertEqual(got["frame out FeedHeartbeat"], [2, 2 * (4 + len(pack(FeedHeartbeat(1, 1, 2, 0))))])
+        self.assertEqual(got["frame in FeedHeartbeat"], got["frame out FeedHeartbeat"])
+        self.assertEqual(got["frame in Subscribe"][0], 1)
         self.assertEqual((got["pipe opened"][0], got["pipe closed"][0]), (2, 2))
 
     async def test_attempts_choices_and_runner_connections(self):
@@ -68,9 +68,9 @@
         self.assertLess(0, got["memory"])
 
     async def test_a_line_tells_all(self):
-        meter.note("attempts")
+        meter.count_event("attempts")
         with self.assertLogs("absl", "INFO") as log:
-            Metering("front-1", SECOND).tell()
+            MetricsReporter("front-1", SECOND).tell()
         self.assertIn('meter: {"node":"front-1"', log.output[0])
         self.assertIn('"attempts":[1,0]', log.output[0])
 
@@ -78,7 +78,7 @@
 class Off(unittest.IsolatedAsyncioTestCase):
     async def test_nothing_is_kept_or_shown(self):
         await _swap()
-        self.assertIsNone(meter.here())
-        self.assertIsNone(figures())
+        self.assertIsNone(meter.current_meter())
+        self.assertIsNone(process_figures())
         async with Rig() as rig:
             self.assertIsNone(rig.front.beliefs()["meter"])
--- a/tests/prefix_cache/test_memory.py
+++ b/tests/prefix_cache/test_memory.py
@@ -7,12 +7,12 @@
 from datetime import timedelta
 from types import SimpleNamespace
 
-from sparloom.controller.prefix_snapshots import FILE, Remember
-from sparloom.dynamic_timeout import Read
-from sparloom.load_balancing import Kept
+from sparloom.controller.prefix_snapshots import FILE, PrefixSnapshots
+from sparloom.dynamic_timeout import PrefixPlacement
+from sparloom.load_balancing import CachedPrefixes
 from sparloom.membership import CONTROLLER
-from sparloom.prefix_cache import Memory, Reads, Recall
-from sparloom.router.prefix_recall import TURNS, Prefixes
+from sparloom.prefix_cache import PlacementQuery, PlacementTable, PrefixPlacements
+from sparloom.router.prefix_recall import TURNS, PrefixRecall
 
 A, B = "10.0.0.1:7", "10.0.0.2:7"
 
@@ -29,20 +29,20 @@
         net=SimpleNamespace(send=lambda to, rec: out.append((to, rec))),
         fleet=SimpleNamespace(
             numbers={7: "i7", 8: "i8"},
-            posts={i: SimpleNamespace(number=n, kept=Kept(9000)) for i, n in (("i7", 7), ("i8", 8))},
+            posts={i: SimpleNamespace(number=n, kept=CachedPrefixes(9000)) for i, n in (("i7", 7), ("i8", 8))},
         ),
     )
-    return Prefixes(know), know, out
+    return PrefixRecall(know), know, out
 
 
 class Start(unittest.IsolatedAsyncioTestCase):
     async def test_first_requests_wait_until_all_have_answered(self):
         p, know, out = router()
         p.ask()
-        self.assertEqual([(to, type(r)) for to, r in sorted(out, key=str)], [(A, Recall), (B, Recall)])
-        p.hear(A, Reads([Read(7, 1, 2000)]))
+        self.assertEqual([(to, type(r)) for to, r in sorted(out, key=str)], [(A, PlacementQuery), (B, PlacementQuery)])
+        p.hear(A, PrefixPlacements([PrefixPlacement(7, 1, 2000)]))
         self.assertFalse(know.known.is_set())
-        p.hear(B, Reads([]))
+        p.hear(B, PrefixPlacements([]))
         self.assertTrue(know.known.is_set())
         self.assertEqual(know.fleet.posts["i7"].kept.unread(((1, 2000),)), 0)
 
@@ -50,7 +50,7 @@
         p, know, out = router()
         know.up.bounds.contact = timedelta(milliseconds=30)
         p.ask()
-        p.hear(A, Reads([]))
+        p.hear(A, PrefixPlacements([]))
         out.clear()
         p.beat(4)
         self.assertEqual([to for to, _ in out], [B])
@@ -60,7 +60,17 @@
         p, know, _ = router()
         kept = know.fleet.posts["i7"].kept
         kept.saw(((1, 4000),))
-        p.hear(A, Reads([Read(7, 2, 3000), Read(7, 3, 3000), Read(7, 1, 9), Read(99, 4, 5000)]))
+        p.hear(
+            A,
+            PrefixPlacements(
+                [
+                    PrefixPlacement(7, 2, 3000),
+                    PrefixPlacement(7, 3, 3000),
+                    PrefixPlacement(7, 1, 9),
+                    PrefixPlacement(99, 4, 5000),
+                ]
+            ),
+        )
         self.assertEqual((list(kept.parts), kept.used), ([2, 1], 7000))
 
     async def test_the_batch_goes_to_one_controller_once_a_second(self):
@@ -69,7 +79,7 @@
         p.sent(know.fleet.posts["i7"], ((1, 2000),))
         for turn in range(1, 2 * TURNS + 1):
             p.beat(turn)
-        self.assertEqual(out, [(A, Reads([Read(7, 1, 2000)]))])
+        self.assertEqual(out, [(A, PrefixPlacements([PrefixPlacement(7, 1, 2000)]))])
 
     async def test_with_no_controller_about_the_batch_is_kept(self):
         p, know, out = router(())
@@ -82,18 +92,18 @@
     def test_all_that_was_told_is_there_after_a_start_and_torn_files_are_empty(self):
         with tempfile.TemporaryDirectory() as d:
             sent = []
-            one = Remember(d, lambda to, rec: sent.append(rec), 1.0)
+            one = PrefixSnapshots(d, lambda to, rec: sent.append(rec), 1.0)
             one.load()
-            self.assertTrue(one.arrive("r", Reads([Read(7, k, 2000 + k) for k in range(100)])))
+            self.assertTrue(one.arrive("r", PrefixPlacements([PrefixPlacement(7, k, 2000 + k) for k in range(100)])))
             self.assertFalse(one.arrive("r", object()))
             one._write(one.memory.pack())
-            two = Remember(d, lambda to, rec: sent.append(rec), 1.0)
+            two = PrefixSnapshots(d, lambda to, rec: sent.append(rec), 1.0)
             two.load()
-            two.arrive("r", Recall("r"))
+            two.arrive("r", PlacementQuery("r"))
             self.assertEqual([r.part for a in sent for r in a.reads], list(range(99, -1, -1)))
             path = os.path.join(d, FILE)
             with open(path, "rb") as f:
                 raw = f.read()
             for cut in (0, 3, 24, len(raw) - 1, len(raw) - 20):
-                self.assertFalse(Memory.unpack(raw[:cut]).items)
-            self.assertFalse(Memory.unpack(raw[:30] + b"x" + raw[31:]).items)
+                self.assertFalse(PlacementTable.unpack(raw[:cut]).items)
+            self.assertFalse(PlacementTable.unpack(raw[:30] + b"x" + raw[31:]).items)
--- a/tests/relay/test_relay_loopback.py
+++ b/tests/relay/test_relay_loopback.py
@@ -11,10 +11,10 @@
 from sparloom.codec import pack
 from sparloom.controller.control_state import State
 from sparloom.controller.program import Controller
-from sparloom.feed import POLICY, RUNNERS, Follow
-from sparloom.feed.payload import read, whole
-from sparloom.relay import Tier
-from sparloom.router.router_state import Know
+from sparloom.feed import CONFIGURATION, ENDPOINTS, Subscribe
+from sparloom.feed.payload import decode_payload, encode_state
+from sparloom.relay import RelayTier
+from sparloom.router.router_state import RouterState
 from sparloom.settings import from_dict
 from tests.controller.test_program import free
 from tests.support.router_fixture import POLICY as ROUTES
@@ -67,7 +67,7 @@
         up = from_dict(
             {**self.base, "nodeName": f"front-{i}", "ipAddress": f"127.0.0.{10 + i}", "listenAddresses": {}}
         ).unwrap()
-        k = Know(up)
+        k = RouterState(up)
         self.knows.append(k)
         await k.start()
         return k
@@ -77,7 +77,7 @@
         for k in (relay, *followers):
             k.see_tier = lambda: None
             k.follow.upstream.see(
-                timedelta(0), Tier((relay.key, "127.0.0.250:1"), () if k is relay else (relay.key,), k is relay, 1)
+                timedelta(0), RelayTier((relay.key, "127.0.0.250:1"), () if k is relay else (relay.key,), k is relay, 1)
             )
 
     async def put(self, policy, base=0):
@@ -102,7 +102,7 @@
         await self.until(
             lambda: all(len(k.listed.runners) == 29 and any(r.draining for r in k.listed.runners) for k in self.knows)
         )
-        self.assertTrue({POLICY, RUNNERS} <= {c.topic for c in got})
+        self.assertTrue({CONFIGURATION, ENDPOINTS} <= {c.topic for c in got})
         for c in got:
             self.assertNotEqual(c.base, (0, 0))
             self.assertLess(len(c.blob), 400)
@@ -110,9 +110,11 @@
         self.tier(relay, late)
         await self.until(lambda: "front-3" in relay.serve.told()["followers"] and late.ready())
         self.assertEqual(late.policy.revision, 2)
-        self.assertEqual(read(POLICY, relay.shelf.items[POLICY].blob), self.ctl.shop.held(POLICY))
-        self.assertEqual(read(RUNNERS, relay.shelf.items[RUNNERS].blob), self.ctl.shop.held(RUNNERS))
-        self.assertEqual(whole(RUNNERS, late.listed), whole(RUNNERS, self.ctl.shop.held(RUNNERS)))
+        self.assertEqual(
+            decode_payload(CONFIGURATION, relay.shelf.items[CONFIGURATION].blob), self.ctl.shop.held(CONFIGURATION)
+        )
+        self.assertEqual(decode_payload(ENDPOINTS, relay.shelf.items[ENDPOINTS].blob), self.ctl.shop.held(ENDPOINTS))
+        self.assertEqual(encode_state(ENDPOINTS, late.listed), encode_state(ENDPOINTS, self.ctl.shop.held(ENDPOINTS)))
         b.follow.raw = None
         await self.put({**ROUTES, "revision": 3})
         await self.until(lambda: all(k.policy.revision == 3 for k in self.knows))
@@ -151,7 +153,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.connect((relay.up.ip, relay.up.router_port))
         reader, writer = await asyncio.open_connection(sock=sock, limit=64)
-        raw = pack(Follow(name, 0, 0, 0, 0))
+        raw = pack(Subscribe(name, 0, 0, 0, 0))
         writer.write(len(raw).to_bytes(4) + raw)
         return reader, writer
 
--- a/tests/relay/test_upstream.py
+++ b/tests/relay/test_upstream.py
@@ -8,8 +8,8 @@
 import unittest
 
 from simulator.timeline import rows
-from sparloom.feed import POLICY, Shelf, Tracker
-from sparloom.relay import STALE, Spans, Tier, Upstream, plan
+from sparloom.feed import CONFIGURATION, SourceTracker, VersionedStore
+from sparloom.relay import STALE, RelayTier, Upstream, UpstreamTiming, plan_tier
 from tests.support.relay_network import CONTACT, MS, Net
 
 THIRD = CONTACT / 3
@@ -24,13 +24,13 @@
     def test_small_fleets_have_no_tier(self):
         for sizes in ((1,), (2, 2, 1, 1), (4, 2, 2), (3, 3, 3)):
             for me, zone in (all := members(*sizes)):
-                self.assertEqual(plan(me, zone, [m for m in all if m[0] != me]), Tier())
+                self.assertEqual(plan_tier(me, zone, [m for m in all if m[0] != me]), RelayTier())
 
     def test_all_with_the_same_members_name_the_same_relays(self):
         for sizes in ((17, 15, 13, 14, 14), (21, 21, 21), (40, 1, 39), (4, 4, 4, 4, 4)):
             all = members(*sizes)
             tiers = {
-                me: plan(me, zone, random.sample([m for m in all if m[0] != me], len(all) - 1)) for me, zone in all
+                me: plan_tier(me, zone, random.sample([m for m in all if m[0] != me], len(all) - 1)) for me, zone in all
             }
             self.assertEqual(len({t.relays for t in tiers.values()}), 1)
             relays = next(iter(tiers.values())).relays
@@ -44,17 +44,17 @@
     def test_one_that_comes_or_goes_changes_few_relays(self):
         for n in range(50, 110):
             one, more = (
-                set(plan("z0-0", "z0", members(*(n // 5 + (i < n % 5) for i in range(5)))[1:]).relays)
+                set(plan_tier("z0-0", "z0", members(*(n // 5 + (i < n % 5) for i in range(5)))[1:]).relays)
                 for n in (n, n + 1)
             )
             self.assertLessEqual(len(one ^ more), 6 if int(n**0.5) ** 2 == n else 2)
 
     def test_the_followers_of_a_lost_relay_spread(self):
         all = members(20, 20, 20, 20)
-        relays = plan("z0-0", "z0", all[1:]).relays
+        relays = plan_tier("z0-0", "z0", all[1:]).relays
         lost = relays[0]
         seconds = [
-            next(p for p in plan(m, z, [o for o in all if o[0] != m]).parents if p != lost)
+            next(p for p in plan_tier(m, z, [o for o in all if o[0] != m]).parents if p != lost)
             for m, z in all
             if m not in relays
         ]
@@ -63,18 +63,18 @@
 
 class Steps(unittest.TestCase):
     def test_steps_are_kept_only_while_they_are_smaller_than_the_whole(self):
-        s = Shelf()
-        s.put(POLICY, (1, 1), b"w" * 100)
+        s = VersionedStore()
+        s.put(CONFIGURATION, (1, 1), b"w" * 100)
         for n in range(2, 30):
-            s.put(POLICY, (1, n), b"w" * 100, b"s" * 30)
-            self.assertLessEqual(sum(len(c.blob) for c in s.lacking({POLICY: (1, max(1, n - 3))})), 100)
-        self.assertEqual([c.base for c in s.lacking({POLICY: (1, 20)})], [(0, 0)])
+            s.put(CONFIGURATION, (1, n), b"w" * 100, b"s" * 30)
+            self.assertLessEqual(sum(len(c.blob) for c in s.lacking({CONFIGURATION: (1, max(1, n - 3))})), 100)
+        self.assertEqual([c.base for c in s.lacking({CONFIGURATION: (1, 20)})], [(0, 0)])
 
     def test_a_whole_state_is_made_only_when_asked_for(self):
-        s, made = Shelf(), []
-        s.put(POLICY, (1, 1), b"w" * 100)
-        s.put(POLICY, (1, 2), lambda: made.append(1) or b"x" * 100, b"s")
-        self.assertEqual([c.blob for c in s.lacking({POLICY: (1, 1)})], [b"s"])
+        s, made = VersionedStore(), []
+        s.put(CONFIGURATION, (1, 1), b"w" * 100)
+        s.put(CONFIGURATION, (1, 2), lambda: made.append(1) or b"x" * 100, b"s")
+        self.assertEqual([c.blob for c in s.lacking({CONFIGURATION: (1, 1)})], [b"s"])
         self.assertEqual(made, [])
         self.assertEqual([c.blob for c in s.lacking({}) + s.lacking({})], [b"x" * 100] * 2)
         self.assertEqual(made, [1])
@@ -82,7 +82,7 @@
 
 class Sureness(unittest.TestCase):
     def test_delay_on_the_way_adds_to_the_age(self):
-        t = Tracker(THIRD, THIRD)
+        t = SourceTracker(THIRD, THIRD)
         t.start(0 * MS)
         for now, sent, age in ((400, 5000, 10), (800, 5400, 10), (1900, 5800, 710), (2900, 6200, 1310)):
             t.pulse(now * MS, 10, sent)
@@ -91,7 +91,7 @@
         self.assertTrue(t.move_on(2950 * MS))
 
     def test_what_was_known_is_passed_on_between_two_controllers(self):
-        t = Tracker(THIRD, THIRD)
+        t = SourceTracker(THIRD, THIRD)
         t.start(0 * MS)
         t.pulse(100 * MS, 40)
         t.start(500 * MS)
@@ -100,8 +100,8 @@
 
 class Choosing(unittest.TestCase):
     def router(self, relay=False):
-        u = Upstream("me", Spans.of(CONTACT), random.Random(1))
-        u.see(0 * MS, Tier(("a", "b", "x"), ("a", "b", "x"), relay, 2))
+        u = Upstream("me", UpstreamTiming.of(CONTACT), random.Random(1))
+        u.see(0 * MS, RelayTier(("a", "b", "x"), ("a", "b", "x"), relay, 2))
         return u
 
     def test_at_the_start_it_follows_a_controller_at_once_and_moves_later(self):
@@ -154,7 +154,7 @@
     def test_a_relay_that_is_one_no_more_is_left_gently(self):
         u = self.router()
         u.start(2 * CONTACT, "a")
-        u.see(2 * CONTACT, Tier(("b", "x", "y"), ("b", "x", "y"), False, 1))
+        u.see(2 * CONTACT, RelayTier(("b", "x", "y"), ("b", "x", "y"), False, 1))
         left = next(
             ms for ms in range(0, 30000, 100) if u.pulse(2 * CONTACT + ms * MS, 10) or u.leave(2 * CONTACT + ms * MS)
         )
--- a/tests/retry/test_retry.py
+++ b/tests/retry/test_retry.py
@@ -5,8 +5,8 @@
 from datetime import timedelta
 from itertools import product
 
-from sparloom.retry import MAY_HAVE_RUN, NOT_RUN, RAN, Budget, GiveUp, Plan, Retry, after, judge_head
-from sparloom.retry.verdict import Head
+from sparloom.retry import MAY_HAVE_RUN, NOT_RUN, RAN, GiveUp, Retry, RetryBudget, RetryContext, judge_head, next_step
+from sparloom.retry.verdict import ResponseHead
 
 S = timedelta(seconds=1)
 
@@ -14,32 +14,32 @@
 class Verdicts(unittest.TestCase):
     def test_only_not_run_and_421_prove_it(self):
         for status in (400, 408, 429, 500, 502, 503, 504):
-            self.assertIs(judge_head(Head(status, True, False, True, True))[0], NOT_RUN)
-            self.assertIsNot(judge_head(Head(status, False, False, True, True))[0], NOT_RUN)
-        self.assertIs(judge_head(Head(421, False, False, True, True))[0], NOT_RUN)
+            self.assertIs(judge_head(ResponseHead(status, True, False, True, True))[0], NOT_RUN)
+            self.assertIsNot(judge_head(ResponseHead(status, False, False, True, True))[0], NOT_RUN)
+        self.assertIs(judge_head(ResponseHead(421, False, False, True, True))[0], NOT_RUN)
 
     def test_no_refusal_of_another_request_proves_anything(self):
         for status, not_run, sealed, framed in product(range(200, 600), *3 * [(True, False)]):
-            self.assertEqual(judge_head(Head(status, not_run, sealed, False, framed)), (MAY_HAVE_RUN, False))
+            self.assertEqual(judge_head(ResponseHead(status, not_run, sealed, False, framed)), (MAY_HAVE_RUN, False))
 
     def test_only_a_400_for_a_request_without_an_id_may_lack_it(self):
         for status in (400, 421, 429, 500, 503):
-            verdict, good = judge_head(Head(status, True, False, False, True, nameless=True))
+            verdict, good = judge_head(ResponseHead(status, True, False, False, True, nameless=True))
             self.assertEqual((verdict is NOT_RUN, good), (status == 400, False))
-        self.assertIs(judge_head(Head(400, False, False, False, True, nameless=True))[0], MAY_HAVE_RUN)
+        self.assertIs(judge_head(ResponseHead(400, False, False, False, True, nameless=True))[0], MAY_HAVE_RUN)
 
     def test_a_success_without_seal_or_with_anothers_id_is_not_passed_on(self):
         for sealed, fits, framed in product((True, False), repeat=3):
-            verdict, good = judge_head(Head(200, False, sealed, fits, framed))
+            verdict, good = judge_head(ResponseHead(200, False, sealed, fits, framed))
             self.assertEqual(good, sealed and fits and framed)
             self.assertIsNot(verdict, NOT_RUN)
 
     def test_a_success_is_never_taken_for_not_run(self):
-        self.assertIsNot(judge_head(Head(200, True, True, True, True))[0], NOT_RUN)
+        self.assertIsNot(judge_head(ResponseHead(200, True, True, True, True))[0], NOT_RUN)
 
     def test_a_promise_that_the_runner_did_not_make_is_not_passed_on(self):
         for status in (408, 429, 503):
-            self.assertEqual(judge_head(Head(status, False, False, True, True)), (MAY_HAVE_RUN, False))
+            self.assertEqual(judge_head(ResponseHead(status, False, False, True, True)), (MAY_HAVE_RUN, False))
 
 
 class Plans(unittest.TestCase):
@@ -54,23 +54,23 @@
             (True, False),
             (True, False),
         ):
-            yield Plan(rep, mx, n, v, began, left, fits, others)
+            yield RetryContext(rep, mx, n, v, began, left, fits, others)
 
     def test_an_unsafe_ask_that_may_have_run_is_never_sent_again_nor_promised(self):
         for p in self.every():
             if not p.repeatable and p.verdict is not NOT_RUN:
-                step = after(p)
+                step = next_step(p)
                 self.assertNotIsInstance(step, Retry)
                 self.assertNotIn(step.status, (408, 421, 429, 503))
 
     def test_caps_hold(self):
         for p in self.every():
-            if isinstance(after(p), Retry):
+            if isinstance(next_step(p), Retry):
                 self.assertTrue(p.attempts < p.max_attempts and p.within_budget and p.left > 0 * S)
 
     def test_what_has_begun_is_cut_not_ended(self):
         for p in self.every():
-            step = after(p)
+            step = next_step(p)
             if p.began and isinstance(step, GiveUp):
                 self.assertTrue(step.cut)
 
@@ -82,13 +82,13 @@
         rng = random.Random(seed)
         ratio, slack, win = 0.2, 52, 10 * S
         born = {i: 0 * S for i in range(6)}
-        routers = {i: Budget(win, ratio, slack, 0 * S) for i in born}
+        routers = {i: RetryBudget(win, ratio, slack, 0 * S) for i in born}
         asks, spends, now = [], [], 0 * S
         while now < 60 * S:
             now += timedelta(milliseconds=rng.randrange(5, 30))
             i = rng.choice(list(routers))
             if rng.random() < 0.004:
-                routers[i] = Budget(win, ratio, slack, now)
+                routers[i] = RetryBudget(win, ratio, slack, now)
             routers[i].asked(now)
             asks.append(now)
             for _ in range(rng.randrange(0, 3)):
@@ -112,7 +112,7 @@
         for ends in ((20, 29.9), (20, 24, 29.9), (20, 22, 23, 25, 28, 29.9)):
             spent, born = 0, 0 * S
             for end in ends:
-                for b in [Budget(10 * S, 0.2, 56, born) for _ in range(8)]:
+                for b in [RetryBudget(10 * S, 0.2, 56, born) for _ in range(8)]:
                     while b.allowed(end * S, 8):
                         b.spend(end * S)
                         spent += 1
@@ -120,4 +120,4 @@
             self.assertLessEqual(spent, 56, ends)
 
     def test_a_new_life_starts_without_slack(self):
-        self.assertFalse(Budget(10 * S, 0.2, 52, 5 * S).allowed(5 * S, 1))
+        self.assertFalse(RetryBudget(10 * S, 0.2, 52, 5 * S).allowed(5 * S, 1))
--- a/tests/router/test_answers.py
+++ b/tests/router/test_answers.py
@@ -6,8 +6,8 @@
 
 import aiohttp
 
-from sparloom.dynamic_timeout import Counts
-from sparloom.router.backends import Post
+from sparloom.dynamic_timeout import InFlightCounts
+from sparloom.router.backends import Backend
 from sparloom.transport.http_client import Connector, open_session
 
 from .test_frontend import EVENTS, Case
@@ -20,7 +20,7 @@
         self.failure, self.failed = failure, False
 
     def pipes(self, real):
-        """What to put in the place of ``Post.pipes``."""
+        """What to put in the place of ``Backend.pipes``."""
         return lambda post: real(post) if self.failed else self
 
     def request(self, *args, **options):
@@ -54,7 +54,7 @@
     async def test_a_connection_that_never_came_about_has_carried_nothing(self):
         for failure in (aiohttp.ConnectionTimeoutError(), aiohttp.ClientConnectorError(None, OSError())):
             first = FailsOnce(failure)
-            with mock.patch.object(Post, "pipes", first.pipes(Post.pipes)):
+            with mock.patch.object(Backend, "pipes", first.pipes(Backend.pipes)):
                 a = await self.rig.send("/unsafe/x")
             self.assertEqual((a.status, a.whole, first.failed), (200, True, True))
             for p in self.rig.know.fleet.posts.values():
@@ -118,7 +118,7 @@
     async def test_a_refusal_with_no_room_anywhere_else_is_503(self):
         for word, path, status in (("shed", "/once/x", 503), ("reset", "/safe/x", 502)):
             self.script(word)
-            with mock.patch.object(Counts, "take", self.once(Counts.take)):
+            with mock.patch.object(InFlightCounts, "take", self.once(InFlightCounts.take)):
                 a = await self.rig.send(path)
             self.assertEqual((a.status, "retry-after" in a.heads), (status, status == 503))
             for p in self.rig.know.fleet.posts.values():
--- a/tests/router/test_feed_client.py
+++ b/tests/router/test_feed_client.py
@@ -6,14 +6,14 @@
 from types import SimpleNamespace
 
 from sparloom.codec import DecodeError
-from sparloom.controller.feed_server import Shop
-from sparloom.discovery import RunnerList
-from sparloom.feed import POLICY, RUNNERS, Change, Follow, Pulse
+from sparloom.controller.feed_server import FeedServer
+from sparloom.discovery import EndpointList
+from sparloom.feed import CONFIGURATION, ENDPOINTS, Change, FeedHeartbeat, Subscribe
 from sparloom.feed import payload as news
-from sparloom.membership import ROUTER, Peer, Swim, Times
-from sparloom.router.router_state import Know
+from sparloom.membership import ROUTER, Peer, Swim, SwimTiming
+from sparloom.router.router_state import RouterState
 from sparloom.settings import from_dict
-from sparloom.transport import Frames, steady
+from sparloom.transport import Frames, monotonic
 from tests.support.router_fixture import POLICY as ROUTES
 from tests.support.router_fixture import STARTUP
 
@@ -22,12 +22,12 @@
 
 def policy(epoch, number):
     """A change that brings the whole policy."""
-    return Change(POLICY, epoch, number, 0, 0, news.whole(POLICY, {**ROUTES, "revision": number}))
+    return Change(CONFIGURATION, epoch, number, 0, 0, news.encode_state(CONFIGURATION, {**ROUTES, "revision": number}))
 
 
 def runners(epoch, number):
     """A change that brings the whole list."""
-    return Change(RUNNERS, epoch, number, 0, 0, news.whole(RUNNERS, RunnerList([], 1)))
+    return Change(ENDPOINTS, epoch, number, 0, 0, news.encode_state(ENDPOINTS, EndpointList([], 1)))
 
 
 class Case(unittest.IsolatedAsyncioTestCase):
@@ -50,14 +50,14 @@
 
     def pulse(self, epoch, number, age=5):
         """A pulse of one that knows of this policy."""
-        return Pulse(epoch, number, age, int(steady() / MS))
+        return FeedHeartbeat(epoch, number, age, int(monotonic() / MS))
 
 
 class ForeignRecords:
     """What a follower makes of records that are none of the feed; ``start`` follows the one that the test plays."""
 
     async def test_what_is_none_of_the_feed_ends_the_connection(self):
-        for record in (Follow("r", 0, 0, 0, 0), Change(7, 9, 9, 0, 0, b"")):
+        for record in (Subscribe("r", 0, 0, 0, 0), Change(7, 9, 9, 0, 0, b"")):
             with self.subTest(record=record):
                 task, frames, _ = await self.start()
                 await frames.write(record)
@@ -68,13 +68,13 @@
 class Router(ForeignRecords, Case):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.know = Know(self.up)
-        self.know.swim = Swim(Peer("me:1", ROUTER, "z1", "", 1, 0, 0), (), Times.of(timedelta(seconds=3)), None)
+        self.know = RouterState(self.up)
+        self.know.swim = Swim(Peer("me:1", ROUTER, "z1", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None)
         self.follow = self.know.follow
 
     async def start(self):
         """Follows the one that the test plays; gives the task and the connection."""
-        self.follow.upstream.start(steady(), self.address)
+        self.follow.upstream.start(monotonic(), self.address)
         task = asyncio.ensure_future(self.follow._from(self.address))
         self.addCleanup(task.cancel)
         return task, *await self.greeted()
@@ -101,7 +101,7 @@
         with self.assertRaises((EOFError, OSError)):
             await task
         _, frames, greeting = await self.start()
-        self.assertEqual(greeting.place, {POLICY: (1, 5), RUNNERS: (1, 1)})
+        self.assertEqual(greeting.place, {CONFIGURATION: (1, 5), ENDPOINTS: (1, 1)})
         await self.send(frames, self.pulse(0, 0))
         self.assertFalse(self.know.sure)
         self.assertEqual(self.follow.newest_policy(), (2, 1))
@@ -111,13 +111,13 @@
         await self.send(frames, policy(3, 7))
         await frames.write(policy(2, 9))
         await self.send(frames, self.pulse(2, 9))
-        self.assertEqual((self.know.policy.revision, self.follow.shelf.stamp(POLICY)), (7, (3, 7)))
+        self.assertEqual((self.know.policy.revision, self.follow.shelf.stamp(CONFIGURATION)), (7, (3, 7)))
 
 
 class Controller(ForeignRecords, Case):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.shop = Shop(self.up)
+        self.shop = FeedServer(self.up)
         self.primary = SimpleNamespace(id=2, host="127.0.0.1", port=self.port)
         ledger = SimpleNamespace(primary=lambda: self.primary, leading=lambda: False)
         self.shop.core = SimpleNamespace(ledger=ledger)
@@ -133,10 +133,10 @@
         bell = self.shop.bell.event
         await frames.write(self.pulse(4, 7))
         await bell.wait()
-        self.assertEqual((self.shop.newest_policy(), self.shop.shelf.stamp(POLICY)), ((4, 7), (0, 0)))
+        self.assertEqual((self.shop.newest_policy(), self.shop.shelf.stamp(CONFIGURATION)), ((4, 7), (0, 0)))
 
     async def test_a_change_that_can_not_be_read_is_not_taken_nor_passed_on(self):
         task, frames, _ = await self.start()
-        await frames.write(Change(POLICY, 1, 1, 0, 0, b"torn"))
+        await frames.write(Change(CONFIGURATION, 1, 1, 0, 0, b"torn"))
         await task
-        self.assertEqual((self.shop.shelf.stamp(POLICY), self.shop.afresh), ((0, 0), {POLICY}))
+        self.assertEqual((self.shop.shelf.stamp(CONFIGURATION), self.shop.afresh), ((0, 0), {CONFIGURATION}))
--- a/tests/router/test_frontend.py
+++ b/tests/router/test_frontend.py
@@ -5,8 +5,8 @@
 from unittest import mock
 
 from sparloom.configuration import build
-from sparloom.router.admission_queues import Lines
-from sparloom.transport import steady
+from sparloom.router.admission_queues import AdmissionQueues
+from sparloom.transport import monotonic
 from tests.support.router_fixture import POLICY, Rig
 
 EVENTS = b"".join(b"id: %d\ndata: piece %d\n\n" % (i, i) for i in range(1, 6))
@@ -156,7 +156,7 @@
         self.assertEqual((a.status, "retry-after" in a.heads), (503, True))
 
     async def test_what_has_no_time_left_is_not_sent_on(self):
-        with mock.patch.object(Lines, "enter", self.late(Lines.enter)):
+        with mock.patch.object(AdmissionQueues, "enter", self.late(AdmissionQueues.enter)):
             a = await self.rig.send("/once/x")
         self.assertEqual((a.status, self.got), (503, []))
 
@@ -166,7 +166,7 @@
 
         async def after_the_deadline(lines, service, ask):
             place = await enter(lines, service, ask)
-            ask.horizon = steady()
+            ask.horizon = monotonic()
             return place
 
         return after_the_deadline
--- a/tests/router/test_in_flight_gossip.py
+++ b/tests/router/test_in_flight_gossip.py
@@ -5,12 +5,12 @@
 from datetime import timedelta
 from unittest import mock
 
-from sparloom.discovery import Runner, RunnerList
+from sparloom.discovery import Endpoint, EndpointList
 from sparloom.dynamic_timeout import Bucket
-from sparloom.membership import ROUTER, Peer, Swim, Times
+from sparloom.membership import ROUTER, Peer, Swim, SwimTiming
 from sparloom.router import in_flight_gossip as tell_module
 from sparloom.router import router_state as know_module
-from sparloom.router.router_state import Know
+from sparloom.router.router_state import RouterState
 from sparloom.settings import from_dict
 from tests.support.router_fixture import STARTUP
 
@@ -37,14 +37,14 @@
             up = from_dict(
                 {**STARTUP, "nodeName": f"front-{i}", "ipAddress": f"10.0.0.{i}", "zone": f"z{i % 3}"}
             ).unwrap()
-            k = Know(up)
+            k = RouterState(up)
             k.rng = random.Random(i)
             k.swim = Swim(
-                Peer(k.key, ROUTER, up.zone, "", k.tell.life, 0, 0), (), Times.of(timedelta(seconds=3)), k.rng
+                Peer(k.key, ROUTER, up.zone, "", k.tell.life, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), k.rng
             )
             k.net, k.listed = (
                 Net(k.key, self),
-                RunnerList([Runner(f"i-{r}", "s", f"10.1.0.{r}:1", "z0", 8, False, 0) for r in range(4)], n),
+                EndpointList([Endpoint(f"i-{r}", "s", f"10.1.0.{r}:1", "z0", 8, False, 0) for r in range(4)], n),
             )
             k.tell.later = lambda wait, fn: None
             k.fleet = k.fleet.renew(k.listed.runners, lambda s: 10**6)
@@ -68,7 +68,7 @@
 class Words(unittest.TestCase):
     def setUp(self):
         for m in (tell_module, know_module):
-            p = mock.patch.object(m, "steady", lambda: self.fleet.now if self.fleet else timedelta(seconds=100))
+            p = mock.patch.object(m, "monotonic", lambda: self.fleet.now if self.fleet else timedelta(seconds=100))
             p.start()
             self.addCleanup(p.stop)
         self.fleet = None
--- a/tests/router/test_reconfigured.py
+++ b/tests/router/test_reconfigured.py
@@ -7,8 +7,8 @@
 from simulator.clients import Client
 from simulator.virtual import world
 from sparloom.configuration import build
-from sparloom.discovery import Runner as Listed
-from sparloom.discovery import RunnerList
+from sparloom.discovery import Endpoint as Listed
+from sparloom.discovery import EndpointList
 from tests.support.router_fixture import POLICY, Rig, route
 
 ROUTES = [route("once", "/once/", timeoutMs=8000), route("resume", "/resume/", resumeStreams=True, timeoutMs=8000)]
@@ -62,7 +62,7 @@
         if runners_too:
             runner = self.rig.runners[1]
             kept = [Listed(runner.id, "s", f"127.0.0.1:{runner.port}", "z1", 8, False, 0)]
-            know.listed = RunnerList(kept, 1)
+            know.listed = EndpointList(kept, 1)
         know.renew()
         know.lines.tick()
 
--- a/tests/simulator/test_growth.py
+++ b/tests/simulator/test_growth.py
@@ -28,7 +28,7 @@
         self.assertIn(1.0, got["seen_s"])
         self.assertGreater(got["followers"], 0)
         names = {n for n, _, _ in rows([got, {**got, "routers": 12}])}
-        self.assertLessEqual({"router datagrams out", "router frame in Pulse", "followers"}, names)
+        self.assertLessEqual({"router datagrams out", "router frame in FeedHeartbeat", "followers"}, names)
         self.assertGreater(got["router"]["datagram out Ping"][0], 0.5)
 
     def test_the_same_seed_counts_the_same(self):
--- a/tests/simulator/test_history.py
+++ b/tests/simulator/test_history.py
@@ -10,7 +10,7 @@
 from simulator.history import Call, Outcome, Sent, broken_rule, fault_in, linearize
 from simulator.operators import Plan, play_history
 from sparloom.controller.change_requests import Judgement, Verdict, judge
-from sparloom.controller.control_api import Control, Snapshot
+from sparloom.controller.control_api import ControlApi, Snapshot
 from sparloom.controller.control_state import History, State
 from tests.support.paths import ROOT
 
@@ -95,7 +95,7 @@
 
     MOST_SEEDS = 12
 
-    def caught(self, name, mutant, target=Control):
+    def caught(self, name, mutant, target=ControlApi):
         with mock.patch.object(target, name, mutant):
             seeds = range(1, self.MOST_SEEDS + 1)
             return next((s for s in seeds if play_history(s, Plan(seconds=15.0)).fault), None)
--- a/tests/simulator/test_model_checker.py
+++ b/tests/simulator/test_model_checker.py
@@ -7,7 +7,7 @@
 from simulator.check.shrink import kind, shrink
 from simulator.check.starts import STARTS, ready
 from simulator.check.transitions import At, Pass
-from sparloom.consensus import Confirmed, Send, election, leadership
+from sparloom.consensus import ReadConfirmed, Send, election, leadership
 from sparloom.consensus.election import Election
 from sparloom.consensus.leadership import Leadership
 from sparloom.consensus.replica import Replica
@@ -25,11 +25,11 @@
 
 
 def _confirm_the_newest(self):
-    return [Confirmed(action.id, self.ledger.data) for action in _confirm(self)]
+    return [ReadConfirmed(action.id, self.ledger.data) for action in _confirm(self)]
 
 
 def _read_at_once(self, read):
-    return [Confirmed(read, self.decided)] if self.serving else None
+    return [ReadConfirmed(read, self.decided)] if self.serving else None
 
 
 def _decide_with_one_copy(self, record):
--- a/tests/support/aggregation_fleet.py
+++ b/tests/support/aggregation_fleet.py
@@ -4,10 +4,10 @@
 from itertools import count
 
 from simulator.clock import MS, Clock
-from sparloom.admission import Crowd
-from sparloom.aggregation import Sums
+from sparloom.admission import FleetSize
+from sparloom.aggregation import InFlightAggregator
 from sparloom.codec import pack
-from sparloom.relay import plan
+from sparloom.relay import plan_tier
 
 CONTACT = 3000 * MS
 SHARED = 10**6
@@ -36,7 +36,7 @@
 
     def boot(self, k, told=False):
         """A new life of a node; the others learn of it within a sixth of the contact bound."""
-        self.nodes[k] = s = Sums(k, next(self.lives), CONTACT)
+        self.nodes[k] = s = InFlightAggregator(k, next(self.lives), CONTACT)
         self.off.discard(k)
         self.views[k] = {o: self.nodes[o].life for o in self.nodes if o not in self.off}
         self.held[k] = {}
@@ -85,7 +85,7 @@
             own = ({s.life: (1, 0, 0, 0, 0, 0)} if self.own else {}) | {
                 SHARED + r: (n, 0, 0, 0, 0, 0) for r, n in self.held[k].items() if n
             }
-            c = self.crowds.setdefault(s.life, Crowd(CONTACT))
+            c = self.crowds.setdefault(s.life, FleetSize(CONTACT))
             told = s.crowds(self.now) if s.view(self.now) is not None else {"": 0}
             c.see(self.now, 1 + len(up), self.recorded, told)
             s.note(self.now, own, c.divisor)
@@ -95,7 +95,7 @@
 
     def plan(self, k, up):
         if self.plans.get(k, (None,))[0] != up.keys():
-            self.plans[k] = (set(up), plan(k, self.zone[k], [(o, self.zone[o]) for o in up]))
+            self.plans[k] = (set(up), plan_tier(k, self.zone[k], [(o, self.zone[o]) for o in up]))
         return self.plans[k][1]
 
     def _churn(self, k):
--- a/tests/support/load_balancing_fleet.py
+++ b/tests/support/load_balancing_fleet.py
@@ -12,7 +12,7 @@
 
 from attrs import define, field
 
-from sparloom.load_balancing import Kept, Standing, choose, heavy, lean
+from sparloom.load_balancing import CachedPrefixes, Candidate, choose, is_heavy_prefill, rendezvous_weight
 from sparloom.load_balancing.rank import WEIGHTS as DEFAULT_WEIGHTS
 
 SLOTS, CHUNK, SPEED, ROOM = 16, 1024, 50.0, 380_000
@@ -95,8 +95,8 @@
         grid = lambda: [[0] * runners for _ in range(routers)]
         self.own, self.told, self.tokens, self.told_tokens = grid(), grid(), grid(), grid()
         self.sum, self.sum_tokens = [0] * runners, [0] * runners
-        self.heard = [Kept(ROOM) for _ in range(runners)]
-        self.mine = [[Kept(ROOM) for _ in range(runners)] for _ in range(routers)]
+        self.heard = [CachedPrefixes(ROOM) for _ in range(runners)]
+        self.mine = [[CachedPrefixes(ROOM) for _ in range(runners)] for _ in range(routers)]
         self.idle, self.opened, self.pairs = defaultdict(list), 0, set()
         self.read, self.again, self.done, self.events, self.turn = set(), 0, [], [], 0
         self._arrivals(prefixes, subjects, quick, long)
@@ -150,7 +150,7 @@
     def _send(self, r):
         i = r.router
         stands = [
-            Standing(
+            Candidate(
                 j,
                 min(self.mine[i][j].unread(r.parts), self.heard[j].unread(r.parts)),
                 self.sum_tokens[j] - self.told_tokens[i][j] + self.tokens[i][j],
@@ -158,14 +158,14 @@
                 SLOTS,
                 near=u.zone == i % self.zones,
                 warm=self._warm(i, j),
-                lean=lean(r.key, u.number),
+                affinity_weight=rendezvous_weight(r.key, u.number),
             )
             for j, u in enumerate(self.runners)
         ]
         best = choose(stands, sum(n for _, n in r.parts[:-1]), self.weights)[0]
         r.runner, r.unread = best.id, best.unread
         j = r.runner
-        r.urgency += self.yields and heavy(r.unread, ROOM, SLOTS)
+        r.urgency += self.yields and is_heavy_prefill(r.unread, ROOM, SLOTS)
         self.own[i][j] += 1
         self.tokens[i][j] += r.unread
         self.mine[i][j].saw(r.parts)
--- a/tests/support/relay_network.py
+++ b/tests/support/relay_network.py
@@ -7,8 +7,8 @@
 import random
 
 from simulator.clock import MS, Clock
-from sparloom.feed import POLICY, UNSURE, Change, Pulse, Shelf
-from sparloom.relay import GONE, Spans, Tier, Upstream, plan
+from sparloom.feed import CONFIGURATION, UNCONFIRMED, Change, FeedHeartbeat, VersionedStore
+from sparloom.relay import GONE, RelayTier, Upstream, UpstreamTiming, plan_tier
 
 CONTACT = 4000 * MS
 
@@ -38,9 +38,9 @@
 
     def boot(self, net):
         self.on, self.dark, self.frozen, self.life = True, False, False, self.life + 1
-        self.shelf, self.text, self.served, self.pipe, self.confirmed = Shelf(), "", {}, None, None
-        self.tier, self.seen, self.sees, self.late = Tier(), None, set(), {}
-        self.up = Upstream(self.name, Spans.of(CONTACT), random.Random(net.rng.random()))
+        self.shelf, self.text, self.served, self.pipe, self.confirmed = VersionedStore(), "", {}, None, None
+        self.tier, self.seen, self.sees, self.late = RelayTier(), None, set(), {}
+        self.up = Upstream(self.name, UpstreamTiming.of(CONTACT), random.Random(net.rng.random()))
         return self
 
     @property
@@ -56,7 +56,7 @@
             if self.controller
             else self.up.tracker.known(now)
         )
-        return UNSURE if known is None else int(known / MS)
+        return UNCONFIRMED if known is None else int(known / MS)
 
 
 class Net(Clock):
@@ -123,7 +123,7 @@
             for o in near:
                 o.confirmed = self.now
                 if self.version and o.shelf.put(
-                    POLICY,
+                    CONFIGURATION,
                     (1, self.version),
                     self.written[self.version].encode(),
                     self.written[self.version][-1:].encode(),
@@ -171,7 +171,7 @@
                 n.sees.discard(self.rng.choice(self.routers))
             seen = frozenset(n.sees - {n.name})
             if seen != n.seen:
-                n.seen, n.tier = seen, plan(n.name, n.zone, [(u, self.nodes[u].zone) for u in seen])
+                n.seen, n.tier = seen, plan_tier(n.name, n.zone, [(u, self.nodes[u].zone) for u in seen])
         if not n.frozen:
             n.up.see(self.now, n.tier)
         self.at(250 * MS, lambda: self._look(n, life))
@@ -202,7 +202,7 @@
             return
         if not s.on or s.life != slife:
             return self._over(n, life, GONE)
-        p = n.pipe = Pipe(n.name, s.name, {POLICY: n.shelf.stamp(POLICY)})
+        p = n.pipe = Pipe(n.name, s.name, {CONFIGURATION: n.shelf.stamp(CONFIGURATION)})
         n.up.tracker.start(self.now)
         s.served[p] = True
         self.most = max(self.most, self.direct())
@@ -216,7 +216,7 @@
             if not s.open() or not s.controller and len(s.served) > s.up.room():
                 return self._close(p)
             p.greeted = True
-            self._send(p, Pulse(0, 0, s.age(self.now), self._clock(s)))
+            self._send(p, FeedHeartbeat(0, 0, s.age(self.now), self._clock(s)))
             self._flush(p)
             self._timer(p, s, life)
 
@@ -242,7 +242,7 @@
         for c in s.shelf.lacking(p.place):
             p.place[c.topic] = c.stamp
             self._send(p, c)
-        self._send(p, Pulse(0, 0, s.age(self.now), self._clock(s)))
+        self._send(p, FeedHeartbeat(0, 0, s.age(self.now), self._clock(s)))
 
     def _send(self, p, rec):
         d = (1 + 2 * self.rng.random() + self.nodes[p.s].slow + 200 * (self.rng.random() < self.loss)) * MS
@@ -275,14 +275,14 @@
 
     def _take(self, n, c):
         """As the router's service does; never back a stamp, never a step on another base."""
-        have = n.shelf.stamp(POLICY)
+        have = n.shelf.stamp(CONFIGURATION)
         if c.stamp <= have:
             return True
         if c.base != (0, 0) and c.base != have:
             return False
         n.text = n.text + c.blob.decode() if c.base != (0, 0) else c.blob.decode()
         assert n.text == self.written[c.stamp[1]], (n.name, n.text, c.stamp)
-        n.shelf.put(POLICY, c.stamp, n.text.encode(), c.blob if c.base != (0, 0) else None)
+        n.shelf.put(CONFIGURATION, c.stamp, n.text.encode(), c.blob if c.base != (0, 0) else None)
         return True
 
     def _check(self, n, p):
@@ -324,7 +324,7 @@
         return [
             r
             for r in self.routers
-            if self.nodes[r].on and r not in but and self.nodes[r].shelf.stamp(POLICY)[1] < self.version
+            if self.nodes[r].on and r not in but and self.nodes[r].shelf.stamp(CONFIGURATION)[1] < self.version
         ]
 
     def relays(self):
--- a/tests/support/router_fixture.py
+++ b/tests/support/router_fixture.py
@@ -6,14 +6,14 @@
 
 from fakes.runner import Runner
 from sparloom.configuration import build
-from sparloom.discovery import Runner as Listed
-from sparloom.discovery import RunnerList
-from sparloom.membership import ROUTER, Peer, Swim, Times
-from sparloom.router.backends import Fleet
-from sparloom.router.frontend import Front
-from sparloom.router.router_state import Know
+from sparloom.discovery import Endpoint as Listed
+from sparloom.discovery import EndpointList
+from sparloom.membership import ROUTER, Peer, Swim, SwimTiming
+from sparloom.router.backends import BackendTable
+from sparloom.router.frontend import Frontend
+from sparloom.router.router_state import RouterState
 from sparloom.settings import Address, from_dict
-from sparloom.transport import bind, steady
+from sparloom.transport import bind, monotonic
 
 STARTUP = {
     "nodeName": "front-1",
@@ -75,16 +75,16 @@
 
     async def __aenter__(self):
         self.runners = [await Runner(id=f"i-{i}").start() for i in range(self.n)]
-        self.know = k = Know(self.up)
-        k.born = steady() - timedelta(minutes=1)
+        self.know = k = RouterState(self.up)
+        k.born = monotonic() - timedelta(minutes=1)
         k.rng = random.Random(1)
-        k.swim = Swim(Peer("me:1", ROUTER, "z1", "", 1, 0, 0), (), Times.of(timedelta(seconds=3)), k.rng)
+        k.swim = Swim(Peer("me:1", ROUTER, "z1", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), k.rng)
         k.net = Deaf()
         k.policy, k.sure = build(self.policy), True
-        k.listed = RunnerList([Listed(r.id, "s", f"127.0.0.1:{r.port}", "z1", 8, False, 0) for r in self.runners], 1)
-        k.fleet = Fleet().renew(k.listed.runners, lambda s: 10000)
+        k.listed = EndpointList([Listed(r.id, "s", f"127.0.0.1:{r.port}", "z1", 8, False, 0) for r in self.runners], 1)
+        k.fleet = BackendTable().renew(k.listed.runners, lambda s: 10000)
         k.known.set()
-        self.front = Front(self.up, k)
+        self.front = Frontend(self.up, k)
         await self.front.serve_clients(bind(Address("127.0.0.1", 0)))
         self.port = self.front.client_runner.addresses[0][1]
         return self
--- a/tests/support/watched_core.py
+++ b/tests/support/watched_core.py
@@ -5,7 +5,7 @@
 from simulator.check.history import History, Violation
 from simulator.core import Core
 from simulator.timeline import EVENTS
-from sparloom.consensus import Confirmed, Decided, Lost
+from sparloom.consensus import Aborted, Committed, ReadConfirmed
 
 
 @define(frozen=True, slots=True)
@@ -33,13 +33,13 @@
     def act(self, n, actions):
         """Carries out a member's actions; checks what they claim first."""
         for action in actions or ():
-            if isinstance(action, Decided):
+            if isinstance(action, Committed):
                 self._decided(n, action)
-            elif isinstance(action, Lost):
+            elif isinstance(action, Aborted):
                 self.orders.pop(action.id, None)
         super().act(n, actions)
         for action in actions or ():
-            if isinstance(action, Confirmed):
+            if isinstance(action, ReadConfirmed):
                 self._confirmed(n, action)
         ledger, life = self.nodes[n]
         if ledger.leading():
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -136,15 +136,15 @@
         return [(0, *feed["policies"]), (1, *lists)]
 
     def test_the_topics_keep_their_numbers(self) -> None:
-        self.assertEqual([names.POLICY, names.RUNNERS], [0, 1])
+        self.assertEqual([names.CONFIGURATION, names.ENDPOINTS], [0, 1])
 
     def test_states_and_steps_are_written_as_before(self) -> None:
         for topic, old, new in self.states():
             with self.subTest(topic):
                 made = [
-                    names.whole(topic, old),
-                    names.whole(topic, new),
-                    names.step(topic, old, new, 1 << 20),
+                    names.encode_state(topic, old),
+                    names.encode_state(topic, new),
+                    names.encode_delta(topic, old, new, 1 << 20),
                 ]
                 blobs = [bytes.fromhex(blob) for blob in golden()["feed"]["blobs"][topic]]
                 self.assertEqual([*map(zlib.decompress, made)], [*map(zlib.decompress, blobs)])
@@ -153,9 +153,9 @@
         for topic, old, new in self.states():
             with self.subTest(topic):
                 first, second, step = (bytes.fromhex(blob) for blob in golden()["feed"]["blobs"][topic])
-                self.assertEqual(names.take(names.Change(topic, 1, 1, 0, 0, first), None), old)
-                self.assertEqual(names.take(names.Change(topic, 1, 2, 0, 0, second), None), new)
-                self.assertEqual(names.take(names.Change(topic, 1, 2, 1, 1, step), old), new)
+                self.assertEqual(names.apply_change(names.Change(topic, 1, 1, 0, 0, first), None), old)
+                self.assertEqual(names.apply_change(names.Change(topic, 1, 2, 0, 0, second), None), new)
+                self.assertEqual(names.apply_change(names.Change(topic, 1, 2, 1, 1, step), old), new)
 
 
 class ControlState(unittest.TestCase):
@@ -288,7 +288,7 @@
     def test_the_remembered_prefixes_are_read_and_written_again(self) -> None:
         with open(os.path.join(self.folder, "prefixes"), "rb") as file:
             raw = file.read()
-        memory = names.Memory.unpack(raw)
+        memory = names.PlacementTable.unpack(raw)
         self.assertEqual(plain(memory.items), golden()["prefixes"])
         self.assertEqual(memory.pack(), raw)
 
--- a/tests/transport/test_dialing.py
+++ b/tests/transport/test_dialing.py
@@ -5,10 +5,10 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from sparloom.controller.feed_server import Shop
-from sparloom.router.router_state import Know
+from sparloom.controller.feed_server import FeedServer
+from sparloom.router.router_state import RouterState
 from sparloom.settings import from_dict
-from sparloom.transport import DialPatience, sockets
+from sparloom.transport import DialTimeout, sockets
 from tests.support.router_fixture import STARTUP
 
 MS = timedelta(milliseconds=1)
@@ -52,7 +52,7 @@
         primary = SimpleNamespace(id=2, host="127.0.0.1", port=1)
 
         def follow():
-            shop = Shop(up)
+            shop = FeedServer(up)
             shop.core = SimpleNamespace(ledger=SimpleNamespace(primary=lambda: primary, leading=lambda: False))
             return lambda: shop._from(primary)
 
@@ -62,7 +62,7 @@
         up = from_dict(STARTUP).unwrap()
 
         def follow():
-            follower = Know(up).follow
+            follower = RouterState(up).follow
             return lambda: follower._from("127.0.0.1:1")
 
         await self.check(up.bounds.contact, follow)
@@ -77,7 +77,7 @@
                 raise TimeoutError
             return opened
 
-        patience = DialPatience(75 * MS, 600 * MS)
+        patience = DialTimeout(75 * MS, 600 * MS)
         with mock.patch.object(sockets, "dial", dial):
             for _ in range(4):
                 with self.assertRaises(TimeoutError):
@@ -86,7 +86,7 @@
         self.assertEqual(patience.span, 75 * MS)
 
     async def test_a_refusal_is_no_reason_to_wait_longer(self):
-        patience = DialPatience(75 * MS, 600 * MS)
+        patience = DialTimeout(75 * MS, 600 * MS)
         refused = mock.AsyncMock(side_effect=ConnectionRefusedError)
         with mock.patch.object(sockets, "dial", refused), self.assertRaises(ConnectionRefusedError):
             await patience.dial("h", 1)
