--- a/sparloom/cli.py
+++ b/sparloom/cli.py
@@ -1,20 +1,29 @@
 """The command line that both programs share."""
 
+from __future__ import annotations
+
 import asyncio
 import gc
 import json
 import os
 import sys
+from typing import TYPE_CHECKING
 
 from absl import logging
 
-from sparloom import __version__
-from sparloom import metrics as meter
+from sparloom import __version__, metrics
 from sparloom.launch.bytecode_archive import release
 from sparloom.settings import read, where
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from sparloom.settings import Settings
+
+EXIT_OK, EXIT_FAILED, EXIT_USAGE = 0, 1, 2
+
 
-def _log():
+def _set_up_logging() -> None:
     from mode import Service
 
     Service.mundane_level = "debug"
@@ -24,31 +33,48 @@
     logging.set_stderrthreshold("info")
 
 
-def _say(text):
+def _print_error(text: str) -> None:
     print(text, file=sys.stderr)
 
 
-def _lack(name, up):
+def _missing_setting(name: str, settings: Settings) -> str | None:
+    """The sentence that names a setting which this program needs and the file lacks; None where it has all."""
     if name == "router":
-        need = {"listenAddresses.front": up.listen.front, "listenAddresses.readiness": up.listen.readiness}
+        needed: dict[str, object] = {
+            "listenAddresses.front": settings.listen.front,
+            "listenAddresses.readiness": settings.listen.readiness,
+        }
     else:
-        need = {"listenAddresses.control": up.listen.control, "dataDirectory": up.data}
-    return next((f"{k} is missing." for k, v in need.items() if not v), None)
+        needed = {"listenAddresses.control": settings.listen.control, "dataDirectory": settings.data}
+    return next((f"{key} is missing." for key, value in needed.items() if not value), None)
 
 
-def run(name, config=None):
-    """Reads the startup file and serves; gives the exit status."""
+def run(name: str, config: str | None = None) -> int:
+    """Reads the startup file and serves until the program is told to stop.
+
+    Parameters
+    ----------
+    name
+        ``router`` or ``controller``.
+    config
+        The path of the startup file; by default the one that ``SPARLOOM_CONFIG`` names.
+
+    Returns
+    -------
+    int
+        The exit status: 0 after a planned stop, 1 when the program can't serve, 2 when its settings are unsound.
+    """
     path = config or where()
-    up = read(path)
-    if up.value_or(None) is None:
-        _say(f"{name}: {up.failure()}")
-        return 2
-    lack = _lack(name, up.unwrap())
-    if lack:
-        _say(f"{name}: {path}: {lack}")
-        return 2
-    _log()
-    meter.start_meter(meter.report_interval() is not None)
+    settings = read(path)
+    if settings.value_or(None) is None:
+        _print_error(f"{name}: {settings.failure()}")
+        return EXIT_USAGE
+    missing = _missing_setting(name, settings.unwrap())
+    if missing:
+        _print_error(f"{name}: {path}: {missing}")
+        return EXIT_USAGE
+    _set_up_logging()
+    metrics.start_meter(metrics.report_interval() is not None)
     if name == "router":
         from sparloom.router.program import serve
     else:
@@ -57,72 +83,74 @@
     gc.freeze()
     gc.enable()
     try:
-        asyncio.run(serve(up.unwrap(), path))
-    except OSError as e:
-        _say(f"{name}: it can't serve ({e}).")
-        return 1
+        asyncio.run(serve(settings.unwrap(), path))
+    except OSError as error:
+        _print_error(f"{name}: it can't serve ({error}).")
+        return EXIT_FAILED
     except (TimeoutError, KeyboardInterrupt):
+        # The stop took longer than its bound, or came from the keyboard; the process ends either way.
         pass
-    return 0
+    return EXIT_OK
 
 
-def _check_policy(path):
+def _configuration_fault(path: str) -> str | None:
+    """What is wrong with a configuration file, in one sentence; None where it is sound."""
     from sparloom.configuration import check, parse
 
     try:
-        with open(path, "rb") as f:
-            raw = f.read()
-    except OSError as e:
-        return f"{path}: the policy can't be read ({e.strerror})."
-    res = parse(raw).bind(check)
-    return None if res.value_or(None) is not None else f"{path}: {res.failure()}."
+        with open(path, "rb") as file:
+            raw = file.read()
+    except OSError as error:
+        return f"{path}: the policy can't be read ({error.strerror})."
+    checked = parse(raw).bind(check)
+    return None if checked.value_or(None) is not None else f"{path}: {checked.failure()}."
 
 
-def _commands(name):
-    def serve(*, config: str = ""):
+def _commands(name: str) -> list[Callable[..., int]]:
+    def serve(*, config: str = "") -> int:
         """Serve until SIGTERM.
 
         :param config: path of the startup file; SPARLOOM_CONFIG names it otherwise
         """
         return run(name, config or None)
 
-    def check(*, startup: str = "", policy: str = ""):
+    def check(*, startup: str = "", policy: str = "") -> int:
         """Say whether a startup file or a policy file is sound.
 
         :param startup: path of a startup file (TOML)
         :param policy: path of a policy file (JSON)
         """
         if not startup and not policy:
-            _say("check: name a file with --startup or --policy.")
-            return 2
-        bad = None
+            _print_error("check: name a file with --startup or --policy.")
+            return EXIT_USAGE
+        fault = None
         if startup:
-            res = read(startup)
-            bad = None if res.value_or(None) is not None else res.failure()
-        if policy and not bad:
-            bad = _check_policy(policy)
-        print(bad or "sound")
-        return 1 if bad else 0
-
-    def beliefs(address: str):
+            settings = read(startup)
+            fault = None if settings.value_or(None) is not None else str(settings.failure())
+        if policy and not fault:
+            fault = _configuration_fault(policy)
+        print(fault or "sound")
+        return EXIT_FAILED if fault else EXIT_OK
+
+    def beliefs(address: str) -> int:
         """Print what a running node believes, as JSON.
 
         :param address: HOST:PORT of its control or readiness address
         """
         from sparloom.compare.beliefs import fetch
 
-        told = fetch(address)
-        if told.value_or(None) is None:
-            _say(told.failure())
-            return 1
-        print(json.dumps(told.unwrap(), indent=2))
-        return 0
+        fetched = fetch(address)
+        if fetched.value_or(None) is None:
+            _print_error(str(fetched.failure()))
+            return EXIT_FAILED
+        print(json.dumps(fetched.unwrap(), indent=2))
+        return EXIT_OK
 
     return [serve, check, beliefs]
 
 
-def main(name):
-    """Runs a program; with no arguments it serves at once.
+def main(name: str) -> None:
+    """Runs a program and exits with its status; with no arguments it serves at once.
 
     The argument parser is loaded only when there are arguments: it costs more
     time and memory than all else that a start needs.
--- a/sparloom/launch/__main__.py
+++ b/sparloom/launch/__main__.py
@@ -4,17 +4,19 @@
 the same program from the sources.
 """
 
+from __future__ import annotations
+
 import sys
 
 from sparloom.launch.bytecode_archive import install
-from sparloom.launch.launcher import LISTENS, launch
+from sparloom.launch.launcher import LISTEN_ADDRESSES, launch
 
 
-def start():
+def start() -> None:
     """Runs the program that the first argument names, from the archive where there is one."""
     name = sys.argv[1] if len(sys.argv) > 1 else ""
-    if name not in LISTENS:
-        sys.exit(f"usage: python3 -m sparloom.launch {{{'|'.join(LISTENS)}}} [ARGUMENTS]")
+    if name not in LISTEN_ADDRESSES:
+        sys.exit(f"usage: python3 -m sparloom.launch {{{'|'.join(LISTEN_ADDRESSES)}}} [ARGUMENTS]")
     install()
     sys.argv = sys.argv[1:]
     launch(name)
--- a/tests/launch/test_bytecode_archive.py
+++ b/tests/launch/test_bytecode_archive.py
@@ -21,8 +21,8 @@
         opened.append(args[0])
 from sparloom.launch.bytecode_archive import Archive, install, release
 archive = install(sys.argv[1])
-from sparloom.launch.early_listen import leave_out, skip_mime_files
-leave_out()
+from sparloom.launch.early_listen import block_unused_modules, skip_mime_files
+block_unused_modules()
 skip_mime_files()
 sys.addaudithook(hook)
 import sparloom.cli, sparloom.router.program
@@ -53,8 +53,8 @@
     gc.disable()
     from sparloom.launch.bytecode_archive import install
     assert install(sys.argv[2])
-from sparloom.launch.early_listen import leave_out, skip_mime_files
-leave_out()
+from sparloom.launch.early_listen import block_unused_modules, skip_mime_files
+block_unused_modules()
 skip_mime_files()
 import sparloom.cli, sparloom.router.program
 print(time.process_time())
@@ -85,7 +85,7 @@
         cls.addClassCleanup(cls.folder.cleanup)
         cls.path = os.path.join(cls.folder.name, "programs.bin")
         done = python(
-            "-c", "import sys; from sparloom.launch.build_archive import pack; print(pack(sys.argv[1]))", cls.path
+            "-c", "import sys; from sparloom.launch.build_archive import build; print(build(sys.argv[1]))", cls.path
         )
         if done.returncode:
             raise AssertionError(done.stderr)
--- a/tests/load_balancing/test_rank.py
+++ b/tests/load_balancing/test_rank.py
@@ -110,6 +110,6 @@
 
 class Start(unittest.TestCase):
     def test_tls_is_never_loaded(self):
-        code = "from sparloom.launch.early_listen import leave_out; leave_out(); import sys, sparloom.cli, sparloom.router.program, sparloom.controller.program; print(sys.modules['ssl'], '_ssl' in sys.modules and sys.modules['_ssl'])"
+        code = "from sparloom.launch.early_listen import block_unused_modules; block_unused_modules(); import sys, sparloom.cli, sparloom.router.program, sparloom.controller.program; print(sys.modules['ssl'], '_ssl' in sys.modules and sys.modules['_ssl'])"
         got = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, check=False)
         self.assertEqual((got.stdout.strip(), got.returncode), ("None None", 0), got.stderr)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -5,7 +5,7 @@
 import tomllib
 import unittest
 
-from sparloom.launch.launcher import LISTENS
+from sparloom.launch.launcher import LISTEN_ADDRESSES
 from tests.support.paths import ROOT
 
 CLASSES = {"front", "core"}
@@ -42,13 +42,13 @@
                 program, *options, module, started = role["run"].split()
                 self.assertEqual((program, options[-1]), ("python3", "-m"))
                 self.assertIsNotNone(importlib.util.find_spec(module))
-                self.assertIn(started, LISTENS)
+                self.assertIn(started, LISTEN_ADDRESSES)
                 self.assertIsNotNone(importlib.util.find_spec(f"sparloom.{started}.__main__"))
 
     def test_a_program_listens_at_what_its_role_serves(self):
         for role in self.deploy["roles"].values():
             started = role["run"].split()[-1]
-            self.assertLessEqual(set(role["serves"]), set(LISTENS[started]))
+            self.assertLessEqual(set(role["serves"]), set(LISTEN_ADDRESSES[started]))
 
     def test_every_role_has_a_place_and_a_duty(self):
         served = []
