--- a/simulator/check/recovery.py
+++ b/simulator/check/recovery.py
@@ -4,7 +4,7 @@
 
 from .history import Violation
 from .model_state import NEWCOMERS
-from .transitions import At, disks_lost, whole
+from .transitions import At, disks_lost, run_fairly, whole
 
 PRIMARY_MS = 8000
 WRITE_MS = 4000
@@ -38,14 +38,14 @@
         name = world.primary()
         if name is not None:
             world.order(name)
-        if world.run(WRITE_MS // 10, acknowledged):
+        if run_fairly(world, WRITE_MS // 10, acknowledged):
             return True
     return False
 
 
 def serves(world, when):
     """Raises a violation unless a primary comes up in time and a write succeeds."""
-    if not world.run(PRIMARY_MS, lambda now: now.primary() is not None):
+    if not run_fairly(world, PRIMARY_MS, lambda now: now.primary() is not None):
         raise Violation(f"no primary within {PRIMARY_MS} ms {when}")
     if not _write_succeeds(world):
         raise Violation(f"no write succeeds within {WRITE_MS} ms {when}")
@@ -97,7 +97,7 @@
     end_troubles(world)
     serves(world, "after all troubles ended")
     replace_machines(world)
-    if not world.run(REPAIR_MS, whole):
+    if not run_fairly(world, REPAIR_MS, whole):
         raise Violation(f"not whole again within {REPAIR_MS} ms after all troubles ended: {_missing(world)}")
     for names in _losses(world) if then_lose else ():
         after = world.copy()
