--- a/simulator/check/durable.py
+++ b/simulator/check/durable.py
@@ -24,18 +24,18 @@
 
 @holds.register
 def _(record: Promise, register, data):
-    return not record.granted or register.promised >= record.epoch
+    return not record.granted or register.promised_epoch >= record.epoch
 
 
 @holds.register
 def _(record: CopyAck, register, data):
-    stamp = (register.kept, data.number)
-    return not record.ok or stamp >= (record.epoch, record.number)
+    version = (register.copy_epoch, data.number)
+    return not record.accepted or version >= (record.epoch, record.number)
 
 
 @holds.register
 def _(record: Activated, register, data):
-    return not record.ok or register.view_epoch >= record.epoch
+    return not record.accepted or register.view_epoch >= record.epoch
 
 
 def check(name, record, disk):
--- a/simulator/check/model_state.py
+++ b/simulator/check/model_state.py
@@ -299,7 +299,9 @@
         elected = adapter.elected_view(node.ledger)
         if elected is not None and elected.epoch > node.elected:
             node.elected = elected.epoch
-            self._on_majorities(elected, lambda register: register.promised, "promised the epoch of a new primary")
+            self._on_majorities(
+                elected, lambda register: register.promised_epoch, "promised the epoch of a new primary"
+            )
         view = adapter.leading_view(node.ledger)
         if view is not None:
             self.history = self.history.leads(view.epoch, (node.name, node.life))
@@ -307,12 +309,12 @@
     def _send(self, node, action):
         """Puts a record on its way; gives the actions of one that goes to its sender."""
         durable.check(node.name, action.record, node.disk)
-        if action.to is CONTROLLERS:
+        if action.destination is CONTROLLERS:
             targets = [n for n in self.nodes if n != node.name]
-        elif action.to is SEEDS:
+        elif action.destination is SEEDS:
             targets = list(self.scope.members)
         else:
-            targets = [action.to.host]
+            targets = [action.destination.host]
         out = []
         for target in targets:
             if target == node.name:
@@ -366,7 +368,7 @@
             holder = self.holder(identity)
             if holder is None:
                 continue
-            if holder.disk is None or holder.disk[1].stamp < data.stamp:
+            if holder.disk is None or holder.disk[1].version < data.version:
                 raise Violation(f"state {data.blob.decode()!r} was {what}, but it is not on the disk of {holder.name}")
 
     def _on_majorities(self, view, epoch_of, what):
--- a/simulator/check/transitions.py
+++ b/simulator/check/transitions.py
@@ -132,8 +132,8 @@
 _EVENTS = {
     "saved": lambda world, name: world.saved(name),
     "save-failed": lambda world, name: world.save_failed(name),
-    "timeout": lambda world, name: world.tick(name, adapter.SPANS.patience * 1.1),
-    "dead-timeout": lambda world, name: world.tick(name, adapter.SPANS.dead * 1.1),
+    "timeout": lambda world, name: world.tick(name, adapter.SPANS.election_timeout * 1.1),
+    "dead-timeout": lambda world, name: world.tick(name, adapter.SPANS.removal_timeout * 1.1),
     "kill": lambda world, name: world.stop(name),
     "kill-saved": lambda world, name: world.stop(name, finish_saves=True),
     "boot": lambda world, name: world.boot(name),
@@ -180,8 +180,8 @@
         return False
     if len(view.holders) < world.scope.replicas + 1 or not adapter.settled(world.nodes[name].ledger):
         return False
-    decided = world.nodes[name].ledger.decided.stamp
-    return all(world.holder(i).disk[1].stamp >= decided for i in view.holders if world.holder(i).disk)
+    decided = world.nodes[name].ledger.decided.version
+    return all(world.holder(i).disk[1].version >= decided for i in view.holders if world.holder(i).disk)
 
 
 def disks_lost(world):
--- a/simulator/core.py
+++ b/simulator/core.py
@@ -83,7 +83,7 @@
             if isinstance(action, Save):
                 self._save(n, action)
             elif isinstance(action, Send):
-                for to in self._where(n, action.to):
+                for to in self._where(n, action.destination):
                     self._send(n, to, action.record)
             elif isinstance(action, Committed):
                 self.decided[n, action.id] = action.data
--- a/sparloom/consensus/actions.py
+++ b/sparloom/consensus/actions.py
@@ -11,22 +11,22 @@
 class ConsensusTiming:
     """Spans of the ledger, all derived from the contact bound.
 
-    ``patience``: silence after which a member is passed over. ``dead``:
-    silence after which its seat may go to another one. ``stuck``: how long an
+    ``election_timeout``: silence after which a member is passed over. ``removal_timeout``:
+    silence after which its seat may go to another one. ``candidacy_timeout``: how long an
     election may take.
     """
 
-    heartbeat: timedelta
-    patience: timedelta
-    resend: timedelta
-    stuck: timedelta
-    dead: timedelta
+    heartbeat_interval: timedelta
+    election_timeout: timedelta
+    resend_interval: timedelta
+    candidacy_timeout: timedelta
+    removal_timeout: timedelta
 
     @classmethod
     def of(cls, contact):
         """Spans that replace a lost primary well inside the bound.
 
-        >>> ConsensusTiming.of(timedelta(seconds=3)).patience
+        >>> ConsensusTiming.of(timedelta(seconds=3)).election_timeout
         datetime.timedelta(microseconds=600000)
         """
         return cls(contact / 15, contact / 5, contact / 25, contact / 2, contact / 2)
@@ -36,10 +36,10 @@
 class Send:
     """A record for a member; copies go over a connection, the rest by datagram.
 
-    ``to``: a Member, ``SEEDS``, or ``CONTROLLERS`` (all that membership knows).
+    ``destination``: a Member, ``SEEDS``, or ``CONTROLLERS`` (all that membership knows).
     """
 
-    to: object
+    destination: object
     record: object
 
 
@@ -48,7 +48,7 @@
 
 @define(frozen=True, slots=True)
 class Save:
-    """Put the register, and the data if there is any, on disk; then carry out ``then``.
+    """Put the register, and the data if there is any, on disk; then carry out ``followups``.
 
     Saves are carried out in order. One that fails is tried again, together
     with those behind it: a later register must never reach the disk without
@@ -57,8 +57,8 @@
 
     register: object
     data: object
-    mark: int
-    then: tuple = ()
+    sequence: int
+    followups: tuple = ()
 
 
 @define(frozen=True, slots=True)
--- a/sparloom/consensus/election.py
+++ b/sparloom/consensus/election.py
@@ -27,7 +27,7 @@
     after a loss of all power those that are asked first may not listen yet, and
     come up a moment later.
     """
-    resend = ledger.spans.resend
+    resend = ledger.spans.resend_interval
     pause = min(resend, max(resend * FIRST_PAUSE, sent_at - began))
     return ledger.now - sent_at >= pause
 
@@ -58,7 +58,7 @@
     def tick(self):
         """Asks again those that lack; starts anew once it takes too long."""
         ledger = self.ledger
-        if ledger.now - self.began > ledger.spans.stuck:
+        if ledger.now - self.began > ledger.spans.candidacy_timeout:
             return ledger.give_up()
         if not _due(ledger, self.began, self.sent_at):
             return []
@@ -78,7 +78,7 @@
 
     def _conclude(self):
         ledger = self.ledger
-        answers = self.answers | {ledger.member.id: ledger.replica.pre_vote(self.round, True)}
+        answers = self.answers | {ledger.member.id: ledger.replica.pre_vote_answer(self.round, True)}
         basis = find_basis(answers.values(), ledger.genesis_view())
         return ledger.stand() if basis and quorum(answers, basis.rosters) else []
 
@@ -112,12 +112,12 @@
     def prepared(self):
         """Whether this member's own promise of the epoch is on disk."""
         durable = self.ledger.durable
-        return durable is not None and durable.promised >= self.epoch
+        return durable is not None and durable.promised_epoch >= self.epoch
 
     def tick(self):
         """Asks again for the promises that lack; gives up once it takes too long."""
         ledger = self.ledger
-        if ledger.now - self.began > ledger.spans.stuck:
+        if ledger.now - self.began > ledger.spans.candidacy_timeout:
             return ledger.give_up()
         if not self.prepared:
             return []
@@ -142,11 +142,11 @@
     def _conclude(self):
         """Leads, or asks a holder to, once a quorum has promised and nobody is worth waiting for."""
         ledger = self.ledger
-        promises = self.promises | {ledger.member.id: ledger.replica.own_promise(self.epoch)}
+        promises = self.promises | {ledger.member.id: ledger.replica.durable_promise(self.epoch)}
         basis = find_basis(promises.values(), ledger.genesis_view())
         if basis is None or not quorum(promises, basis.rosters):
             return []
-        waited = ledger.now - self.began >= ledger.spans.resend * ABSENT_WAIT
+        waited = ledger.now - self.began >= ledger.spans.resend_interval * ABSENT_WAIT
         if not waited and self._awaited(basis) - set(promises):
             return []
         if not self._holds(basis, promises[ledger.member.id]):
@@ -170,7 +170,7 @@
     def _holds(basis, promise):
         if basis.view.epoch == 0:
             return promise.sender in basis.view.ids
-        return promise.sender in basis.view.holders and promise.kept >= basis.view.epoch
+        return promise.sender in basis.view.holders and promise.copy_epoch >= basis.view.epoch
 
     def _yield_to_holder(self, basis, promises):
         ledger = self.ledger
--- a/sparloom/consensus/leadership.py
+++ b/sparloom/consensus/leadership.py
@@ -13,7 +13,7 @@
 from .actions import NEVER, Aborted, Committed, ReadConfirmed, Send
 from .election import RosterPlan
 from .records import Activate, Copy, CopyAck, Data, Heartbeat
-from .views import copies_wanted, majority, next_roster, quorum
+from .views import backups_wanted, majority, next_roster, quorum
 
 SENT_HEARTBEATS = 30
 # How often the time for a copy may double where links or disks are slow, as a factor.
@@ -73,7 +73,7 @@
     @property
     def copy_span(self):
         """How long a holder may take for a copy; it grows where every copy is slow."""
-        return self.ledger.spans.patience * self.ledger.copy_factor
+        return self.ledger.spans.election_timeout * self.ledger.copy_factor
 
     def _copied(self, since):
         """All holders have the copy that began then: a quick one makes the time for the next shorter again."""
@@ -107,7 +107,7 @@
         """A holder has the data on disk, or refuses."""
         if not self._answers_me(record):
             return []
-        if not record.ok:
+        if not record.accepted:
             return self._outdated(record)
         self.kept[record.sender] = max(record.number, self.kept.get(record.sender, 0))
         if any(self.kept.get(holder) != self.ledger.data.number for holder in self.view.holders):
@@ -131,10 +131,10 @@
         """A member has marked the view active, or settled, or refuses."""
         if not self._answers_me(record):
             return []
-        if not record.ok:
+        if not record.accepted:
             return self._outdated(record)
         self.activated.add(record.sender)
-        if record.settled:
+        if record.committed:
             self.settled_by.add(record.sender)
         if self.phase is Phase.ACTIVATING and quorum(self.activated, self.view.rosters):
             return self._serve()
@@ -162,23 +162,23 @@
 
     def _outdated(self, record):
         """Another member promised a later epoch: this one leads no more."""
-        if record.promised <= self.view.epoch:
+        if record.promised_epoch <= self.view.epoch:
             return []
-        self.ledger.wait(self.ledger.spans.patience)
+        self.ledger.wait(self.ledger.spans.election_timeout)
         return self.ledger.step_down()
 
     # -- time -----------------------------------------------------------------
     def tick(self):
         """Heartbeats, records that lack an answer, and repair."""
         ledger, spans = self.ledger, self.ledger.spans
-        if self.serving and self._unanswered() > spans.patience:
-            ledger.wait(spans.patience)
+        if self.serving and self._unanswered() > spans.election_timeout:
+            ledger.wait(spans.election_timeout)
             return ledger.step_down()
-        if not self.serving and ledger.now - self.began > max(spans.stuck * 2, self.copy_span * 2):
-            ledger.wait(spans.patience * ledger.rng.random())
+        if not self.serving and ledger.now - self.began > max(spans.candidacy_timeout * 2, self.copy_span * 2):
+            ledger.wait(spans.election_timeout * ledger.rng.random())
             return ledger.step_down()
         actions = self._heartbeat()
-        if ledger.now - self.resent_at > spans.resend * 4:
+        if ledger.now - self.resent_at > spans.resend_interval * 4:
             self.resent_at = ledger.now
             actions += self._resend()
         return actions + (self._repair() if self.serving else self._replace_silent())
@@ -190,8 +190,8 @@
 
     def _heartbeat(self, at_once=False):
         ledger, spans = self.ledger, self.ledger.spans
-        late = any(self.late(member_id, spans.heartbeat * 1.5) for member_id in self.view.ids)
-        pause = spans.heartbeat / 3 if late else spans.heartbeat
+        late = any(self.late(member_id, spans.heartbeat_interval * 1.5) for member_id in self.view.ids)
+        pause = spans.heartbeat_interval / 3 if late else spans.heartbeat_interval
         if not at_once and ledger.now - self.heartbeat_at < pause:
             return []
         self.sequence += 1
@@ -220,10 +220,10 @@
         """A member has heard a heartbeat, or has promised a later epoch."""
         if not self._answers_me(record):
             return []
-        if record.promised > self.view.epoch:
+        if record.promised_epoch > self.view.epoch:
             return self._outdated(record)
-        if record.ok:
-            self.ledger.membership.heard(record.sender)
+        if record.accepted:
+            self.ledger.membership.record_heard(record.sender)
             self.acks[record.sender] = max(record.sequence, self.acks.get(record.sender, 0))
         if not record.active:
             self.activated.discard(record.sender)
@@ -253,14 +253,14 @@
         near = self._near_voters()
         silent = [i for i in lacking if i not in near]
         waited = self.ledger.now - self.began
-        if silent and waited > self.ledger.spans.patience:
+        if silent and waited > self.ledger.spans.election_timeout:
             return self._replace(silent)
         return self._replace(lacking, disk=True) if lacking and waited > self.copy_span else []
 
     def _near_voters(self):
         """The other voters that have answered in this epoch, and lately."""
         answered = set(self.acks) | self.activated | set(self.kept)
-        patience = self.ledger.spans.patience
+        patience = self.ledger.spans.election_timeout
         return [i for i in self.view.ids if i != self.me and i in answered and not self.late(i, patience)]
 
     def _replace(self, bad, disk=False):
@@ -270,21 +270,21 @@
         """
         ledger = self.ledger
         for member_id in bad:
-            ledger.membership.suspect(member_id, ledger.now, disk)
+            ledger.membership.record_suspicion(member_id, ledger.now, slow_disk=disk)
         if disk:
             ledger.copy_factor = min(ledger.copy_factor * 2, MOST_COPY_FACTOR)
         able = set(self._near_voters()) - set(bad)
-        if len(able) < copies_wanted(ledger.replicas, len(self.view.roster)):
+        if len(able) < backups_wanted(ledger.replicas, len(self.view.roster)):
             return []
         return ledger.renew(None)
 
     def _repair(self):
         ledger, spans = self.ledger, self.ledger.spans
         waited = ledger.now - self.write_at if self.write is not None else timedelta(0)
-        if self.me not in self.kept and waited > spans.patience * 2:
+        if self.me not in self.kept and waited > spans.election_timeout * 2:
             return ledger.save_failed(ledger.now)
         slow = waited > self.copy_span
-        silent = [i for i in self.view.backups if self.late(i, spans.patience)]
+        silent = [i for i in self.view.backups if self.late(i, spans.election_timeout)]
         unsaved = [i for i in self.view.backups if slow and self.kept.get(i) != ledger.data.number]
         bad = silent or unsaved
         actions = self._replace(bad, disk=not silent) if bad else []
@@ -300,7 +300,7 @@
             return []
         if self.change_since is None:
             self.change_since = ledger.now
-        if self.write is not None and ledger.now - self.change_since < ledger.spans.patience / 2:
+        if self.write is not None and ledger.now - self.change_since < ledger.spans.election_timeout / 2:
             return []
         return ledger.renew(RosterPlan(self.view.epoch, tuple(roster)) if roster else None)
 
@@ -314,11 +314,11 @@
     def _next_roster(self):
         ledger, spans = self.ledger, self.ledger.spans
         ids = self.view.ids
-        near = [i for i in ids if not self.late(i, spans.patience)]
-        dead = {i for i in ids if self.late(i, spans.dead)}
+        near = [i for i in ids if not self.late(i, spans.election_timeout)]
+        dead = {i for i in ids if self.late(i, spans.removal_timeout)}
         # Its own seat is given away by its successor, never by itself.
         leaving = ledger.leaving_members() & set(ids) - {self.me}
-        learners = ledger.membership.ready(self.view.epoch)
+        learners = ledger.membership.ready_learners(self.view.epoch)
         wanted = 2 * ledger.replicas + 1
         roster = next_roster(self.view, learners, dead, leaving, len(near) == len(ids), wanted)
         if roster is None or not majority(near, ids):
@@ -337,7 +337,10 @@
             return self.complete()
         if not self.complete() or self.ledger.membership.learners:
             return False
-        if self.ledger.now - self.ledger.membership.leaving[member_id].since < self.ledger.spans.patience:
+        if (
+            self.ledger.now - self.ledger.membership.leaving[member_id].leaving_since
+            < self.ledger.spans.election_timeout
+        ):
             return False
         staying = set(self.view.ids) - self.ledger.leaving_members()
         if member_id in self.view.holders:
--- a/sparloom/consensus/member.py
+++ b/sparloom/consensus/member.py
@@ -74,11 +74,11 @@
         register, data = kept or (Register(member.id, first_start, 0, [], False, 0), EMPTY)
         replica = Replica(member, register, data, register if kept else None)
         ledger = cls(replica, spans, rng, replicas, frozenset(genesis), now, since=now, heard=now)
-        ledger.highest_epoch = register.promised
-        ledger.quiet_until = now + spans.patience / 2
+        ledger.highest_epoch = register.promised_epoch
+        ledger.quiet_until = now + spans.election_timeout / 2
         if register.view:
-            ledger.heard = now - spans.patience * 3
-            ledger.quiet_until = now + spans.patience * QUIET_AFTER_START.get(ledger._patience_factor(), 1.0)
+            ledger.heard = now - spans.election_timeout * 3
+            ledger.quiet_until = now + spans.election_timeout * QUIET_AFTER_START.get(ledger._patience_factor(), 1.0)
         return ledger
 
     # -- what others may ask ----------------------------------------------------
@@ -112,7 +112,9 @@
     def founder(self):
         """Whether this member belongs to the first roster."""
         address = (self.member.host, self.member.port)
-        return self.register.fresh and address in self.genesis and self.member.id == founder_id(self.genesis, *address)
+        return (
+            self.register.initial and address in self.genesis and self.member.id == founder_id(self.genesis, *address)
+        )
 
     @property
     def voter(self):
@@ -150,7 +152,10 @@
 
     def _waited_for_founders(self):
         """Whether all founders have said hello, or those that have not are waited for no more."""
-        return len(self.hellos) == len(self.genesis) or self.now - self.since > self.spans.dead * FOUNDER_PATIENCE
+        return (
+            len(self.hellos) == len(self.genesis)
+            or self.now - self.since > self.spans.removal_timeout * FOUNDER_PATIENCE
+        )
 
     def leaving_members(self):
         """The ids of members that are about to end."""
@@ -166,13 +171,13 @@
         """A save is on disk; gives what was waiting for it."""
         self.now = now
         self.replica.durable = save.register
-        return [*save.then, *(self.election.tick() if self.election else [])]
+        return [*save.followups, *(self.election.tick() if self.election else [])]
 
     def save_failed(self, now):
         """This member's own disk hangs or refuses: another one should lead."""
         self.now = now
-        self.membership.suspect(self.member.id, now, disk=True)
-        self.wait(self.spans.patience * 3)
+        self.membership.record_suspicion(self.member.id, now, slow_disk=True)
+        self.wait(self.spans.election_timeout * 3)
         return self.hand_over(now) if self.leadership else []
 
     def wait(self, span):
@@ -197,9 +202,9 @@
         """Moves time on; gives the actions that are due."""
         paused = now - self.now
         self.now = now
-        if paused > self.spans.heartbeat:
+        if paused > self.spans.heartbeat_interval:
             self._excuse(paused)
-        self.membership.forget(now, self.spans.dead)
+        self.membership.expire(now, self.spans.removal_timeout)
         actions = self.planned_leave.step() if self.planned_leave else []
         if self.leadership:
             return actions + self.leadership.tick()
@@ -211,7 +216,7 @@
     def _excuse(self, paused):
         """This process stood still: what came meanwhile is yet to be read, so nobody else was silent."""
         self.heard += paused
-        self.membership.excuse(paused)
+        self.membership.add_pause(paused)
         if self.leadership:
             self.leadership.excuse(paused)
 
@@ -228,7 +233,7 @@
     def _idle_tick(self):
         if self.founder and not self.view:
             return self._genesis_tick()
-        silent = self.now - self.heard >= self.spans.patience * self._patience_factor()
+        silent = self.now - self.heard >= self.spans.election_timeout * self._patience_factor()
         if self.voter and silent and self.now >= self.quiet_until:
             return self._pre_vote()
         if not self.voter or self.attempts > ATTEMPTS_BEFORE_JOIN:
@@ -236,10 +241,10 @@
         return []
 
     def _ask_to_join(self):
-        if self.durable is None or self.planned_leave or self.now - self.joined_at <= self.spans.patience / 2:
+        if self.durable is None or self.planned_leave or self.now - self.joined_at <= self.spans.election_timeout / 2:
             return []
         self.joined_at = self.now
-        join = Join(self.member, self.register.fresh)
+        join = Join(self.member, self.register.initial)
         known = [member for member in self._people() if member.id != self.member.id]
         return [*(Send(member, join) for member in known), Send(CONTROLLERS, join)]
 
@@ -247,11 +252,13 @@
         if self.durable is None:
             return []
         actions = []
-        if self.now - self.joined_at > self.spans.resend:
+        if self.now - self.joined_at > self.spans.resend_interval:
             self.joined_at = self.now
-            actions = [Send(SEEDS, Hello(self.member, self.register.fresh, True))]
+            actions = [Send(SEEDS, Hello(self.member, self.register.initial, True))]
         turn = (
-            self.spans.patience * sorted(self.hellos).index(self.member.id) if self.member.id in self.hellos else None
+            self.spans.election_timeout * sorted(self.hellos).index(self.member.id)
+            if self.member.id in self.hellos
+            else None
         )
         if turn is not None and self._waited_for_founders() and self.now >= self.quiet_until + turn:
             actions += self.stand()
@@ -267,7 +274,7 @@
         """Stands for primary in a new epoch, which is put on disk first."""
         self.pre_voting = None
         known = self.view.epoch if self.view else 0
-        self.highest_epoch = max(self.highest_epoch, self.register.promised, known)
+        self.highest_epoch = max(self.highest_epoch, self.register.promised_epoch, known)
         epoch = epoch_after(self.highest_epoch, self.member.id)
         self.highest_epoch, self.leadership = epoch, None
         self.replica.promise(epoch)
@@ -277,17 +284,17 @@
     def give_up(self):
         """Ends a candidacy and waits for a random while."""
         self.election = self.pre_voting = None
-        self.wait(self.spans.patience * (0.2 + 0.5 * self.rng.random()))
+        self.wait(self.spans.election_timeout * (0.2 + 0.5 * self.rng.random()))
         return []
 
     def elected(self, view):
         """A quorum has promised: leads the view."""
         plan = self.election.plan
         if plan and {member.id for member in plan.roster} != set(view.ids):
-            self.change_after = self.now + self.spans.dead
+            self.change_after = self.now + self.spans.removal_timeout
         heard = {member_id: self.election.heard.get(member_id, self.now) for member_id in view.ids}
         self.election, self.attempts = None, 0
-        self.replica.hold(view.epoch)
+        self.replica.set_copy_epoch(view.epoch)
         self.membership.drop_voters(view.ids)
         self.leadership = Leadership(self, view, self.now, heard=heard)
         return self.leadership.start()
@@ -313,9 +320,9 @@
         if not self.leading():
             return self.step_down()
         view = self.leadership.view
-        near = [i for i in view.backups if not self.leadership.late(i, self.spans.patience)]
+        near = [i for i in view.backups if not self.leadership.late(i, self.spans.election_timeout)]
         near.sort(key=lambda member_id: member_id in self.membership.leaving)
-        self.wait(self.spans.patience * 2)
+        self.wait(self.spans.election_timeout * 2)
         self.heartbeat_epoch = 0
         word = TransferLeadership(self.member.id, view.epoch, leaving, view)
         actions = YIELD_COPIES * self.send_to(near[0], word) if near else []
@@ -347,18 +354,20 @@
 
     def follow_epoch(self, epoch):
         """Another member's epoch: a candidacy or leadership of an earlier one ends."""
-        if epoch <= self.register.promised:
+        if epoch <= self.register.promised_epoch:
             return []
         self.replica.promise(epoch)
         self.pre_voting = None
-        self.quiet_until = max(self.quiet_until, self.now + self.spans.patience * (0.5 + 0.3 * self.rng.random()))
+        self.quiet_until = max(
+            self.quiet_until, self.now + self.spans.election_timeout * (0.5 + 0.3 * self.rng.random())
+        )
         if self.election and self.election.epoch < epoch:
             self.election = None
         return self.step_down() if self.leadership and self.leadership.epoch < epoch else []
 
     def hears_primary(self):
         """Whether this member leads, or heard the primary of its epoch, just now."""
-        recent = self.spans.patience * HEARS_PRIMARY
+        recent = self.spans.election_timeout * HEARS_PRIMARY
         if self.leading() and self.now - self.leadership.confirmed < recent:
             return True
-        return self.now - self.heard < recent and 0 != self.heartbeat_epoch == self.register.promised
+        return self.now - self.heard < recent and 0 != self.heartbeat_epoch == self.register.promised_epoch
--- a/sparloom/consensus/reconfiguration.py
+++ b/sparloom/consensus/reconfiguration.py
@@ -13,9 +13,9 @@
     """A member that asked to be taken in; ``ready_epoch``: whose view it has on disk."""
 
     member: object
-    fresh: bool
-    since: timedelta
-    heard: timedelta
+    initial: bool
+    waiting_since: timedelta
+    heard_at: timedelta
     ready_epoch: int = 0
 
 
@@ -23,16 +23,16 @@
 class Leaver:
     """A member that is about to end: since when, and when it was last heard of."""
 
-    since: timedelta
-    heard: timedelta
+    leaving_since: timedelta
+    heard_at: timedelta
 
 
 @define(frozen=True, slots=True)
 class Suspicion:
-    """When a member was found silent, or (``disk``) slow to save."""
+    """When a member was found silent, or (``slow_disk``) slow to save."""
 
-    at: timedelta
-    disk: bool
+    suspected_at: timedelta
+    slow_disk: bool
 
 
 @define(slots=True, eq=False)
@@ -41,8 +41,8 @@
 
     >>> from .records import Member
     >>> known = Membership()
-    >>> known.join(Member(4, "h", 1, "z", ""), False, timedelta(0)).ready_epoch = 7
-    >>> [member.id for member, fresh in known.ready(7)], known.ready(8)
+    >>> known.record_join(Member(4, "h", 1, "z", ""), False, timedelta(0)).ready_epoch = 7
+    >>> [member.id for member, initial in known.ready_learners(7)], known.ready_learners(8)
     ([4], [])
     """
 
@@ -50,55 +50,57 @@
     leaving: dict = field(factory=dict)
     suspected: dict = field(factory=dict)
 
-    def suspect(self, member_id, now, disk=False):
-        """A member was silent, or (``disk``) heard but slow to put data on its disk."""
-        disk = disk or member_id in self.suspected and self.suspected[member_id].disk
-        self.suspected[member_id] = Suspicion(now, disk)
+    def record_suspicion(self, member_id, now, slow_disk=False):
+        """A member was silent, or (``slow_disk``) heard but slow to put data on its disk."""
+        slow_disk = slow_disk or member_id in self.suspected and self.suspected[member_id].slow_disk
+        self.suspected[member_id] = Suspicion(now, slow_disk)
 
-    def suspects(self, member_id, now, span):
+    def is_suspected(self, member_id, now, span):
         """Whether a member was suspected within a span."""
-        return member_id in self.suspected and now - self.suspected[member_id].at < span
+        return member_id in self.suspected and now - self.suspected[member_id].suspected_at < span
 
-    def heard(self, member_id):
+    def record_heard(self, member_id):
         """A member answers: it is not silent any more; its disk may still be slow."""
-        if member_id in self.suspected and not self.suspected[member_id].disk:
+        if member_id in self.suspected and not self.suspected[member_id].slow_disk:
             del self.suspected[member_id]
 
-    def excuse(self, paused):
+    def add_pause(self, paused):
         """This process stood still for a while: nobody was silent meanwhile."""
         for known in (*self.learners.values(), *self.leaving.values()):
-            known.heard += paused
+            known.heard_at += paused
 
-    def forget(self, now, span):
+    def expire(self, now, span):
         """Drops what was not heard of for a span, and suspicions of four spans."""
-        self.learners = {i: learner for i, learner in self.learners.items() if now - learner.heard < span}
-        self.leaving = {i: leaver for i, leaver in self.leaving.items() if now - leaver.heard < span}
-        self.suspected = {i: found for i, found in self.suspected.items() if now - found.at < span * 4}
+        self.learners = {i: learner for i, learner in self.learners.items() if now - learner.heard_at < span}
+        self.leaving = {i: leaver for i, leaver in self.leaving.items() if now - leaver.heard_at < span}
+        self.suspected = {
+            i: suspicion for i, suspicion in self.suspected.items() if now - suspicion.suspected_at < span * 4
+        }
 
-    def join(self, member, fresh, now):
+    def record_join(self, member, initial, now):
         """A member asks to be taken in, perhaps again."""
         learner = self.learners.get(member.id)
         if learner is None:
-            learner = self.learners[member.id] = Learner(member, fresh, now, now)
-        learner.member, learner.fresh, learner.heard = member, fresh, now
+            learner = self.learners[member.id] = Learner(member, initial, now, now)
+        learner.member, learner.initial, learner.heard_at = member, initial, now
         return learner
 
-    def leave(self, member_id, now):
+    def record_leave(self, member_id, now):
         """A member is about to end; it takes no seat any more."""
         leaver = self.leaving.setdefault(member_id, Leaver(now, now))
-        leaver.heard = now
+        leaver.heard_at = now
         self.learners.pop(member_id, None)
 
-    def activated(self, member_id, epoch, now):
+    def record_activation(self, member_id, epoch, now):
         """A learner has the view of an epoch on disk."""
         if member_id in self.learners:
             learner = self.learners[member_id]
-            learner.ready_epoch, learner.heard = epoch, now
+            learner.ready_epoch, learner.heard_at = epoch, now
 
-    def ready(self, epoch):
-        """(member, fresh) of the learners that hold an epoch's view, the longest waiting first."""
-        learners = sorted((x for x in self.learners.values() if x.ready_epoch == epoch), key=lambda x: x.since)
-        return [(learner.member, learner.fresh) for learner in learners]
+    def ready_learners(self, epoch):
+        """(member, initial) of the learners that hold an epoch's view, the longest waiting first."""
+        learners = sorted((x for x in self.learners.values() if x.ready_epoch == epoch), key=lambda x: x.waiting_since)
+        return [(learner.member, learner.initial) for learner in learners]
 
     def drop_voters(self, ids):
         """Those that an elected view counts are learners no more."""
@@ -114,38 +116,38 @@
     others is no reason to end: the service bounds the wait.
     """
 
-    ledger: object
+    consensus: object
     released: bool = False
     sent_at: timedelta = NEVER
 
     def step(self):
         """What is due."""
-        ledger = self.ledger
-        if self.released or ledger.now - self.sent_at < ledger.spans.resend:
+        consensus = self.consensus
+        if self.released or consensus.now - self.sent_at < consensus.spans.resend_interval:
             return []
-        if ledger.leadership:
+        if consensus.leadership:
             return self._as_primary()
-        if ledger.view is None:
+        if consensus.view is None:
             # A founder may be counted by a view that it has not marked yet.
-            return [] if ledger.founder else self.release()
-        primary = ledger.primary()
-        if ledger.election or primary is None or primary.id == ledger.member.id:
+            return [] if consensus.founder else self.release()
+        primary = consensus.primary()
+        if consensus.election or primary is None or primary.id == consensus.member.id:
             return []
-        self.sent_at = ledger.now
-        return [Send(primary, Leave(ledger.member))]
+        self.sent_at = consensus.now
+        return [Send(primary, Leave(consensus.member))]
 
     def _as_primary(self):
-        ledger, leadership = self.ledger, self.ledger.leadership
+        consensus, leadership = self.consensus, self.consensus.leadership
         if not leadership.serving:
             return []
-        staying = set(leadership.view.ids) - ledger.leaving_members()
+        staying = set(leadership.view.ids) - consensus.leaving_members()
         if not staying:
             return self.release()
         backups = [i for i in leadership.view.backups if i in staying]
-        near = [i for i in backups if not leadership.late(i, ledger.spans.patience)]
+        near = [i for i in backups if not leadership.late(i, consensus.spans.election_timeout)]
         if not near or leadership.write is not None:
             return []
-        return ledger.hand_over(ledger.now, leaving=True)
+        return consensus.hand_over(consensus.now, leaving=True)
 
     def release(self):
         """This member may end."""
--- a/sparloom/consensus/records.py
+++ b/sparloom/consensus/records.py
@@ -72,19 +72,19 @@
 class Register(Record):
     """What a member keeps on disk about epochs.
 
-    ``fresh``: it started with the whole system and was never a voter of an
+    ``initial``: it started with the whole system and was never a voter of an
     active view. ``views``: the newest view that it marked active, or none.
-    ``settled``: that view is known to have been served with its previous
-    rosters' consent, so they have no say any more. ``kept``: the epoch of its
+    ``committed``: that view is known to have been served with its previous
+    rosters' consent, so they have no say any more. ``copy_epoch``: the epoch of its
     copy of the data.
     """
 
     id: UInt64
-    fresh: bool
-    promised: UInt64
+    initial: bool
+    promised_epoch: UInt64
     views: list[View]
-    settled: bool
-    kept: UInt64
+    committed: bool
+    copy_epoch: UInt64
 
     @property
     def view(self):
@@ -99,7 +99,7 @@
 
 @record(24)
 class Data(Record):
-    """The control state: a stamp and the configuration's bytes."""
+    """The control state: a version and the configuration's bytes."""
 
     epoch: UInt64
     number: UInt64
@@ -107,8 +107,8 @@
     blob: bytes
 
     @property
-    def stamp(self):
-        """The stamp, by which copies are ordered."""
+    def version(self):
+        """The version, by which copies are ordered."""
         return (self.epoch, self.number)
 
 
@@ -120,8 +120,8 @@
     """A first start: here I am."""
 
     member: Member
-    fresh: bool
-    blank: bool
+    initial: bool
+    empty_disk: bool
 
 
 @record(43)
@@ -135,14 +135,14 @@
 
 @record(44)
 class HeartbeatAck(Record):
-    """``ok``: no later epoch was promised. ``active``: the view of the epoch is marked here."""
+    """``accepted``: no later epoch was promised. ``active``: the view of the epoch is marked here."""
 
     sender: UInt64
     epoch: UInt64
     sequence: UInt32
-    ok: bool
+    accepted: bool
     active: bool
-    promised: UInt64
+    promised_epoch: UInt64
 
 
 @record(53)
@@ -160,9 +160,9 @@
     sender: UInt64
     round: UInt32
     granted: bool
-    promised: UInt64
+    promised_epoch: UInt64
     views: list[View]
-    settled: bool
+    committed: bool
 
     @property
     def view(self):
@@ -186,10 +186,10 @@
     sender: UInt64
     epoch: UInt64
     granted: bool
-    promised: UInt64
+    promised_epoch: UInt64
     views: list[View]
-    settled: bool
-    kept: UInt64
+    committed: bool
+    copy_epoch: UInt64
 
     @property
     def view(self):
@@ -213,8 +213,8 @@
     sender: UInt64
     epoch: UInt64
     number: UInt64
-    ok: bool
-    promised: UInt64
+    accepted: bool
+    promised_epoch: UInt64
 
 
 @record(47)
@@ -223,7 +223,7 @@
 
     sender: UInt64
     view: View
-    settled: bool
+    committed: bool
 
 
 @record(48)
@@ -232,9 +232,9 @@
 
     sender: UInt64
     epoch: UInt64
-    ok: bool
-    settled: bool
-    promised: UInt64
+    accepted: bool
+    committed: bool
+    promised_epoch: UInt64
 
 
 @record(49)
@@ -255,7 +255,7 @@
     """Teach me the active view, and take me in when there is a seat."""
 
     member: Member
-    fresh: bool
+    initial: bool
 
 
 @record(51)
@@ -270,5 +270,5 @@
     """Nothing rests on that member any more."""
 
     sender: UInt64
-    member: UInt64
+    member_id: UInt64
     epoch: UInt64
--- a/sparloom/consensus/store.py
+++ b/sparloom/consensus/store.py
@@ -90,7 +90,7 @@
             return None
         if not isinstance(register, Register) or not isinstance(data, Data):
             return None
-        return None if register.kept and "data" not in rows else (register, data)
+        return None if register.copy_epoch and "data" not in rows else (register, data)
 
     def save(self, register, data=None):
         """Puts a register, and data if given, on disk before it returns."""
--- a/sparloom/consensus/views.py
+++ b/sparloom/consensus/views.py
@@ -6,7 +6,7 @@
 
 from .records import Member, Roster, View
 
-MOST_VOTERS = 9
+MAXIMUM_VOTERS = 9
 # Ids of founders have this bit; those drawn by lot are shorter.
 FOUNDER_BIT = 1 << 60
 
@@ -43,12 +43,12 @@
     """The view on which a candidate builds: the newest one that a quorum reported active."""
 
     view: View
-    settled: bool
+    committed: bool
 
     @property
     def rosters(self):
         """The rosters of which a majority must have promised."""
-        return (self.view.ids,) if self.settled else self.view.rosters
+        return (self.view.ids,) if self.committed else self.view.rosters
 
 
 def founder_id(genesis, host, port):
@@ -79,23 +79,23 @@
 def find_basis(promises, genesis):
     """The newest reported view, or the first roster where none was reported; None without either.
 
-    >>> find_basis([], None) is None, find_basis([], View(0, 0, [], [], [])).settled
+    >>> find_basis([], None) is None, find_basis([], View(0, 0, [], [], [])).committed
     (True, True)
     """
     newest = max((p.view for p in promises if p.view), key=lambda view: view.epoch, default=None)
     if newest is None:
         return genesis and Basis(genesis, True)
-    return Basis(newest, any(p.settled for p in promises if p.view and p.view.epoch == newest.epoch))
+    return Basis(newest, any(p.committed for p in promises if p.view and p.view.epoch == newest.epoch))
 
 
-def copies_wanted(replicas, voters):
+def backups_wanted(replicas, voters):
     """How many backups a roster of so many voters has, where ``replicas`` losses are tolerated in the end.
 
     A roster that is still growing bears fewer losses than that, as its
     majority is lost with them. Copies for more would only keep a lost member
     from being done without. One copy is always wanted.
 
-    >>> [copies_wanted(2, voters) for voters in (1, 2, 3, 4, 5, 7)], copies_wanted(1, 4)
+    >>> [backups_wanted(2, voters) for voters in (1, 2, 3, 4, 5, 7)], backups_wanted(1, 4)
     ([0, 1, 1, 1, 2, 2], 1)
     """
     return max(0, min(replicas, voters - 1, max(1, (voters - 1) // 2)))
@@ -110,7 +110,7 @@
     >>> choose_backups(1, [], {1}, (), 0)
     []
     """
-    wanted = copies_wanted(replicas, len(roster))
+    wanted = backups_wanted(replicas, len(roster))
     zone = {member.id: member.zone for member in roster}
     pool = [member.id for member in roster if member.id != primary and member.id in able]
     chosen, zones = [], {zone.get(primary)}
@@ -129,7 +129,7 @@
     >>> next_view(9, 1, [], [], Basis(old, True)).previous
     []
     """
-    previous = [] if basis.settled else list(basis.view.previous)
+    previous = [] if basis.committed else list(basis.view.previous)
     if {member.id for member in roster} != set(basis.view.ids):
         previous.append(Roster(list(basis.view.roster)))
     return View(epoch, primary, list(backups), list(roster), previous)
@@ -138,7 +138,7 @@
 def next_roster(view, learners, dead, leaving, all_near, wanted=0):
     """The roster that should follow, or None when it is right as it is.
 
-    ``learners``: (member, fresh) of those that hold the active view on disk.
+    ``learners``: (member, initial) of those that hold the active view on disk.
     A learner takes its own wiped seat at once, else a dead member's seat, else
     a leaving one's. The roster grows only while all of its members are near:
     by machines of the first start, and by any others up to the ``wanted``
@@ -148,20 +148,20 @@
     True
     """
     roster, spare = list(view.roster), []
-    for learner, fresh in learners:
+    for learner, initial in learners:
         seat = next((m for m in roster if (m.host, m.port) == (learner.host, learner.port)), None)
         if seat is not None:
             roster[roster.index(seat)] = learner
         else:
-            spare.append((learner, fresh))
+            spare.append((learner, initial))
     for gone in [m for m in roster if m.id in dead] + [m for m in roster if m.id in leaving - dead]:
         if spare:
             best = min(spare, key=lambda entry: entry[0].zone != gone.zone)
             spare.remove(best)
             roster[roster.index(gone)] = best[0]
     if all_near and not dead:
-        for learner, fresh in spare:
-            if fresh and len(roster) < MOST_VOTERS or len(roster) < wanted:
+        for learner, initial in spare:
+            if initial and len(roster) < MAXIMUM_VOTERS or len(roster) < wanted:
                 roster.append(learner)
     left = [m for m in roster if m.id in dead]
     if left and len(roster) % 2 == 0:
--- a/sparloom/controller/consensus_service.py
+++ b/sparloom/controller/consensus_service.py
@@ -163,17 +163,17 @@
 
     @_do.register
     def _(self, action: Send):
-        if action.to is SEEDS:
+        if action.destination is SEEDS:
             for seed in self.seeds:
                 self._send_to(seed, action.record)
-        elif action.to is CONTROLLERS:
+        elif action.destination is CONTROLLERS:
             for peer in self.swim.alive():
                 if peer.role == CONTROLLER:
                     self.net.send(peer.key, action.record)
-        elif isinstance(action.record, Copy) and action.to.id != self.ledger.member.id:
-            self._send_copy(action.to, action.record)
+        elif isinstance(action.record, Copy) and action.destination.id != self.ledger.member.id:
+            self._send_copy(action.destination, action.record)
         else:
-            self._send_to(f"{action.to.host}:{action.to.port}", action.record)
+            self._send_to(f"{action.destination.host}:{action.destination.port}", action.record)
 
     def _send_to(self, key, record):
         """Sends by datagram; what a member says to itself is heard in the next turn of the event loop."""
@@ -198,11 +198,11 @@
         """Writes copies as they come; a copy may take as long as its bytes make way."""
         spans, frames = self.ledger.spans, None
         try:
-            frames = await dial(*key, spans.patience)
+            frames = await dial(*key, spans.election_timeout)
             while True:
-                async with asyncio.timeout(spans.dead.total_seconds() * 4):
+                async with asyncio.timeout(spans.removal_timeout.total_seconds() * 4):
                     copy = await line.get()
-                await frames.write(copy, spans.patience)
+                await frames.write(copy, spans.election_timeout)
         except (OSError, EOFError, TimeoutError):
             pass
         finally:
--- a/sparloom/controller/control_api.py
+++ b/sparloom/controller/control_api.py
@@ -174,16 +174,16 @@
         self.decided = self._snapshot(data)
         state = self.decided.state
         if state.revision:
-            self.shop.renew(CONFIGURATION, data.stamp, state.policy)
+            self.shop.renew(CONFIGURATION, data.version, state.policy)
 
     def _snapshot(self, data):
         """The state in some data; it is unpacked once only."""
         known = self.decided
         if known is not None and known.blob == data.blob:
-            return known if known.stamp == data.stamp else Snapshot(data.stamp, data.blob, known.state)
+            return known if known.stamp == data.version else Snapshot(data.version, data.blob, known.state)
         if self.writing is not None and self.writing.blob == data.blob:
-            return Snapshot(data.stamp, data.blob, self.writing.state)
-        return Snapshot(data.stamp, data.blob, State.unpack(data.blob))
+            return Snapshot(data.version, data.blob, self.writing.state)
+        return Snapshot(data.version, data.blob, State.unpack(data.blob))
 
     def _routers_seen(self):
         """Routers that were seen of late, the dead ones of the last while included."""
@@ -216,7 +216,7 @@
         if not self.core.ledger.leading():
             return None
         data = await self.core.confirm(deadline.left())
-        if data is None or self.decided is None or data.stamp > self.decided.stamp:
+        if data is None or self.decided is None or data.version > self.decided.stamp:
             return None
         return self._snapshot(data)
 
--- a/tests/controller/test_consensus_service.py
+++ b/tests/controller/test_consensus_service.py
@@ -45,7 +45,7 @@
             self.core._send_copy(OTHER, copy)
             await done.wait()
             self.core.pipes[OTHER.host, OTHER.port][0].cancel()
-        self.assertEqual(written, [(copy, SPANS.patience)])
+        self.assertEqual(written, [(copy, SPANS.election_timeout)])
 
     async def test_a_connection_that_says_nothing_is_closed(self):
         self.core.up = evolve(self.core.up, bounds=evolve(self.core.up.bounds, contact=timedelta(0)))
--- a/tests/simulator/test_history.py
+++ b/tests/simulator/test_history.py
@@ -80,7 +80,7 @@
 
 async def _undecided(self, deadline):
     data = self.core.ledger.data
-    return Snapshot(data.stamp, data.blob, State.unpack(data.blob)) if self.core.ledger.leading() else None
+    return Snapshot(data.version, data.blob, State.unpack(data.blob)) if self.core.ledger.leading() else None
 
 
 def _number_only(state, order, router_count=0):
--- a/tests/simulator/test_model_checker.py
+++ b/tests/simulator/test_model_checker.py
@@ -12,16 +12,16 @@
 from sparloom.consensus.leadership import Leadership
 from sparloom.consensus.replica import Replica
 
-_copy, _confirm, _on_kept = Replica.copy, Leadership._confirm, Leadership.on_kept
+_copy, _confirm, _on_kept = Replica.store_copy, Leadership._confirm, Leadership.on_kept
 
 
 def _promise_at_once(self, seek):
     self.promise(seek.epoch)
-    return Send(seek.candidate, self.answer(seek.epoch, True, self.register))
+    return Send(seek.candidate, self.promise_answer(seek.epoch, True, self.register))
 
 
 def _answer_copy_at_once(self, record):
-    return _copy(self, record).then[0]
+    return _copy(self, record).followups[0]
 
 
 def _confirm_the_newest(self):
@@ -39,8 +39,8 @@
 
 
 MUTATIONS = {
-    "a promise is sent before it is on disk": (Replica, "grant", _promise_at_once),
-    "a copy is answered before it is on disk": (Replica, "copy", _answer_copy_at_once),
+    "a promise is sent before it is on disk": (Replica, "grant_promise", _promise_at_once),
+    "a copy is answered before it is on disk": (Replica, "store_copy", _answer_copy_at_once),
     "one mark activates a view": (leadership, "quorum", lambda ids, rosters: bool(ids)),
     "one promise elects": (election, "quorum", lambda ids, rosters: bool(ids)),
     "learners count in an election": (election, "quorum", lambda ids, rosters: 2 * len(ids) > len(rosters[0])),
--- a/tests/support/watched_core.py
+++ b/tests/support/watched_core.py
@@ -74,7 +74,7 @@
         for n, member in self.members.items():
             disk = self.disks.get(n)
             holds = member.id in view.holders and n not in self.removed and disk and disk[0].id == member.id
-            if holds and disk[1].stamp < data.stamp:
+            if holds and disk[1].version < data.version:
                 raise Violation(f"{data.blob.decode()!r} is decided, but it is not on the disk of {n}")
 
     # -- what happens -------------------------------------------------------
@@ -151,8 +151,8 @@
         view, here = self.view(), {self.members[n].id: n for n in self.here()}
         if not set(view.ids) <= set(here) or len(view.holders) < self.replicas + 1:
             return False
-        decided = self.nodes[leader][0].decided.stamp
-        return all(self.disks[here[i]][1].stamp >= decided for i in view.holders)
+        decided = self.nodes[leader][0].decided.version
+        return all(self.disks[here[i]][1].version >= decided for i in view.holders)
 
     def timeline(self):
         """What was done, as a timeline with a column per node."""
