--- a/simulator/net.py
+++ b/simulator/net.py
@@ -39,7 +39,7 @@
     def tick(self, n, life):
         """Moves a member on, and again every 50 ms while that life runs."""
         s = self.nodes[n]
-        if n in self.off or s.me.life != life:
+        if n in self.off or s.me.instance_id != life:
             return
         self.send(n, s.tick(self.now))
         self.at(50 * MS, lambda: self.tick(n, life))
@@ -49,7 +49,7 @@
         for m in msgs:
             to = m.to.split(":")[0]
             if (n, to) not in self.cuts and self.rng.random() > self.loss:
-                self.at((1 + self.rng.random()) * MS, lambda to=to, m=m: self._arrive(n, to, m.rec))
+                self.at((1 + self.rng.random()) * MS, lambda to=to, m=m: self._arrive(n, to, m.record))
 
     def _arrive(self, n, to, rec):
         if to in self.nodes and to not in self.off:
--- a/simulator/pieces.py
+++ b/simulator/pieces.py
@@ -64,7 +64,9 @@
     luck, stands = random.Random(1), [Candidate(r.id, 300, 0, 3, 16) for r in listed.runners]
     held = [InFlightReport(luck.getrandbits(64), 3, 2000, 0, 0, 0, 0) for _ in range(min(n, 2900))]
     counts = InFlightCounts(CONTACT)
-    counts.hear(InFlightUpdate("p:1", 1, 1, 1, held, []), timedelta(0), {h.resource: i for i, h in enumerate(held)})
+    counts.on_update(
+        InFlightUpdate("p:1", 1, 1, 1, held, []), timedelta(0), {h.resource: i for i, h in enumerate(held)}
+    )
     return {
         "runners": n,
         "listBytes": len(pack(listed)),
@@ -124,7 +126,7 @@
     return {
         "members": n,
         "tableBytes": memory(make),
-        "probeBytes": max((len(pack(m.rec)) for m in one), default=0),
+        "probeBytes": max((len(pack(m.record)) for m in one), default=0),
         "aliveUs": timed(lambda: s.alive()),
         "probeUs": timed(tick),
     }
@@ -140,7 +142,7 @@
 
     def make():
         k = CachedPrefixes(1 << 60)
-        k.saw([(luck.getrandbits(64), 2000) for _ in range(n)])
+        k.add([(luck.getrandbits(64), 2000) for _ in range(n)])
         return k
 
     return {"prefixes": n, "keptBytes": memory(make)}
--- a/simulator/simulated_router.py
+++ b/simulator/simulated_router.py
@@ -87,7 +87,7 @@
         ask = self._ask()
         service = ask.route.split[0][0]
         self.calls += 1
-        self.budget(service).asked(monotonic())
+        self.budget(service).on_request(monotonic())
         place = await self.lines.enter(service, ask)
         if not hasattr(place, "id") or hasattr(place, "back"):
             self.refused += 1
@@ -104,7 +104,7 @@
         most = self.load.runners or len(posts)
         post = posts[self.luck.randrange(min(most, len(posts)))]
         tokens = sum(n for _, n in ask.parts)
-        slot = self.counts.take(post.id, buckets_for(ask.route, post.slots), monotonic(), tokens)
+        slot = self.counts.acquire(post.id, buckets_for(ask.route, post.slots), monotonic(), tokens)
         if slot is None:
             self.refused += 1
             return
@@ -114,4 +114,4 @@
             self.tell.was_read(slot)
             await asyncio.sleep(self.luck.expovariate(1 / self.load.hold))
         finally:
-            slot.free(monotonic())
+            slot.release(monotonic())
--- a/sparloom/aggregation/aggregator.py
+++ b/sparloom/aggregation/aggregator.py
@@ -154,7 +154,7 @@
 
         >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.read(ZERO, []); s.wait(ZERO)
         """
-        new = {(r.resource, r.part): r for r in reads}
+        new = {(r.resource, r.prefix): r for r in reads}
         self.reads |= new
         if self.acting:
             self.down |= new
@@ -221,7 +221,7 @@
         self._give_up_claimed(cover | {s.holder: s.seq for s in rec.singles})
         self._settle(now, rec.key)
         if self.acting:
-            self.down |= {(r.resource, r.part): r for r in rec.reads}
+            self.down |= {(r.resource, r.prefix): r for r in rec.reads}
             self._hasten(now, rec.reads)
 
     def _relay(self, now, rec):
--- a/sparloom/controller/consensus_service.py
+++ b/sparloom/controller/consensus_service.py
@@ -88,7 +88,7 @@
 
     async def on_stop(self):
         for s in self.swim.leave():
-            self.net.send(s.to, s.rec)
+            self.net.send(s.to, s.record)
         self.server.close()
         await self.disk.stop()
         self.net.close()
@@ -99,14 +99,14 @@
             now = monotonic()
             self._act(self.ledger.tick(now))
             for s in self.swim.tick(now):
-                self.net.send(s.to, s.rec)
+                self.net.send(s.to, s.record)
             await asyncio.sleep(TICK.total_seconds())
 
     # -- messages in --------------------------------------------------------
     def _arrive(self, src, rec):
         if isinstance(rec, (Ping, Ack, PingRequest, TableComparison)):
             for s in self.swim.receive(monotonic(), src, rec):
-                self.net.send(s.to, s.rec)
+                self.net.send(s.to, s.record)
         elif not self.prefixes.arrive(src, rec) and not isinstance(rec, Copy):
             self._act(self.ledger.receive(monotonic(), rec))
 
--- a/sparloom/controller/endpoint_poller.py
+++ b/sparloom/controller/endpoint_poller.py
@@ -51,11 +51,13 @@
             if epoch is None:
                 await asyncio.sleep(NOT_PRIMARY_PAUSE)
                 continue
-            await asyncio.sleep(max(0.0, (pace.next - monotonic()).total_seconds()))
+            await asyncio.sleep(max(0.0, (pace.next_call - monotonic()).total_seconds()))
             if self.primary_epoch() != epoch:
                 continue
-            pace.begun = max(pace.begun, monotonic()) if self.pages.token is None else pace.begun
-            pace.done(monotonic(), *await self.call(cloud, epoch))
+            pace.round_started_at = (
+                max(pace.round_started_at, monotonic()) if self.pages.token is None else pace.round_started_at
+            )
+            pace.on_response(monotonic(), *await self.call(cloud, epoch))
 
     def enter(self, epoch):
         """Notes the epoch of this controller's duty; None while it has none.
@@ -112,7 +114,7 @@
         if whole is None:
             return True
         whole = EndpointList(whole.runners, self.crowd())
-        if whole.news_against(self.last):
+        if whole.differs_from(self.last):
             self.last, self.number = whole, self.number + 1
             self.shop.renew(ENDPOINTS, (self.epoch, self.number), whole)
         return False
--- a/sparloom/controller/prefix_snapshots.py
+++ b/sparloom/controller/prefix_snapshots.py
@@ -36,9 +36,9 @@
     def arrive(self, src, rec):
         """Takes a router's record; tells whether it was one for the memory."""
         if isinstance(rec, PrefixPlacements):
-            self.memory.saw(rec.reads)
+            self.memory.add(rec.placements)
         elif isinstance(rec, PlacementQuery):
-            for a in self.memory.answers():
+            for a in self.memory.to_records():
                 self.send(src, a)
         else:
             return False
--- a/sparloom/discovery/endpoints.py
+++ b/sparloom/discovery/endpoints.py
@@ -27,27 +27,31 @@
 
 @record(71)
 class EndpointList(Record):
-    """All runners, ordered by id; ``crowd``: how many routers share them."""
+    """All runners, ordered by id; ``fleet_size``: how many routers share them."""
 
     runners: list[Endpoint]
-    crowd: UInt16
+    fleet_size: UInt16
 
-    def news_against(self, old):
+    def differs_from(self, old):
         """Whether anything but the passing of time has changed.
 
-        >>> EndpointList([], 1).news_against(EndpointList([], 1))
+        >>> EndpointList([], 1).differs_from(EndpointList([], 1))
         False
         """
-        return old is None or self.crowd != old.crowd or [*map(_plain, self.runners)] != [*map(_plain, old.runners)]
+        return (
+            old is None
+            or self.fleet_size != old.fleet_size
+            or [*map(_plain, self.runners)] != [*map(_plain, old.runners)]
+        )
 
 
 @record(72)
 class EndpointDelta(Record):
     """What makes one list of the next: lives that came or changed, and ids that went."""
 
-    crowd: UInt16
-    put: list[Endpoint]
-    gone: list[str]
+    fleet_size: UInt16
+    updated: list[Endpoint]
+    removed: list[str]
 
 
 def _plain(r):
@@ -59,21 +63,21 @@
 
     >>> a = Endpoint("a", "s", "h:1", "z", 4, False, 0)
     >>> delta(EndpointList([a], 1), EndpointList([], 2))
-    EndpointDelta(crowd=2, put=[], gone=['a'])
+    EndpointDelta(fleet_size=2, updated=[], removed=['a'])
     """
     was, now = {r.id: r for r in old.runners}, {r.id: r for r in new.runners}
     put = [r for r in new.runners if r.id not in was or _plain(was[r.id]) != _plain(r)]
-    return EndpointDelta(new.crowd, put, [i for i in was if i not in now])
+    return EndpointDelta(new.fleet_size, put, [i for i in was if i not in now])
 
 
 def apply_delta(old, change):
     """The list that a change makes of another.
 
     >>> apply_delta(EndpointList([], 1), EndpointDelta(2, [], ["a"]))
-    EndpointList(runners=[], crowd=2)
+    EndpointList(runners=[], fleet_size=2)
     """
-    rows = {r.id: r for r in old.runners if r.id not in change.gone} | {r.id: r for r in change.put}
-    return EndpointList([rows[k] for k in sorted(rows)], change.crowd)
+    rows = {r.id: r for r in old.runners if r.id not in change.removed} | {r.id: r for r in change.updated}
+    return EndpointList([rows[k] for k in sorted(rows)], change.fleet_size)
 
 
 def _runner(d):
@@ -109,7 +113,7 @@
     """Puts a list together from its pages.
 
     >>> p = PageAssembler(); p.add([], "t"), p.add([], None)
-    (None, EndpointList(runners=[], crowd=0))
+    (None, EndpointList(runners=[], fleet_size=0))
     """
 
     got: list = field(factory=list)
@@ -119,7 +123,7 @@
         """Adds a page; gives the whole list after the last one.
 
         >>> PageAssembler().add([], None)
-        EndpointList(runners=[], crowd=0)
+        EndpointList(runners=[], fleet_size=0)
         """
         self.got += runners
         self.token = token
@@ -139,9 +143,9 @@
     """
 
     period: timedelta
-    least: timedelta
-    next: timedelta = timedelta(0)
-    begun: timedelta = timedelta(0)
+    minimum_interval: timedelta
+    next_call: timedelta = timedelta(0)
+    round_started_at: timedelta = timedelta(0)
 
     @classmethod
     def of(cls, rate, drain):
@@ -153,14 +157,16 @@
         least = timedelta(seconds=2 / rate)
         return cls(max(drain / 4, least), least)
 
-    def done(self, now, more, hard=False):
+    def on_response(self, now, more, hard=False):
         """A call ended: ``more`` pages follow, or it was turned away (``hard``).
 
-        >>> p = PollSchedule.of(40.0, timedelta(seconds=3)); p.done(timedelta(0), True); p.next
+        >>> p = PollSchedule.of(40.0, timedelta(seconds=3)); p.on_response(timedelta(0), True); p.next_call
         datetime.timedelta(microseconds=50000)
         """
         if more:
-            self.next = now + self.least
+            self.next_call = now + self.minimum_interval
             return
-        self.next = max(self.begun + self.period, now + self.least) + (self.period if hard else timedelta(0))
-        self.begun = self.next
+        self.next_call = max(self.round_started_at + self.period, now + self.minimum_interval) + (
+            self.period if hard else timedelta(0)
+        )
+        self.round_started_at = self.next_call
--- a/sparloom/dynamic_timeout/counts.py
+++ b/sparloom/dynamic_timeout/counts.py
@@ -20,24 +20,35 @@
 
 from .buckets import pick
 
-NONE = (0, 0, 0, 0, 0, 0)
+# What is in flight at one resource; the constants below are its indices.
+ResourceLoad = tuple[int, int, int, int, int, int]
+CALLS, PREFILL_TOKENS, UNRESPONSIVE, SUCCESSES, FAILURES, ACCUSERS = range(6)
+NO_LOAD: ResourceLoad = (0, 0, 0, 0, 0, 0)
 
 
 @record(80)
 class InFlightReport(Record):
     """Calls in flight at one resource, of one holder or summed over several.
 
-    ``silent``: how many holders hear nothing from it. ``good`` and ``bad``:
-    ends of calls of late. ``blamers``: how many holders saw it fail of late.
+    ``unresponsive``: how many holders hear nothing from it. ``successes`` and ``failures``:
+    ends of calls of late. ``accusers``: how many holders saw it fail of late.
     """
 
     resource: UInt64
     calls: UInt16
-    tokens: UInt32
-    silent: UInt16
-    good: UInt16
-    bad: UInt16
-    blamers: UInt16
+    prefill_tokens: UInt32
+    unresponsive: UInt16
+    successes: UInt16
+    failures: UInt16
+    accusers: UInt16
+
+    def load(self) -> ResourceLoad:
+        """The counts alone, in the order of the fields.
+
+        >>> InFlightReport(7, 2, 500, 0, 0, 0, 0).load()
+        (2, 500, 0, 0, 0, 0)
+        """
+        return (self.calls, self.prefill_tokens, self.unresponsive, self.successes, self.failures, self.accusers)
 
 
 @record(82)
@@ -45,7 +56,7 @@
     """A long part of a prompt that went to a resource."""
 
     resource: UInt64
-    part: UInt64
+    prefix: UInt64
     tokens: UInt32
 
 
@@ -53,12 +64,12 @@
 class InFlightUpdate(Record):
     """All that a holder has in flight, and what it sent to be read since its last word."""
 
-    key: str
-    life: UInt64
-    seq: UInt32
-    crowd: UInt16
-    held: list[InFlightReport]
-    reads: list[PrefixPlacement]
+    node: str
+    instance_id: UInt64
+    sequence: UInt32
+    fleet_size: UInt16
+    reports: list[InFlightReport]
+    placements: list[PrefixPlacement]
 
 
 @define(frozen=True, slots=True)
@@ -83,49 +94,49 @@
     counts: object
     resource: object
     grant: object
-    began: timedelta
-    tokens: int = 0
+    started_at: timedelta
+    prefill_tokens: int = 0
     timed_out: bool = False
     open: bool = True
 
-    def free(self, now):
+    def release(self, now):
         """Gives the slot back and tells the hook; a second time does nothing.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
         >>> counts = InFlightCounts(timedelta(seconds=3))
-        >>> slot = counts.take("r", buckets, start)
-        >>> slot.free(start)
-        >>> slot.free(start)
+        >>> slot = counts.acquire("r", buckets, start)
+        >>> slot.release(start)
+        >>> slot.release(start)
         >>> counts.count("r", start)
         0
         """
         if self.open:
             self.open = False
-            self.counts.release(self, now)
+            self.counts.release_slot(self, now)
 
-    def read(self, tokens):
+    def on_prefilled(self, tokens):
         """The prompt has been read: its tokens no longer wait.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
         >>> counts = InFlightCounts(timedelta(seconds=3))
-        >>> slot = counts.take("r", buckets, start, tokens=500)
-        >>> slot.read(200)
-        >>> counts.tokens("r", start)
+        >>> slot = counts.acquire("r", buckets, start, tokens=500)
+        >>> slot.on_prefilled(200)
+        >>> counts.prefill_tokens("r", start)
         300
         """
         if self.open:
-            self.counts.lighten(self, min(tokens, self.tokens))
+            self.counts.release_tokens(self, min(tokens, self.prefill_tokens))
 
 
 @define(slots=True)
 class _Peer:
-    life: int
-    seq: int
-    heard: timedelta
-    held: dict
-    crowd: int = 0
+    instance_id: int
+    sequence: int
+    received_at: timedelta
+    loads: dict
+    fleet_size: int = 0
 
 
 @define(slots=True)
@@ -137,17 +148,17 @@
 
     >>> c = InFlightCounts(timedelta(seconds=3))
     >>> from .buckets import Bucket
-    >>> s = c.take("r", [Bucket(timedelta(seconds=1), 1)], timedelta(0))
-    >>> c.count("r", timedelta(0)), c.take("r", [Bucket(timedelta(seconds=1), 1)], timedelta(0))
+    >>> s = c.acquire("r", [Bucket(timedelta(seconds=1), 1)], timedelta(0))
+    >>> c.count("r", timedelta(0)), c.acquire("r", [Bucket(timedelta(seconds=1), 1)], timedelta(0))
     (1, None)
-    >>> s.free(timedelta(0)); c.count("r", timedelta(0))
+    >>> s.release(timedelta(0)); c.count("r", timedelta(0))
     0
     """
 
     stale: timedelta
     hook: object = None
     own: dict = field(factory=dict)
-    weight: dict = field(factory=dict)
+    own_prefill_tokens: dict = field(factory=dict)
     peers: dict = field(factory=dict)
     callers: dict = field(factory=dict)
     shared: dict | None = None
@@ -156,14 +167,14 @@
 
     def _told(self, resource, now, part):
         if self.shared is not None:
-            return self.shared.get(resource, NONE)[part]
+            return self.shared.get(resource, NO_LOAD)[part]
         if self._until is None or now > self._until:
-            fresh = [p for p in self.peers.values() if now - p.heard <= self.stale]
-            self._until, self._sum = min((p.heard for p in fresh), default=now) + self.stale, {}
+            fresh = [p for p in self.peers.values() if now - p.received_at <= self.stale]
+            self._until, self._sum = min((p.received_at for p in fresh), default=now) + self.stale, {}
             for p in fresh:
-                for r, v in p.held.items():
-                    self._sum[r] = tuple(map(add, self._sum.get(r, NONE), v))
-        return self._sum.get(resource, NONE)[part]
+                for r, v in p.loads.items():
+                    self._sum[r] = tuple(map(add, self._sum.get(r, NO_LOAD), v))
+        return self._sum.get(resource, NO_LOAD)[part]
 
     def count(self, resource, now):
         """Calls in flight at a resource across all nodes.
@@ -173,18 +184,18 @@
         """
         return self.own.get(resource, 0) + self._told(resource, now, 0)
 
-    def tokens(self, resource, now):
+    def prefill_tokens(self, resource, now):
         """Prompt tokens on their way to a resource and not yet read, across all nodes.
 
-        >>> InFlightCounts(timedelta(1)).tokens("r", timedelta(0))
+        >>> InFlightCounts(timedelta(1)).prefill_tokens("r", timedelta(0))
         0
         """
-        return self.weight.get(resource, 0) + self._told(resource, now, 1)
+        return self.own_prefill_tokens.get(resource, 0) + self._told(resource, now, 1)
 
-    def silent(self, resource, now):
+    def unresponsive(self, resource, now):
         """How many peers hear nothing from a resource.
 
-        >>> InFlightCounts(timedelta(1)).silent("r", timedelta(0))
+        >>> InFlightCounts(timedelta(1)).unresponsive("r", timedelta(0))
         0
         """
         return self._told(resource, now, 2)
@@ -197,15 +208,15 @@
         """
         return tuple(self._told(resource, now, part) for part in (3, 4, 5))
 
-    def take(self, resource, buckets, now, tokens=0):
+    def acquire(self, resource, buckets, now, tokens=0):
         """Takes a slot in every bucket, or tells the hook of a refusal and gives None.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
         >>> counts = InFlightCounts(timedelta(seconds=3))
-        >>> counts.take("r", buckets, start).grant.timeout
+        >>> counts.acquire("r", buckets, start).grant.timeout
         datetime.timedelta(seconds=1)
-        >>> counts.take("r", buckets, start) is None
+        >>> counts.acquire("r", buckets, start) is None
         True
         """
         n = self.count(resource, now)
@@ -214,80 +225,76 @@
             self._tell(Call(resource, n, timedelta(0), True, False))
             return None
         self.own[resource] = self.own.get(resource, 0) + 1
-        self.weight[resource] = self.weight.get(resource, 0) + tokens
+        self.own_prefill_tokens[resource] = self.own_prefill_tokens.get(resource, 0) + tokens
         return Slot(self, resource, grant, now, tokens)
 
-    def lighten(self, slot, tokens):
+    def release_tokens(self, slot, tokens):
         """Takes read tokens off a resource.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
         >>> counts = InFlightCounts(timedelta(seconds=3))
-        >>> counts.lighten(counts.take("r", buckets, start, tokens=500), 500)
-        >>> counts.tokens("r", start)
+        >>> counts.release_tokens(counts.acquire("r", buckets, start, tokens=500), 500)
+        >>> counts.prefill_tokens("r", start)
         0
         """
-        slot.tokens -= tokens
-        self.weight[slot.resource] = max(0, self.weight.get(slot.resource, 0) - tokens)
+        slot.prefill_tokens -= tokens
+        self.own_prefill_tokens[slot.resource] = max(0, self.own_prefill_tokens.get(slot.resource, 0) - tokens)
 
-    def release(self, slot, now):
+    def release_slot(self, slot, now):
         """Ends a slot; called by the slot itself.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
         >>> counts = InFlightCounts(timedelta(seconds=3))
         >>> counts.hook = lambda call: print(call.resource, call.duration)
-        >>> counts.release(counts.take("r", buckets, start), start + timedelta(seconds=2))
+        >>> counts.release_slot(counts.acquire("r", buckets, start), start + timedelta(seconds=2))
         r 0:00:02
         """
         left = self.own.get(slot.resource, 0) - 1
-        self.lighten(slot, slot.tokens)
+        self.release_tokens(slot, slot.prefill_tokens)
         if left > 0:
             self.own[slot.resource] = left
         else:
             self.own.pop(slot.resource, None)
-            self.weight.pop(slot.resource, None)
-        self._tell(Call(slot.resource, slot.grant.count, now - slot.began, False, slot.timed_out))
+            self.own_prefill_tokens.pop(slot.resource, None)
+        self._tell(Call(slot.resource, slot.grant.count, now - slot.started_at, False, slot.timed_out))
 
     def _tell(self, call):
         if self.hook:
             self.hook(call)
 
-    def hear(self, rec, now, names):
+    def on_update(self, rec, now, names):
         """Takes a peer's word; ``names`` turns a wire number into a resource.
 
-        >>> c = InFlightCounts(timedelta(seconds=3)); c.hear(InFlightUpdate("p", 1, 1, 1, [InFlightReport(7, 2, 0, 0, 0, 0, 0)], []), timedelta(0), {7: "r"})
+        >>> c = InFlightCounts(timedelta(seconds=3)); c.on_update(InFlightUpdate("p", 1, 1, 1, [InFlightReport(7, 2, 0, 0, 0, 0, 0)], []), timedelta(0), {7: "r"})
         >>> c.count("r", timedelta(0))
         2
         """
-        old = self.peers.get(rec.key)
-        if old and old.life == rec.life and rec.seq <= old.seq:
+        old = self.peers.get(rec.node)
+        if old and old.instance_id == rec.instance_id and rec.sequence <= old.sequence:
             return
-        self.callers[rec.key, rec.life] = now
-        held = {
-            names[h.resource]: (h.calls, h.tokens, h.silent, h.good, h.bad, h.blamers)
-            for h in rec.held
-            if h.resource in names
-        }
-        self.peers[rec.key] = _Peer(rec.life, rec.seq, now, held, rec.crowd)
+        self.callers[rec.node, rec.instance_id] = now
+        held = {names[h.resource]: h.load() for h in rec.reports if h.resource in names}
+        self.peers[rec.node] = _Peer(rec.instance_id, rec.sequence, now, held, rec.fleet_size)
         self._until = None
 
-    def called(self, holders, now):
+    def note_callers(self, holders, now):
         """Notes holders (key, life) that work though their words come only in sums.
 
-        >>> c = InFlightCounts(timedelta(1)); c.called([("p", 1)], timedelta(0)); c.processes(timedelta(0))
+        >>> c = InFlightCounts(timedelta(1)); c.note_callers([("p", 1)], timedelta(0)); c.processes(timedelta(0))
         2
         """
         for h in holders:
             self.callers[h] = now
 
-    def drop(self, key, life=None):
+    def drop_node(self, node, instance_id=None):
         """A holder is known gone: its slots are free.
 
-        >>> InFlightCounts(timedelta(1)).drop("p")
+        >>> InFlightCounts(timedelta(1)).drop_node("p")
         """
-        if key in self.peers and (life is None or self.peers[key].life != life):
-            del self.peers[key]
+        if node in self.peers and (instance_id is None or self.peers[node].instance_id != instance_id):
+            del self.peers[node]
             self._until = None
 
     def processes(self, now, span=timedelta(seconds=60)):
--- a/sparloom/event_stream/events.py
+++ b/sparloom/event_stream/events.py
@@ -46,34 +46,34 @@
 class ResumableStream:
     """Which events have gone to the requester; a later runner's are joined on.
 
-    >>> t = ResumableStream(); t.take(b"id: 1\\n\\n"), t.last
+    >>> t = ResumableStream(); t.accept(b"id: 1\\n\\n"), t.last_event_id
     (True, '1')
-    >>> t.take(b"id: 1\\n\\n"), t.take(b"id: 2\\n\\n"), t.take(b"id: 4\\n\\n"), t.broken
+    >>> t.accept(b"id: 1\\n\\n"), t.accept(b"id: 2\\n\\n"), t.accept(b"id: 4\\n\\n"), t.has_gap
     (False, True, False, True)
     """
 
-    last: str | None = None
-    broken: bool = False
+    last_event_id: str | None = None
+    has_gap: bool = False
     step: int | None = None
 
-    def take(self, ev):
-        """Whether to pass an event on; sets ``broken`` when one is missing.
+    def accept(self, ev):
+        """Whether to pass an event on; sets ``has_gap`` when one is missing.
 
-        >>> ResumableStream().take(b": note\\n\\n")
+        >>> ResumableStream().accept(b": note\\n\\n")
         True
         """
         id = event_id(ev)
         if id is None:
             return True
-        if self.last is not None and id.isdigit() and self.last.isdigit():
-            gap = int(id) - int(self.last)
+        if self.last_event_id is not None and id.isdigit() and self.last_event_id.isdigit():
+            gap = int(id) - int(self.last_event_id)
             if gap <= 0:
                 return False
             self.step = self.step or gap
             if gap != self.step:
-                self.broken = True
+                self.has_gap = True
                 return False
-        elif id == self.last:
+        elif id == self.last_event_id:
             return False
-        self.last = id
+        self.last_event_id = id
         return True
--- a/sparloom/isolation/settings.py
+++ b/sparloom/isolation/settings.py
@@ -67,16 +67,16 @@
     ]
 
 
-def declared(table, members):
+def parse_isolation(table, members):
     """Checks the optional section ``isolation``; ``members`` are the declared ones. Success of None where there is no section.
 
     >>> from types import SimpleNamespace
     >>> one = SimpleNamespace(name="a", reserve=0.5)
-    >>> declared({"key": "00" * 32}, [one]).unwrap().newest.weights
+    >>> parse_isolation({"key": "00" * 32}, [one]).unwrap().newest.weights
     (('', 0.25), ('a', 0.75))
-    >>> declared({"key": "short"}, [one]).failure()
+    >>> parse_isolation({"key": "short"}, [one]).failure()
     'isolation.key must be 32 to 128 hexadecimal digits.'
-    >>> declared({"key": "00" * 32}, []).failure()
+    >>> parse_isolation({"key": "00" * 32}, []).failure()
     'isolation needs declared members.'
     """
     if table is None:
--- a/sparloom/load_balancing/cached_prefixes.py
+++ b/sparloom/load_balancing/cached_prefixes.py
@@ -30,48 +30,48 @@
 class CachedPrefixes:
     """An estimate of one runner's kept parts, the longest unused given up first.
 
-    >>> k = CachedPrefixes(10); k.saw((("a", 6),)); k.unread((("a", 6), ("a,b", 5)))
+    >>> k = CachedPrefixes(10); k.add((("a", 6),)); k.prefill_tokens((("a", 6), ("a,b", 5)))
     5
-    >>> k.saw((("c", 9),)); k.unread((("a", 6),))
+    >>> k.add((("c", 9),)); k.prefill_tokens((("a", 6),))
     6
     """
 
-    room: int
+    capacity: int
     used: int = 0
-    parts: OrderedDict = field(factory=OrderedDict)
+    prefixes: OrderedDict = field(factory=OrderedDict)
 
-    def saw(self, parts):
+    def add(self, parts):
         """Notes that a prompt went to the runner.
 
-        >>> k = CachedPrefixes(10); k.saw((("a", 6),)); k.used
+        >>> k = CachedPrefixes(10); k.add((("a", 6),)); k.used
         6
         """
         for key, n in parts:
-            self.used += n - self.parts.pop(key, 0)
-            self.parts[key] = n
-        while self.used > self.room and len(self.parts) > 1:
-            self.used -= self.parts.popitem(last=False)[1]
+            self.used += n - self.prefixes.pop(key, 0)
+            self.prefixes[key] = n
+        while self.used > self.capacity and len(self.prefixes) > 1:
+            self.used -= self.prefixes.popitem(last=False)[1]
 
-    def recalled(self, key, n):
+    def add_recalled(self, key, n):
         """Notes a part that went to the runner before all that is known here.
 
-        >>> k = CachedPrefixes(10); k.saw((("a", 6),)); k.recalled("b", 3); k.recalled("c", 3); list(k.parts)
+        >>> k = CachedPrefixes(10); k.add((("a", 6),)); k.add_recalled("b", 3); k.add_recalled("c", 3); list(k.prefixes)
         ['b', 'a']
         """
-        if key not in self.parts and self.used + n <= self.room:
+        if key not in self.prefixes and self.used + n <= self.capacity:
             self.used += n
-            self.parts[key] = n
-            self.parts.move_to_end(key, last=False)
+            self.prefixes[key] = n
+            self.prefixes.move_to_end(key, last=False)
 
-    def unread(self, parts):
+    def prefill_tokens(self, parts):
         """The tokens of a prompt that the runner would have to read.
 
-        >>> CachedPrefixes(10).unread((("a", 6),))
+        >>> CachedPrefixes(10).prefill_tokens((("a", 6),))
         6
         """
         left = sum(n for _, n in parts)
         for key, n in parts:
-            if key not in self.parts:
+            if key not in self.prefixes:
                 break
             left -= n
         return left
--- a/sparloom/load_balancing/rank.py
+++ b/sparloom/load_balancing/rank.py
@@ -40,13 +40,13 @@
     """
 
     id: str
-    unread: int
-    waiting: int = 0
+    prefill_tokens: int
+    queued_tokens: int = 0
     calls: int = 0
     slots: int = 0
     cold: bool = False
-    doubt: int = 0
-    near: bool = False
+    suspicion: int = 0
+    same_zone: bool = False
     warm: bool = False
     affinity_weight: int = 0
 
@@ -91,29 +91,29 @@
     Doubted and cold runners come last, and so do full ones. Among runners of
     about the same work, near ones and those with an open connection win.
 
-    >>> [s.id for s in choose([Candidate("a", 100, waiting=5000), Candidate("b", 100)])]
+    >>> [s.id for s in choose([Candidate("a", 100, queued_tokens=5000), Candidate("b", 100)])]
     ['b', 'a']
-    >>> [s.id for s in choose([Candidate("a", 100), Candidate("b", 100, near=True)])]
+    >>> [s.id for s in choose([Candidate("a", 100), Candidate("b", 100, same_zone=True)])]
     ['b', 'a']
     """
     if not stands:
         return []
     w = weights
     most = w.even * sum(s.calls for s in stands) / len(stands) + w.spare
-    unread = [s.unread for s in stands]
+    unread = [s.prefill_tokens for s in stands]
     least = min(unread)
     home = max(stands, key=lambda s: s.affinity_weight) if least == max(unread) else None
 
     def cost(s):
-        work = s.unread + s.waiting + w.call * s.calls + w.again * (s.unread - least)
+        work = s.prefill_tokens + s.queued_tokens + w.call * s.calls + w.again * (s.prefill_tokens - least)
         if s is home:
             work -= w.home * shared
         if s.calls > most:
             work += w.call * s.calls
-        if s.near:
+        if s.same_zone:
             work -= w.near
         if s.warm:
             work -= w.warm
-        return s.doubt, s.slots and s.calls >= s.slots, s.cold, work, -s.affinity_weight
+        return s.suspicion, s.slots and s.calls >= s.slots, s.cold, work, -s.affinity_weight
 
     return sorted(stands, key=cost)
--- a/sparloom/membership/records.py
+++ b/sparloom/membership/records.py
@@ -31,7 +31,7 @@
 class Peer(Record):
     """What is believed of one process.
 
-    ``key`` is its internal HOST:PORT, ``life`` tells its restarts apart, and
+    ``key`` is its internal HOST:PORT, ``instance_id`` tells its restarts apart, and
     ``incarnation`` is raised by the process itself to refute a suspicion.
     """
 
@@ -39,7 +39,7 @@
     role: UInt8
     zone: str
     control: str
-    life: UInt64
+    instance_id: UInt64
     incarnation: UInt32
     state: UInt8
 
@@ -59,7 +59,7 @@
         """
         if self.state == DEAD:
             return 0
-        belief = f"{self.key}|{self.life}|{self.incarnation}|{self.state}"
+        belief = f"{self.key}|{self.instance_id}|{self.incarnation}|{self.state}"
         return int.from_bytes(blake2b(belief.encode(), digest_size=8).digest())
 
 
@@ -70,7 +70,7 @@
     sequence: UInt32
     peer: Peer
     digest: UInt64
-    news: list[Peer]
+    updates: list[Peer]
 
 
 @record(3)
@@ -80,7 +80,7 @@
     sequence: UInt32
     peer: Peer
     digest: UInt64
-    news: list[Peer]
+    updates: list[Peer]
 
 
 @record(4)
@@ -90,7 +90,7 @@
     sequence: UInt32
     peer: Peer
     target: str
-    news: list[Peer]
+    updates: list[Peer]
 
     digest = 0
 
@@ -101,8 +101,8 @@
 
     peer: Peer
     digest: UInt64
-    part: UInt16
-    parts: UInt16
+    partition: UInt16
+    partitions: UInt16
     marks: list[UInt16]
 
-    news = ()
+    updates = ()
--- a/sparloom/membership/swim.py
+++ b/sparloom/membership/swim.py
@@ -26,7 +26,7 @@
     """A datagram to send: a record to a HOST:PORT."""
 
     to: str
-    rec: object
+    record: object
 
 
 @define(slots=True)
@@ -82,7 +82,7 @@
     version: int = 0
     fresh: dict = field(factory=dict)
     pending: dict = field(factory=dict)
-    ended: list = field(factory=list)
+    departed: list = field(factory=list)
     digest: int = 0
     differs: bool = False
     last_tick: timedelta | None = None
@@ -92,7 +92,7 @@
     def __attrs_post_init__(self):
         self.digest = self.me.mark()
         # An answer to a probe of an earlier life at this address must fit none of this one's.
-        self.sequence = self.me.life % LARGEST_FIRST_SEQUENCE
+        self.sequence = self.me.instance_id % LARGEST_FIRST_SEQUENCE
 
     # -- what is believed ------------------------------------------------------
     def alive(self):
@@ -108,32 +108,32 @@
                 self._alive_by_role[peer.role] = self._alive_by_role.get(peer.role, 0) + 1
         return self._alive
 
-    def up(self, role):
+    def count_alive(self, role):
         """How many others of a role are believed up.
 
-        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).up(0)
+        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).count_alive(0)
         0
         """
         self.alive()
         return self._alive_by_role.get(role, 0)
 
-    def holds(self, key, life):
+    def is_current(self, key, instance_id):
         """Whether nothing known speaks against this life at an address.
 
-        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).holds("b:1", 7)
+        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).is_current("b:1", 7)
         True
         """
         entry = self.table.get(key)
-        return entry is None or entry.peer.life == life and entry.peer.state != DEAD
+        return entry is None or entry.peer.instance_id == instance_id and entry.peer.state != DEAD
 
-    def take_ended(self):
-        """Lives that ended since the last question: keys, each with the life that goes on there or None.
+    def take_departed(self):
+        """Lives that departed since the last question: keys, each with the life that goes on there or None.
 
-        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).take_ended()
+        >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).take_departed()
         []
         """
-        ended, self.ended = self.ended, []
-        return ended
+        departed, self.departed = self.departed, []
+        return departed
 
     # -- what is told ------------------------------------------------------------
     def _news(self):
@@ -179,7 +179,7 @@
 
     def _refute(self, peer):
         """Outbids what is said of this process, if it is a suspicion or of a former life."""
-        wrong = peer.life != self.me.life or peer.state != ALIVE
+        wrong = peer.instance_id != self.me.instance_id or peer.state != ALIVE
         if wrong and peer.incarnation >= self.me.incarnation:
             self.digest ^= self.me.mark()
             self.me = evolve(self.me, incarnation=peer.incarnation + 1)
@@ -193,9 +193,9 @@
             self.pending.pop(peer.key, None)
         else:
             self.pending[peer.key] = entry
-        if old is not None and (peer.state == DEAD or peer.life != old.life):
-            self.ended.append((peer.key, None if peer.state == DEAD else peer.life))
-        if old is None or (old.state == DEAD) != (peer.state == DEAD) or old.life != peer.life:
+        if old is not None and (peer.state == DEAD or peer.instance_id != old.instance_id):
+            self.departed.append((peer.key, None if peer.state == DEAD else peer.instance_id))
+        if old is None or (old.state == DEAD) != (peer.state == DEAD) or old.instance_id != peer.instance_id:
             self.version += 1
         self._alive = None
 
@@ -312,14 +312,14 @@
         """Takes a record from ``src``; gives the datagrams that follow from it.
 
         >>> s = Swim(Peer("a:1", 0, "", "", 1, 0, 0), ("b:1",), SwimTiming.of(timedelta(seconds=3)), __import__("random").Random(1))
-        >>> [type(m.rec).__name__ for m in s.receive(timedelta(0), "b:1", Ping(7, Peer("b:1", 0, "", "", 2, 0, 0), 0, []))]
+        >>> [type(m.record).__name__ for m in s.receive(timedelta(0), "b:1", Ping(7, Peer("b:1", 0, "", "", 2, 0, 0), 0, []))]
         ['Ack']
         """
         self.now = now
         entry = self.table.get(rec.peer.key)
-        joins = entry is None or entry.peer.state != ALIVE or entry.peer.life != rec.peer.life
+        joins = entry is None or entry.peer.state != ALIVE or entry.peer.instance_id != rec.peer.instance_id
         outdated = [entry.peer] if entry is not None and joins else []
-        for peer in (rec.peer, *rec.news):
+        for peer in (rec.peer, *rec.updates):
             self._learn(peer)
         self.differs = rec.digest not in (0, self.digest)
         return self._take(rec, src, joins, outdated)
@@ -349,7 +349,9 @@
     @_take.register
     def _(self, rec: TableComparison, src, joins, outdated):
         theirs = set(rec.marks)
-        lacking = [peer for peer in self._part(rec.part, max(1, rec.parts)) if peer.mark() & MARK_BITS not in theirs]
+        lacking = [
+            peer for peer in self._part(rec.partition, max(1, rec.partitions)) if peer.mark() & MARK_BITS not in theirs
+        ]
         if not lacking:
             return []
         news = self.rng.sample(lacking, min(NEWS_PER_DATAGRAM, len(lacking)))
--- a/sparloom/prefix_cache/memory.py
+++ b/sparloom/prefix_cache/memory.py
@@ -18,7 +18,7 @@
 class PrefixPlacements(Record):
     """Long parts of prompts and the runner lives (by number) that they went to."""
 
-    reads: list[PrefixPlacement]
+    placements: list[PrefixPlacement]
 
 
 @record(96)
@@ -35,8 +35,8 @@
     A runner's number is that of one life, so what ended with a runner fits
     nothing any more and falls out by age.
 
-    >>> m = PlacementTable(2); m.saw([PrefixPlacement(7, 1, 2000), PrefixPlacement(8, 2, 3000), PrefixPlacement(7, 3, 1000)])
-    >>> [(r.resource, r.part, r.tokens) for r in m.answers()[0].reads]
+    >>> m = PlacementTable(2); m.add([PrefixPlacement(7, 1, 2000), PrefixPlacement(8, 2, 3000), PrefixPlacement(7, 3, 1000)])
+    >>> [(r.resource, r.prefix, r.tokens) for r in m.to_records()[0].placements]
     [(7, 3, 1000), (8, 2, 3000)]
     """
 
@@ -44,23 +44,23 @@
     items: OrderedDict = field(factory=OrderedDict)
     changed: bool = False
 
-    def saw(self, reads):
+    def add(self, reads):
         """Notes parts that went to runners.
 
-        >>> m = PlacementTable(); m.saw([PrefixPlacement(7, 1, 2000)]); m.changed
+        >>> m = PlacementTable(); m.add([PrefixPlacement(7, 1, 2000)]); m.changed
         True
         """
         for r in reads:
-            self.items[r.resource, r.part] = r.tokens
-            self.items.move_to_end((r.resource, r.part))
+            self.items[r.resource, r.prefix] = r.tokens
+            self.items.move_to_end((r.resource, r.prefix))
         while len(self.items) > self.most:
             self.items.popitem(last=False)
         self.changed = self.changed or bool(reads)
 
-    def answers(self, each=48):
+    def to_records(self, each=48):
         """All of it as records that fit datagrams, newest first; at least one, if an empty one.
 
-        >>> [len(a.reads) for a in PlacementTable().answers()]
+        >>> [len(a.placements) for a in PlacementTable().to_records()]
         [0]
         """
         reads = [PrefixPlacement(r, p, n) for (r, p), n in reversed(self.items.items())]
@@ -69,7 +69,7 @@
     def pack(self):
         """The bytes to keep: a checksum, then the items.
 
-        >>> m = PlacementTable(); m.saw([PrefixPlacement(7, 1, 2000)]); PlacementTable.unpack(m.pack()).items
+        >>> m = PlacementTable(); m.add([PrefixPlacement(7, 1, 2000)]); PlacementTable.unpack(m.pack()).items
         OrderedDict([((7, 1), 2000)])
         """
         raw = b"".join(_ITEM.pack(r, p, n) for (r, p), n in self.items.items())
@@ -84,6 +84,6 @@
         """
         m, body = PlacementTable(most), raw[_SUM.size :]
         if len(raw) >= _SUM.size and len(body) % _ITEM.size == 0 and _SUM.unpack_from(raw)[0] == zlib.crc32(body):
-            m.saw([PrefixPlacement(*i) for i in _ITEM.iter_unpack(body)])
+            m.add([PrefixPlacement(*i) for i in _ITEM.iter_unpack(body)])
             m.changed = False
         return m
--- a/sparloom/retry/budget.py
+++ b/sparloom/retry/budget.py
@@ -18,9 +18,9 @@
     any more. The slack is shared among the most nodes told within two windows,
     so one that joins doesn't stretch the sum.
 
-    >>> b = RetryBudget(timedelta(seconds=10), 0.2, 0, timedelta(0)); b.allowed(timedelta(0), 1)
+    >>> b = RetryBudget(timedelta(seconds=10), 0.2, 0, timedelta(0)); b.allows(timedelta(0), 1)
     False
-    >>> b.asked(timedelta(0), 20); b.allowed(timedelta(0), 1)
+    >>> b.on_request(timedelta(0), 20); b.allows(timedelta(0), 1)
     True
     """
 
@@ -42,10 +42,10 @@
         while self.crowd and now - self.crowd[0][0] > 2 * self.window:
             self.crowd.popleft()
 
-    def asked(self, now, n=1):
+    def on_request(self, now, n=1):
         """Counts asks taken from requesters.
 
-        >>> b = RetryBudget(timedelta(seconds=1), 0.2, 0, timedelta(0)); b.asked(timedelta(0)); b.total
+        >>> b = RetryBudget(timedelta(seconds=1), 0.2, 0, timedelta(0)); b.on_request(timedelta(0)); b.total
         1
         """
         tick = self.window / 40
@@ -62,10 +62,10 @@
         age = (now - self.born) / self.window
         return self.slack / (most + 1) * (1.0 if age > 1 else age * (1 / self.margin - 1))
 
-    def allowed(self, now, nodes):
+    def allows(self, now, nodes):
         """Whether one more arrival fits, with that many nodes about.
 
-        >>> RetryBudget(timedelta(seconds=10), 0.0, 40, timedelta(0)).allowed(timedelta(seconds=10), 1)
+        >>> RetryBudget(timedelta(seconds=10), 0.0, 40, timedelta(0)).allows(timedelta(seconds=10), 1)
         True
         """
         self._trim(now)
--- a/sparloom/retry/decision.py
+++ b/sparloom/retry/decision.py
@@ -11,14 +11,14 @@
 class RetryContext:
     """What is known when an attempt has ended."""
 
-    repeatable: bool
+    idempotent: bool
     max_attempts: int
     attempts: int
     verdict: Verdict
-    began: bool = False
-    left: timedelta = timedelta(0)
+    response_started: bool = False
+    time_left: timedelta = timedelta(0)
     within_budget: bool = False
-    others: bool = False
+    has_alternatives: bool = False
 
 
 @define(frozen=True, slots=True)
@@ -38,18 +38,18 @@
     """The step after an attempt that brought no whole reply.
 
     >>> from sparloom.retry.verdict import MAY_HAVE_RUN
-    >>> next_step(RetryContext(False, 2, 1, MAY_HAVE_RUN, left=timedelta(1), within_budget=True, others=True))
+    >>> next_step(RetryContext(False, 2, 1, MAY_HAVE_RUN, time_left=timedelta(1), within_budget=True, has_alternatives=True))
     GiveUp(status=502, cut=False)
-    >>> next_step(RetryContext(False, 2, 1, NOT_RUN, left=timedelta(1), within_budget=True, others=True))
+    >>> next_step(RetryContext(False, 2, 1, NOT_RUN, time_left=timedelta(1), within_budget=True, has_alternatives=True))
     Retry()
-    >>> next_step(RetryContext(True, 2, 1, MAY_HAVE_RUN, began=True, left=timedelta(1), within_budget=True, others=True))
+    >>> next_step(RetryContext(True, 2, 1, MAY_HAVE_RUN, response_started=True, time_left=timedelta(1), within_budget=True, has_alternatives=True))
     Retry()
     """
-    may = p.repeatable or p.verdict is NOT_RUN
-    if may and p.left > timedelta(0) and p.attempts < p.max_attempts and p.within_budget and p.others:
+    may = p.idempotent or p.verdict is NOT_RUN
+    if may and p.time_left > timedelta(0) and p.attempts < p.max_attempts and p.within_budget and p.has_alternatives:
         return Retry()
-    if p.began:
+    if p.response_started:
         return GiveUp(0, cut=True)
     if p.verdict is NOT_RUN:
         return GiveUp(503)
-    return GiveUp(502 if p.left > timedelta(0) else 504)
+    return GiveUp(502 if p.time_left > timedelta(0) else 504)
--- a/sparloom/retry/verdict.py
+++ b/sparloom/retry/verdict.py
@@ -29,16 +29,16 @@
 class ResponseHead:
     """The parts of a runner's answer that judge it.
 
-    ``id_fits``: it bears the attempt id of the request. ``nameless``: neither
+    ``attempt_id_matches``: it bears the attempt id of the request. ``without_attempt_id``: neither
     the request nor the answer bears one.
     """
 
     status: int
     not_run: bool
     sealed: bool
-    id_fits: bool
+    attempt_id_matches: bool
     framed: bool
-    nameless: bool = False
+    without_attempt_id: bool = False
 
     @property
     def belongs(self):
@@ -46,10 +46,10 @@
 
         Only a 400 that turns away a request without an id may lack it.
 
-        >>> ResponseHead(503, True, False, False, True).belongs, ResponseHead(400, True, False, False, True, nameless=True).belongs
+        >>> ResponseHead(503, True, False, False, True).belongs, ResponseHead(400, True, False, False, True, without_attempt_id=True).belongs
         (False, True)
         """
-        return self.id_fits or self.nameless and self.status == 400 and self.not_run
+        return self.attempt_id_matches or self.without_attempt_id and self.status == 400 and self.not_run
 
 
 def judge_head(head):
--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -98,4 +98,4 @@
             self.response.release()
         if self.slot.open:
             self.post.open -= 1
-            self.slot.free(monotonic())
+            self.slot.release(monotonic())
--- a/sparloom/router/backends.py
+++ b/sparloom/router/backends.py
@@ -146,7 +146,7 @@
                     CachedPrefixes(room(r.service)),
                 )
             old.draining, old.cold, old.slots = r.draining, bool(r.cold), r.slots
-            old.kept.room = room(r.service)
+            old.kept.capacity = room(r.service)
             posts[r.id] = old
         for p in self.posts.values():
             p.gone = posts.get(p.id) is not p
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -103,12 +103,12 @@
         return [
             Candidate(
                 p.id,
-                p.kept.unread(parts),
-                c.tokens(p.id, now),
+                p.kept.prefill_tokens(parts),
+                c.prefill_tokens(p.id, now),
                 c.count(p.id, now),
                 p.slots,
                 p.cold,
-                2 * p.doubted(now) + (c.silent(p.id, now) > 0) + 4 * (p.id in self.tried),
+                2 * p.doubted(now) + (c.unresponsive(p.id, now) > 0) + 4 * (p.id in self.tried),
                 p.zone == self.know.up.zone,
                 p.warm(),
                 rendezvous_weight(key, p.number),
@@ -118,7 +118,7 @@
 
     def _pick(self):
         """The best runner with room, and a slot there."""
-        now = monotonic()
+        counts, now = self.know.counts, monotonic()
         posts = {p.id: p for p in self._runners()}
         pipes = self.know.lines.connections(self.service)
         count_event("weighed runners", len(posts))
@@ -126,10 +126,10 @@
             p = posts[s.id]
             if p.id in self.tried or p.open >= pipes[p.id]:
                 continue
-            slot = self.know.counts.take(p.id, buckets_for(self.ask.route, p.slots, self.reserved), now, s.unread)
+            slot = counts.acquire(p.id, buckets_for(self.ask.route, p.slots, self.reserved), now, s.prefill_tokens)
             if slot:
-                self.ask.yields = is_heavy_prefill(s.unread, p.kept.room, p.slots)
-                p.kept.saw(self.ask.parts)
+                self.ask.yields = is_heavy_prefill(s.prefill_tokens, p.kept.capacity, p.slots)
+                p.kept.add(self.ask.parts)
                 self.know.tell.sent(p, self.ask.parts[:-1])
                 self.know.prefixes.sent(p, self.ask.parts[:-1])
                 return p, slot
@@ -157,14 +157,14 @@
             verdict,
             self.out is not None,
             self.left(),
-            self.attempts == 0 or self.know.budget(self.service).allowed(monotonic(), self.know.nodes()),
+            self.attempts == 0 or self.know.budget(self.service).allows(monotonic(), self.know.nodes()),
             any(p.id not in self.tried for p in self._runners()),
         )
 
     # -- the whole way ------------------------------------------------------
     async def run(self):
         """Brings the reply, whatever it is."""
-        self.know.budget(self.service).asked(monotonic())
+        self.know.budget(self.service).on_request(monotonic())
         try:
             return await self._run()
         except ClientDisconnectedError as error:
@@ -210,7 +210,7 @@
             if isinstance(step, GiveUp):
                 return self._give_up(step)
             attempt = self._next_attempt()
-        return self._give_up(next_step(evolve(self._plan(verdict), others=False)))
+        return self._give_up(next_step(evolve(self._plan(verdict), has_alternatives=False)))
 
     def expire(self):
         """This router ends: what can still be answered is answered now."""
@@ -260,7 +260,7 @@
         """None once the reply is through; else a verdict."""
         try:
             async with asyncio.timeout(max(0.0, self.left().total_seconds())) as self.limit:
-                verdict = None if attempt.response is not None else await attempt.open(self.thread.last)
+                verdict = None if attempt.response is not None else await attempt.open(self.thread.last_event_id)
                 if verdict is None and not self._fits(attempt.response):
                     verdict = MAY_HAVE_RUN
                 return verdict or await self._relay(attempt)
@@ -294,7 +294,7 @@
             return
         attempt = self._next_attempt()
         if attempt is not None:
-            self.ahead = HedgedAttempt(attempt, self.thread.last, self.left(), self._ahead_opened)
+            self.ahead = HedgedAttempt(attempt, self.thread.last_event_id, self.left(), self._ahead_opened)
 
     def _ahead_opened(self):
         """The other runner has answered: it takes over, unless it refuses or fails."""
@@ -359,8 +359,8 @@
             if self.out is None:
                 self.know.tell.was_read(attempt.slot)
                 await self._begin(response, length)
-            keep = b"".join(ev for ev in split.feed(raw) if self.thread.take(ev)) if joined else raw
-            if self.thread.broken:
+            keep = b"".join(ev for ev in split.feed(raw) if self.thread.accept(ev)) if joined else raw
+            if self.thread.has_gap:
                 response.close()
                 return RAN
             if keep:
--- a/sparloom/router/in_flight_gossip.py
+++ b/sparloom/router/in_flight_gossip.py
@@ -41,8 +41,8 @@
 
     def was_read(self, slot):
         """A prompt has been read; a long one is told at the next beat."""
-        self.soon = self.soon or slot.tokens >= LONG
-        slot.read(slot.tokens)
+        self.soon = self.soon or slot.prefill_tokens >= LONG
+        slot.on_prefilled(slot.prefill_tokens)
 
     # -- words out ----------------------------------------------------------
     def _held(self):
@@ -53,7 +53,7 @@
             InFlightReport(
                 posts[id].number,
                 min(n, 0xFFFF),
-                min(k.counts.weight.get(id, 0), 0xFFFFFFFF),
+                min(k.counts.own_prefill_tokens.get(id, 0), 0xFFFFFFFF),
                 int(posts[id].silent > 0 and posts[id].doubted(now)),
                 0,
                 0,
@@ -70,7 +70,7 @@
         if not k.tier.stands and (turn % 4 == 0 or self.soon):
             self._directly(turn)
         if self.tiered and turn % 20 == 0:
-            k.counts.called(self._up().items(), monotonic())
+            k.counts.note_callers(self._up().items(), monotonic())
         if self.tiered or was:
             self._through(was)
             if turn % (2 if self.sums.acting else 4) == 0 or not self.tiered:
@@ -92,11 +92,11 @@
         if not was:
             for key, p in k.counts.peers.items():
                 self.sums.hear_direct(
-                    p.heard,
+                    p.received_at,
                     key,
-                    p.life,
-                    p.seq,
-                    {short(k.fleet.posts[id].number): v for id, v in p.held.items() if id in k.fleet.posts},
+                    p.instance_id,
+                    p.sequence,
+                    {short(k.fleet.posts[id].number): v for id, v in p.loads.items() if id in k.fleet.posts},
                 )
         self.sums.see(now, k.tier, up, k.follow.upstream.parent)
         self._note(now)
@@ -106,7 +106,7 @@
     def _note(self, now):
         self.sums.note(
             now,
-            {short(h.resource): (h.calls, h.tokens, h.silent, h.good, h.bad, h.blamers) for h in self._held()},
+            {short(h.resource): h.load() for h in self._held()},
             self.know.crowd.divisor,
         )
 
@@ -137,7 +137,7 @@
     def _up(self):
         swim = self.know.swim
         if self.seen != swim.version:
-            self.seen, self.up = swim.version, {p.key: p.life for p in swim.alive() if p.role == ROUTER}
+            self.seen, self.up = swim.version, {p.key: p.instance_id for p in swim.alive() if p.role == ROUTER}
         return self.up
 
     def _take_view(self, now):
@@ -147,21 +147,21 @@
             self.fleet, self.shorts = k.fleet, {}
             for p in k.fleet.posts.values():
                 self.shorts.setdefault(short(p.number), []).append(p.id)
-        view = self.sums.view(now, [key for key, p in k.counts.peers.items() if now - p.heard <= k.counts.stale])
+        view = self.sums.view(now, [key for key, p in k.counts.peers.items() if now - p.received_at <= k.counts.stale])
         k.counts.shared = None if view is None else {id: v for s, v in view.items() for id in self.shorts.get(s, ())}
 
     def _saw(self, reads):
         fleet = self.know.fleet
         for r in reads:
             if r.resource in fleet.numbers:
-                fleet.posts[fleet.numbers[r.resource]].kept.saw(((r.part, r.tokens),))
+                fleet.posts[fleet.numbers[r.resource]].kept.add(((r.prefix, r.tokens),))
 
     # -- words in -------------------------------------------------------------
     @singledispatchmethod
     def hear(self, rec, src):
         """Takes another router's word; one of a life that is known gone tells nothing."""
         now = monotonic()
-        if not self.know.swim.holds(rec.key, rec.life):
+        if not self.know.swim.is_current(rec.key, rec.life):
             return
         self.sums.hear(now, rec)
         self._saw(rec.reads)
@@ -172,22 +172,22 @@
     @hear.register
     def _(self, rec: InFlightUpdate, src):
         k, now = self.know, monotonic()
-        if not k.swim.holds(rec.key, rec.life):
+        if not k.swim.is_current(rec.node, rec.instance_id):
             return
-        k.counts.hear(rec, now, k.fleet.numbers)
+        k.counts.on_update(rec, now, k.fleet.numbers)
         if self.tiered:
             self.sums.hear_direct(
                 now,
-                rec.key,
-                rec.life,
-                rec.seq,
-                {short(h.resource): (h.calls, h.tokens, h.silent, h.good, h.bad, h.blamers) for h in rec.held},
+                rec.node,
+                rec.instance_id,
+                rec.sequence,
+                {short(h.resource): h.load() for h in rec.reports},
             )
-        self._saw(rec.reads)
+        self._saw(rec.placements)
 
     def gone(self, key, life):
         """A router's lives, all but one, are known gone: they hold nothing any more."""
-        self.know.counts.drop(key, life)
+        self.know.counts.drop_node(key, life)
         self.sums.gone(key, life)
 
     def crowds(self):
@@ -195,6 +195,6 @@
         k, now, up = self.know, monotonic(), self._up()
         if k.counts.shared is not None:
             return self.sums.crowds(now)
-        told = {key: p.crowd for key, p in k.counts.peers.items() if key in up}
+        told = {key: p.fleet_size for key, p in k.counts.peers.items() if key in up}
         waits = self.tiered and now - k.born < k.up.bounds.contact
         return told | {"": 0} if waits else told
--- a/sparloom/router/prefix_recall.py
+++ b/sparloom/router/prefix_recall.py
@@ -68,10 +68,10 @@
     def hear(self, src, rec):
         """Takes an answer: what it tells is older than all that this router has seen itself."""
         k = self.know
-        for r in rec.reads:
+        for r in rec.placements:
             id = k.fleet.numbers.get(r.resource)
             if id is not None:
-                k.fleet.posts[id].kept.recalled(r.part, r.tokens)
+                k.fleet.posts[id].kept.add_recalled(r.prefix, r.tokens)
         self.heard.add(src)
         if self.began is not None and self.asked <= self.heard:
             self.began = None
--- a/sparloom/router/request.py
+++ b/sparloom/router/request.py
@@ -75,9 +75,9 @@
         status=answer.status,
         not_run=NOT_RUN in answer.headers,
         sealed=SEAL in answer.headers,
-        id_fits=bool(id) and ids == [id],
+        attempt_id_matches=bool(id) and ids == [id],
         framed=framed or coding is not None and coding.strip().lower() == "chunked",
-        nameless=not id and not ids,
+        without_attempt_id=not id and not ids,
     )
 
 
--- a/sparloom/router/router_state.py
+++ b/sparloom/router/router_state.py
@@ -93,7 +93,7 @@
 
     async def on_stop(self):
         for s in self.swim.leave():
-            self.net.send(s.to, s.rec)
+            self.net.send(s.to, s.record)
         self.net.close()
         for p in self.fleet.posts.values():
             if p.session:
@@ -106,19 +106,23 @@
             self.prefixes.hear(src, rec)
         elif isinstance(rec, (Ping, Ack, PingRequest, TableComparison)):
             for s in self.swim.receive(monotonic(), src, rec):
-                self.net.send(s.to, s.rec)
+                self.net.send(s.to, s.record)
             self._drop_ended()
 
     def _drop_ended(self):
         """Holders that are known gone take their slots with them."""
-        for key, life in self.swim.take_ended():
+        for key, life in self.swim.take_departed():
             self.tell.gone(key, life)
 
     def count(self):
         """Notes by how many routers the whole is divided."""
         up = sorted(p.key for p in self.swim.alive() if p.role == ROUTER)
         self.crowd.see(
-            monotonic(), 1 + len(up), self.listed.crowd if self.listed else 0, self.tell.crowds(), bisect(up, self.key)
+            monotonic(),
+            1 + len(up),
+            self.listed.fleet_size if self.listed else 0,
+            self.tell.crowds(),
+            bisect(up, self.key),
         )
 
     def see_tier(self):
@@ -135,7 +139,7 @@
         while not self.should_stop:
             turn += 1
             for s in self.swim.tick(monotonic()):
-                self.net.send(s.to, s.rec)
+                self.net.send(s.to, s.record)
             self._drop_ended()
             self.lines.tick()
             if turn % 4 == 1:
--- a/sparloom/settings/checks.py
+++ b/sparloom/settings/checks.py
@@ -256,7 +256,7 @@
 
 
 def _isolation(table, members):
-    given = isolation.declared(table.get("isolation"), members)
+    given = isolation.parse_isolation(table.get("isolation"), members)
     if not isinstance(given, Success):
         raise SettingsError(given.failure())
     return given.unwrap()
--- a/tests/dynamic_timeout/test_counts.py
+++ b/tests/dynamic_timeout/test_counts.py
@@ -58,25 +58,25 @@
         self.names = {7: "r", 8: "q"}
 
     def hear(self, at, n, key="p", life=1, seq=1, res=7):
-        self.c.hear(
+        self.c.on_update(
             InFlightUpdate(key, life, seq, 1, [InFlightReport(res, n, 100, 0, 0, 0, 0)], []), at * S, self.names
         )
 
     def test_a_call_takes_a_slot_in_every_bucket_and_gives_it_back_once(self):
-        slots = [self.c.take("r", SOURCE, 0 * S) for _ in range(6)]
+        slots = [self.c.acquire("r", SOURCE, 0 * S) for _ in range(6)]
         self.assertEqual([s.grant.timeout / S for s in slots], [8, 8, 8, 8, 8, 1])
-        slots[0].free(S)
-        slots[0].free(S)
+        slots[0].release(S)
+        slots[0].release(S)
         self.assertEqual(self.c.count("r", S), 5)
-        self.assertEqual(self.c.take("r", SOURCE, S).grant.timeout, S)
+        self.assertEqual(self.c.acquire("r", SOURCE, S).grant.timeout, S)
         for s in slots:
-            s.free(2 * S)
+            s.release(2 * S)
         self.assertEqual(self.c.count("r", 2 * S), 1)
 
     def test_peers_count_too(self):
         self.hear(0, 20)
-        self.assertIsNone(self.c.take("r", SOURCE, 0 * S))
-        self.assertIsNotNone(self.c.take("q", SOURCE, 0 * S))
+        self.assertIsNone(self.c.acquire("r", SOURCE, 0 * S))
+        self.assertIsNotNone(self.c.acquire("q", SOURCE, 0 * S))
 
     def test_resources_have_counts_of_their_own(self):
         self.hear(0, 4)
@@ -84,15 +84,15 @@
 
     def test_a_gone_holders_slots_are_free(self):
         self.hear(0, 20)
-        self.c.drop("p")
+        self.c.drop_node("p")
         self.assertEqual(self.c.count("r", 0 * S), 0)
 
     def test_a_new_life_drops_the_old_ones_slots(self):
         self.hear(0, 20, life=1, seq=9)
-        self.c.drop("p", life=2)
+        self.c.drop_node("p", instance_id=2)
         self.assertEqual(self.c.count("r", 0 * S), 0)
         self.hear(1, 3, life=2, seq=1)
-        self.c.drop("p", life=2)
+        self.c.drop_node("p", instance_id=2)
         self.assertEqual(self.c.count("r", S), 3)
 
     def test_late_counts_stand_until_they_are_stale(self):
@@ -106,22 +106,22 @@
         self.assertEqual(self.c.count("r", 0 * S), 3)
 
     def test_the_hook_hears_of_each_call(self):
-        self.c.take("r", [Bucket(S, 0)], 0 * S)
-        s = self.c.take("r", SOURCE, S)
+        self.c.acquire("r", [Bucket(S, 0)], 0 * S)
+        s = self.c.acquire("r", SOURCE, S)
         s.timed_out = True
-        s.free(3 * S)
+        s.release(3 * S)
         self.assertEqual(
             [(c.count, c.duration / S, c.throttled, c.timed_out) for c in self.calls],
             [(0, 0, True, False), (1, 2, False, True)],
         )
 
     def test_tokens_wait_until_they_are_read(self):
-        s = self.c.take("r", SOURCE, 0 * S, 500)
+        s = self.c.acquire("r", SOURCE, 0 * S, 500)
         self.hear(0, 1)
-        self.assertEqual(self.c.tokens("r", 0 * S), 600)
-        s.read(500)
-        s.free(S)
-        self.assertEqual(self.c.tokens("r", S), 100)
+        self.assertEqual(self.c.prefill_tokens("r", 0 * S), 600)
+        s.on_prefilled(500)
+        s.release(S)
+        self.assertEqual(self.c.prefill_tokens("r", S), 100)
 
     def test_callers_are_remembered_for_a_minute(self):
         self.hear(0, 1)
--- a/tests/event_stream/test_events.py
+++ b/tests/event_stream/test_events.py
@@ -28,14 +28,14 @@
 
     def test_a_resumed_stream_has_no_gap_and_no_double(self):
         t = ResumableStream()
-        first = [e for e in stream(1, 6) if t.take(e)]
-        again = [e for e in stream(4, 11) if t.take(e)]
+        first = [e for e in stream(1, 6) if t.accept(e)]
+        again = [e for e in stream(4, 11) if t.accept(e)]
         self.assertEqual(first + again, stream(1, 11))
-        self.assertFalse(t.broken)
+        self.assertFalse(t.has_gap)
 
     def test_a_missing_event_breaks_the_thread(self):
         t = ResumableStream()
-        [t.take(e) for e in stream(1, 4)]
-        t.take(stream(6, 7)[0])
-        self.assertTrue(t.broken)
-        self.assertEqual(t.last, "3")
+        [t.accept(e) for e in stream(1, 4)]
+        t.accept(stream(6, 7)[0])
+        self.assertTrue(t.has_gap)
+        self.assertEqual(t.last_event_id, "3")
--- a/tests/load_balancing/test_rank.py
+++ b/tests/load_balancing/test_rank.py
@@ -17,15 +17,17 @@
 
 class Order(unittest.TestCase):
     def test_a_prefix_waits_where_it_is_kept(self):
-        self.assertEqual(order(Candidate("a", 3000, waiting=40_000), Candidate("b", 16_000), shared=13_000), ["a", "b"])
         self.assertEqual(
-            order(Candidate("a", 3000, waiting=100_000), Candidate("b", 16_000), shared=13_000), ["b", "a"]
+            order(Candidate("a", 3000, queued_tokens=40_000), Candidate("b", 16_000), shared=13_000), ["a", "b"]
+        )
+        self.assertEqual(
+            order(Candidate("a", 3000, queued_tokens=100_000), Candidate("b", 16_000), shared=13_000), ["b", "a"]
         )
 
     def test_an_unknown_prefix_goes_home(self):
         self.assertEqual(
             order(
-                Candidate("a", 9000, affinity_weight=1, near=True, warm=True),
+                Candidate("a", 9000, affinity_weight=1, same_zone=True, warm=True),
                 Candidate("b", 9000, affinity_weight=2),
                 shared=8000,
             ),
@@ -34,17 +36,17 @@
 
     def test_near_and_warm_runners_win_among_equals_only(self):
         self.assertEqual(
-            order(Candidate("a", 300), Candidate("b", 300, warm=True), Candidate("c", 300, near=True, warm=True)),
+            order(Candidate("a", 300), Candidate("b", 300, warm=True), Candidate("c", 300, same_zone=True, warm=True)),
             ["c", "b", "a"],
         )
         self.assertEqual(
-            order(Candidate("a", 300), Candidate("b", 300, waiting=2000, near=True, warm=True)), ["a", "b"]
+            order(Candidate("a", 300), Candidate("b", 300, queued_tokens=2000, same_zone=True, warm=True)), ["a", "b"]
         )
 
     def test_full_cold_and_doubted_runners_come_last(self):
         self.assertEqual(
             order(
-                Candidate("a", 0, doubt=1),
+                Candidate("a", 0, suspicion=1),
                 Candidate("b", 0, calls=4, slots=4),
                 Candidate("c", 0, cold=True),
                 Candidate("d", 9000),
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -15,7 +15,7 @@
             Peer("a:1", ROUTER, "z", "", life, 0, ALIVE), (), SwimTiming.of(timedelta(seconds=3)), random.Random(1)
         )
         swim.receive(timedelta(0), "b:1", Ping(0, self.other, 0, []))
-        return swim, next(s.rec for s in swim.tick(timedelta(0)) if s.to == "b:1")
+        return swim, next(s.record for s in swim.tick(timedelta(0)) if s.to == "b:1")
 
     def test_an_answer_to_an_earlier_lifes_probe_is_no_sign_of_life(self):
         self.other = Peer("b:1", ROUTER, "z", "", 7, 0, ALIVE)
@@ -47,14 +47,14 @@
         for seed in range(5):
             net = Net("abcdef", seed)
             net.run(4000)
-            old = net.nodes["e"].me.life
+            old = net.nodes["e"].me.instance_id
             net.off.add("e")
             net.run(400)
             net.boot("e")
             net.run(4000)
             for n in "abcdf":
                 p = net.nodes[n].table["e:1"].peer
-                self.assertEqual((p.state == DEAD, p.life != old), (False, True))
+                self.assertEqual((p.state == DEAD, p.instance_id != old), (False, True))
 
     def test_one_bad_link_does_not_remove_anybody(self):
         for seed in range(5):
@@ -91,7 +91,7 @@
             net.off.add("e")
             net.run(2500)
             net.off.discard("e")
-            net.tick("e", net.nodes["e"].me.life)
+            net.tick("e", net.nodes["e"].me.instance_id)
             for _ in range(60):
                 net.run(50)
                 self.assertEqual(net.sees("e"), set("abcdfgh"), seed)
@@ -100,18 +100,20 @@
     def test_ended_lives_are_told_once(self):
         net = Net("abcdef", 3, loss=0)
         net.run(4000)
-        net.nodes["a"].take_ended()
-        old = net.nodes["e"].me.life
+        net.nodes["a"].take_departed()
+        old = net.nodes["e"].me.instance_id
         net.off.add("e")
         net.run(100)
         net.boot("e")
         net.run(4000)
-        self.assertEqual(net.nodes["a"].take_ended(), [("e:1", net.nodes["e"].me.life)])
-        self.assertEqual([net.nodes["a"].holds("e:1", x) for x in (old, net.nodes["e"].me.life)], [False, True])
+        self.assertEqual(net.nodes["a"].take_departed(), [("e:1", net.nodes["e"].me.instance_id)])
+        self.assertEqual(
+            [net.nodes["a"].is_current("e:1", x) for x in (old, net.nodes["e"].me.instance_id)], [False, True]
+        )
         net.off.add("e")
         net.run(6000)
-        self.assertEqual(net.nodes["a"].take_ended(), [("e:1", None)])
-        self.assertFalse(net.nodes["a"].holds("e:1", net.nodes["e"].me.life))
+        self.assertEqual(net.nodes["a"].take_departed(), [("e:1", None)])
+        self.assertFalse(net.nodes["a"].is_current("e:1", net.nodes["e"].me.instance_id))
 
     def test_a_hundred_find_one_another_and_notice_a_death(self):
         names = [chr(0x100 + i) for i in range(97)]
--- a/tests/prefix_cache/test_memory.py
+++ b/tests/prefix_cache/test_memory.py
@@ -44,7 +44,7 @@
         self.assertFalse(know.known.is_set())
         p.hear(B, PrefixPlacements([]))
         self.assertTrue(know.known.is_set())
-        self.assertEqual(know.fleet.posts["i7"].kept.unread(((1, 2000),)), 0)
+        self.assertEqual(know.fleet.posts["i7"].kept.prefill_tokens(((1, 2000),)), 0)
 
     async def test_one_that_is_silent_is_asked_again_and_waited_for_a_moment_only(self):
         p, know, out = router()
@@ -59,7 +59,7 @@
     async def test_what_is_told_counts_as_older_and_never_fills_more_than_the_room(self):
         p, know, _ = router()
         kept = know.fleet.posts["i7"].kept
-        kept.saw(((1, 4000),))
+        kept.add(((1, 4000),))
         p.hear(
             A,
             PrefixPlacements(
@@ -71,7 +71,7 @@
                 ]
             ),
         )
-        self.assertEqual((list(kept.parts), kept.used), ([2, 1], 7000))
+        self.assertEqual((list(kept.prefixes), kept.used), ([2, 1], 7000))
 
     async def test_the_batch_goes_to_one_controller_once_a_second(self):
         p, know, out = router()
@@ -100,7 +100,7 @@
             two = PrefixSnapshots(d, lambda to, rec: sent.append(rec), 1.0)
             two.load()
             two.arrive("r", PlacementQuery("r"))
-            self.assertEqual([r.part for a in sent for r in a.reads], list(range(99, -1, -1)))
+            self.assertEqual([r.prefix for a in sent for r in a.placements], list(range(99, -1, -1)))
             path = os.path.join(d, FILE)
             with open(path, "rb") as f:
                 raw = f.read()
--- a/tests/retry/test_retry.py
+++ b/tests/retry/test_retry.py
@@ -24,9 +24,11 @@
 
     def test_only_a_400_for_a_request_without_an_id_may_lack_it(self):
         for status in (400, 421, 429, 500, 503):
-            verdict, good = judge_head(ResponseHead(status, True, False, False, True, nameless=True))
+            verdict, good = judge_head(ResponseHead(status, True, False, False, True, without_attempt_id=True))
             self.assertEqual((verdict is NOT_RUN, good), (status == 400, False))
-        self.assertIs(judge_head(ResponseHead(400, False, False, False, True, nameless=True))[0], MAY_HAVE_RUN)
+        self.assertIs(
+            judge_head(ResponseHead(400, False, False, False, True, without_attempt_id=True))[0], MAY_HAVE_RUN
+        )
 
     def test_a_success_without_seal_or_with_anothers_id_is_not_passed_on(self):
         for sealed, fits, framed in product((True, False), repeat=3):
@@ -58,7 +60,7 @@
 
     def test_an_unsafe_ask_that_may_have_run_is_never_sent_again_nor_promised(self):
         for p in self.every():
-            if not p.repeatable and p.verdict is not NOT_RUN:
+            if not p.idempotent and p.verdict is not NOT_RUN:
                 step = next_step(p)
                 self.assertNotIsInstance(step, Retry)
                 self.assertNotIn(step.status, (408, 421, 429, 503))
@@ -66,12 +68,12 @@
     def test_caps_hold(self):
         for p in self.every():
             if isinstance(next_step(p), Retry):
-                self.assertTrue(p.attempts < p.max_attempts and p.within_budget and p.left > 0 * S)
+                self.assertTrue(p.attempts < p.max_attempts and p.within_budget and p.time_left > 0 * S)
 
     def test_what_has_begun_is_cut_not_ended(self):
         for p in self.every():
             step = next_step(p)
-            if p.began and isinstance(step, GiveUp):
+            if p.response_started and isinstance(step, GiveUp):
                 self.assertTrue(step.cut)
 
 
@@ -89,10 +91,10 @@
             i = rng.choice(list(routers))
             if rng.random() < 0.004:
                 routers[i] = RetryBudget(win, ratio, slack, now)
-            routers[i].asked(now)
+            routers[i].on_request(now)
             asks.append(now)
             for _ in range(rng.randrange(0, 3)):
-                if routers[i].allowed(now, len(routers)):
+                if routers[i].allows(now, len(routers)):
                     routers[i].spend(now)
                     spends.append(now)
         over = []
@@ -113,11 +115,11 @@
             spent, born = 0, 0 * S
             for end in ends:
                 for b in [RetryBudget(10 * S, 0.2, 56, born) for _ in range(8)]:
-                    while b.allowed(end * S, 8):
+                    while b.allows(end * S, 8):
                         b.spend(end * S)
                         spent += 1
                 born = end * S
             self.assertLessEqual(spent, 56, ends)
 
     def test_a_new_life_starts_without_slack(self):
-        self.assertFalse(RetryBudget(10 * S, 0.2, 52, 5 * S).allowed(5 * S, 1))
+        self.assertFalse(RetryBudget(10 * S, 0.2, 52, 5 * S).allows(5 * S, 1))
--- a/tests/router/test_answers.py
+++ b/tests/router/test_answers.py
@@ -118,7 +118,7 @@
     async def test_a_refusal_with_no_room_anywhere_else_is_503(self):
         for word, path, status in (("shed", "/once/x", 503), ("reset", "/safe/x", 502)):
             self.script(word)
-            with mock.patch.object(InFlightCounts, "take", self.once(InFlightCounts.take)):
+            with mock.patch.object(InFlightCounts, "acquire", self.once(InFlightCounts.acquire)):
                 a = await self.rig.send(path)
             self.assertEqual((a.status, "retry-after" in a.heads), (status, status == 503))
             for p in self.rig.know.fleet.posts.values():
--- a/tests/router/test_in_flight_gossip.py
+++ b/tests/router/test_in_flight_gossip.py
@@ -82,14 +82,14 @@
         for n, tiered in ((4, False), (36, True)):
             ks = self.routers(n)
             self.assertEqual({k.tier.stands for k in ks}, {tiered})
-            slots = [k.counts.take("i-1", OPEN, self.fleet.now, 64) for k in ks]
+            slots = [k.counts.acquire("i-1", OPEN, self.fleet.now, 64) for k in ks]
             self.fleet.beat(12)
             self.assertEqual(
-                {(k.counts.count("i-1", self.fleet.now), k.counts.tokens("i-1", self.fleet.now)) for k in ks},
+                {(k.counts.count("i-1", self.fleet.now), k.counts.prefill_tokens("i-1", self.fleet.now)) for k in ks},
                 {(n, 64 * n)},
             )
             for s in slots[1:]:
-                s.free(self.fleet.now)
+                s.release(self.fleet.now)
             self.fleet.beat(12)
             self.assertEqual({k.counts.count("i-1", self.fleet.now) for k in ks}, {1})
             self.assertEqual(sum(k.counts.count("i-2", self.fleet.now) for k in ks), 0)
@@ -102,7 +102,7 @@
                 k.tell.sent(k.fleet.posts["i-3"], (part, (1, 10)))
                 self.fleet.beat(2)
                 self.assertEqual(
-                    [o.key for o in ks if o is not k and part[0] not in o.fleet.posts["i-3"].kept.parts], []
+                    [o.key for o in ks if o is not k and part[0] not in o.fleet.posts["i-3"].kept.prefixes], []
                 )
 
     def test_the_divisor_comes_through(self):
@@ -116,7 +116,7 @@
         self.fleet = Routers(30, known=False)
         ks, rng = self.fleet.all, random.Random(1)
         for k in ks:
-            k.counts.take("i-1", OPEN, self.fleet.now)
+            k.counts.acquire("i-1", OPEN, self.fleet.now)
         pairs = [(k, o) for k in ks for o in ks if o is not k]
         rng.shuffle(pairs)
         while pairs:
@@ -130,7 +130,7 @@
 
     def test_a_fleet_that_shrinks_goes_back_to_direct_words(self):
         ks = self.routers(30)
-        slots = [k.counts.take("i-1", OPEN, self.fleet.now) for k in ks]
+        slots = [k.counts.acquire("i-1", OPEN, self.fleet.now) for k in ks]
         self.fleet.beat(12)
         for k in ks[6:]:
             for o in ks[:6]:
@@ -150,6 +150,6 @@
         before = sum(k.net.sent for k in ks)
         for t in range(20):
             for k in ks:
-                k.counts.take(f"i-{t % 4}", OPEN, self.fleet.now)
+                k.counts.acquire(f"i-{t % 4}", OPEN, self.fleet.now)
             self.fleet.beat(1)
         self.assertLess(sum(k.net.sent for k in ks) - before, 72 * 71 * 5 / 4)
--- a/tests/support/load_balancing_fleet.py
+++ b/tests/support/load_balancing_fleet.py
@@ -152,25 +152,25 @@
         stands = [
             Candidate(
                 j,
-                min(self.mine[i][j].unread(r.parts), self.heard[j].unread(r.parts)),
+                min(self.mine[i][j].prefill_tokens(r.parts), self.heard[j].prefill_tokens(r.parts)),
                 self.sum_tokens[j] - self.told_tokens[i][j] + self.tokens[i][j],
                 self.sum[j] - self.told[i][j] + self.own[i][j],
                 SLOTS,
-                near=u.zone == i % self.zones,
+                same_zone=u.zone == i % self.zones,
                 warm=self._warm(i, j),
                 affinity_weight=rendezvous_weight(r.key, u.number),
             )
             for j, u in enumerate(self.runners)
         ]
         best = choose(stands, sum(n for _, n in r.parts[:-1]), self.weights)[0]
-        r.runner, r.unread = best.id, best.unread
+        r.runner, r.unread = best.id, best.prefill_tokens
         j = r.runner
         r.urgency += self.yields and is_heavy_prefill(r.unread, ROOM, SLOTS)
         self.own[i][j] += 1
         self.tokens[i][j] += r.unread
-        self.mine[i][j].saw(r.parts)
+        self.mine[i][j].add(r.parts)
         if r.long:
-            self._at(self.now + self.late, self.heard[j].saw, r.parts[:1])
+            self._at(self.now + self.late, self.heard[j].add, r.parts[:1])
         if self._warm(i, j):
             self.idle[i, j] = sorted(self.idle[i, j])[:-1]
         else:
