--- a/sparloom/controller/control_api.py
+++ b/sparloom/controller/control_api.py
@@ -333,8 +333,8 @@
                 "node": self.settings.node,
                 "role": "controller",
                 "key": self.core.key,
-                "policy": list(self.shop.shelf.stamp(CONFIGURATION)),
-                "runners": list(self.shop.shelf.stamp(ENDPOINTS)),
+                "policy": list(self.shop.store.version(CONFIGURATION)),
+                "runners": list(self.shop.store.version(ENDPOINTS)),
                 "revision": policy["revision"] if policy else 0,
                 "fleet": {r.id: "draining" if r.draining else "ready" for r in listed.runners} if listed else {},
                 "members": {
--- a/sparloom/feed/payload.py
+++ b/sparloom/feed/payload.py
@@ -6,9 +6,7 @@
 from sparloom import configuration as policy
 from sparloom import discovery as platform
 from sparloom.codec import DecodeError, pack, unpack
-from sparloom.feed import CONFIGURATION
-
-ZERO = (0, 0)
+from sparloom.feed import CONFIGURATION, NO_VERSION
 
 
 class PayloadError(ValueError):
@@ -54,8 +52,8 @@
     >>> apply_change(Change(CONFIGURATION, 1, 2, 1, 1, encode_state(CONFIGURATION, {"revision": 2})), {"revision": 1, "routes": [], "services": []})["revision"]
     2
     """
-    got = decode_payload(c.topic, c.blob)
-    if c.base == ZERO:
+    got = decode_payload(c.topic, c.payload)
+    if c.base == NO_VERSION:
         if not isinstance(got, dict if c.topic == CONFIGURATION else platform.EndpointList):
             raise PayloadError("no whole state")
         return got
--- a/sparloom/feed/records.py
+++ b/sparloom/feed/records.py
@@ -6,6 +6,7 @@
 
 CONFIGURATION, ENDPOINTS = TOPICS = (0, 1)
 UNCONFIRMED = 0xFFFFFFFF
+NO_VERSION = (0, 0)
 
 
 @record(60)
@@ -13,17 +14,17 @@
     """I am at this place; send what is newer."""
 
     node: str
-    policy_epoch: UInt64
-    policy_number: UInt64
-    runners_epoch: UInt64
-    runners_number: UInt64
+    configuration_epoch: UInt64
+    configuration_number: UInt64
+    endpoints_epoch: UInt64
+    endpoints_number: UInt64
 
     @property
-    def place(self):
-        """The follower's stamp of each topic."""
+    def versions(self):
+        """The follower's version of each topic."""
         return {
-            CONFIGURATION: (self.policy_epoch, self.policy_number),
-            ENDPOINTS: (self.runners_epoch, self.runners_number),
+            CONFIGURATION: (self.configuration_epoch, self.configuration_number),
+            ENDPOINTS: (self.endpoints_epoch, self.endpoints_number),
         }
 
 
@@ -36,16 +37,16 @@
     number: UInt64
     base_epoch: UInt64
     base_number: UInt64
-    blob: bytes
+    payload: bytes
 
     @property
-    def stamp(self):
-        """The stamp that the topic has with this change."""
+    def version(self):
+        """The version that the topic has with this change."""
         return (self.epoch, self.number)
 
     @property
     def base(self):
-        """The stamp that the change builds on."""
+        """The version that the change builds on."""
         return (self.base_epoch, self.base_number)
 
 
@@ -53,20 +54,20 @@
 class FeedHeartbeat(Record):
     """The sender's sureness: ms since the primary was last confirmed.
 
-    ``sent``: ms of the sender's steady clock. What a later pulse takes longer
+    ``sent_at_ms``: ms of the sender's steady clock. What a later pulse takes longer
     than the quickest one was held up on its way, and adds to the age.
     """
 
-    policy_epoch: UInt64
-    policy_number: UInt64
-    age: UInt32
-    sent: UInt64
+    configuration_epoch: UInt64
+    configuration_number: UInt64
+    confirmation_age_ms: UInt32
+    sent_at_ms: UInt64
 
     @property
-    def policy(self):
-        """The newest policy's stamp that the sender has or has heard of.
+    def configuration_version(self):
+        """The newest policy's version that the sender has or has heard of.
 
         A follower that holds an older one is not up to date, however lately
         the primary was confirmed.
         """
-        return (self.policy_epoch, self.policy_number)
+        return (self.configuration_epoch, self.configuration_number)
--- a/sparloom/feed/serving.py
+++ b/sparloom/feed/serving.py
@@ -19,20 +19,20 @@
     def __init__(self):
         self.event = asyncio.Event()
 
-    def ring(self):
+    def notify(self):
         """Wakes all that wait now.
 
-        >>> ChangeSignal().ring()
+        >>> ChangeSignal().notify()
         """
         self.event.set()
         self.event = asyncio.Event()
 
 
 async def serve_follower(frames, place, src):
-    """Brings a follower up from its place and keeps it so, until ``src.open()`` ends or it stops reading.
+    """Brings a follower up from its place and keeps it so, until ``src.is_open()`` ends or it stops reading.
 
-    ``src``: ``shelf``, ``bell``, ``period()`` between pulses, ``pulse_age()`` in ms,
-    ``newest_policy()`` and ``patience`` with a write that makes no way. Each follower has its own task
+    ``src``: ``store``, ``change_signal``, ``heartbeat_interval()`` between pulses, ``confirmation_age_ms()``,
+    ``newest_configuration()`` and ``write_timeout`` with a write that makes no way. Each follower has its own task
     and at most one change in hand, so one that does not read holds up nobody.
 
     The first pulse comes ahead of the changes: a follower learns at once
@@ -41,24 +41,24 @@
     """
 
     async def write(rec):
-        await frames.write(rec, src.patience)
+        await frames.write(rec, src.write_timeout)
 
     async def pulse():
-        await write(FeedHeartbeat(*src.newest_policy(), src.pulse_age(), int(monotonic() / MS)))
+        await write(FeedHeartbeat(*src.newest_configuration(), src.confirmation_age_ms(), int(monotonic() / MS)))
 
     await pulse()
-    while src.open():
-        event = src.bell.event
-        todo = src.shelf.lacking(place)
+    while src.is_open():
+        event = src.change_signal.event
+        todo = src.store.changes_after(place)
         for c in todo:
-            place[c.topic] = c.stamp
+            place[c.topic] = c.version
             await write(c)
         if todo:
             await pulse()
         try:
-            async with asyncio.timeout(src.period().total_seconds()):
+            async with asyncio.timeout(src.heartbeat_interval().total_seconds()):
                 await event.wait()
         except TimeoutError:
             pass
-        if src.open() and not src.shelf.lacks(place):
+        if src.is_open() and not src.store.is_behind(place):
             await pulse()
--- a/sparloom/relay/upstream.py
+++ b/sparloom/relay/upstream.py
@@ -114,7 +114,7 @@
     def _bear(self):
         """What silence and age it bears hangs on its duty."""
         sp = self.spans
-        self.tracker.silence, self.tracker.doubt = (
+        self.tracker.timeout, self.tracker.maximum_age = (
             sp.follower if not self.direct else sp.relay if self.tier.relay else sp.single
         )
 
@@ -198,10 +198,10 @@
         >>> u.pulse(ZERO, 20); u.fresh == ZERO
         True
         """
-        self.tracker.pulse(now, age, sent)
+        self.tracker.on_heartbeat(now, age, sent)
         self.alone = None
-        sure = self.tracker.sureness(now)
-        if sure is not None and sure <= self.tracker.doubt:
+        sure = self.tracker.confirmation_age(now)
+        if sure is not None and sure <= self.tracker.maximum_age:
             self.fresh, self.stales = now, 0
             self._patience()
 
@@ -210,7 +210,7 @@
 
         >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)); u.change(ZERO)
         """
-        self.tracker.change(now)
+        self.tracker.on_change(now)
 
     def due(self, now):
         """How long it may wait for the next record before ``leave`` must be asked again.
@@ -219,7 +219,7 @@
         >>> u.due(ZERO)
         datetime.timedelta(seconds=1, microseconds=1000)
         """
-        return self.tracker.due(now, first=self.spans.dial if not self.direct else None)
+        return self.tracker.time_until_move(now, first_heartbeat=self.spans.dial if not self.direct else None)
 
     def leave(self, now):
         """Why to leave the one that is followed, or None.
@@ -229,18 +229,23 @@
         (None, 'silent')
         """
         tr = self.tracker
-        if now - tr.heard > tr.silence or not self.direct and not tr.pulses and now - tr.since > self.spans.dial:
+        if (
+            now - tr.last_message_at > tr.timeout
+            or not self.direct
+            and not tr.heartbeats
+            and now - tr.started_at > self.spans.dial
+        ):
             return SILENT
-        sure = tr.sureness(now)
+        sure = tr.confirmation_age(now)
         if (
             not self.direct
-            and tr.pulses
-            and (sure is None or sure > tr.doubt)
+            and tr.heartbeats
+            and (sure is None or sure > tr.maximum_age)
             and self.stales
             and self.stales <= self.tier.near
         ):
             return STALE
-        if tr.move_on(now):
+        if tr.should_move(now):
             return STALE
         return GENTLE if self._restless(now) else None
 
--- a/sparloom/router/feed_client.py
+++ b/sparloom/router/feed_client.py
@@ -24,11 +24,11 @@
     def __init__(self, know):
         super().__init__()
         self.know = know
-        self.shelf, self.bell = VersionedStore(), ChangeSignal()
+        self.store, self.change_signal = VersionedStore(), ChangeSignal()
         self.upstream = Upstream(know.key, UpstreamTiming.of(know.up.bounds.contact), know.rng)
         self.dialing = DialTimeout(know.up.bounds.contact / 40, self.upstream.spans.dial)
         self.raw, self.afresh = None, set()
-        self.told = news.ZERO
+        self.told = news.NO_VERSION
 
     def _controllers(self):
         """Controllers to follow: near ones first."""
@@ -58,7 +58,7 @@
         up = self.upstream
         frames = await self.dialing.dial(host, int(port))
         try:
-            await frames.write(self.shelf.follow(self.know.up.node, self.afresh))
+            await frames.write(self.store.subscription(self.know.up.node, self.afresh))
             up.tracker.start(monotonic())
             logging.info("feed: follows %s at depth %d.", to, up.depth)
             while True:
@@ -69,10 +69,10 @@
                     logging.info("feed: leaves %s (%s).", to, why)
                     return why
                 if isinstance(rec, FeedHeartbeat):
-                    up.pulse(monotonic(), rec.age, rec.sent)
-                    self.told = max(self.told, rec.policy)
+                    up.pulse(monotonic(), rec.confirmation_age_ms, rec.sent_at_ms)
+                    self.told = max(self.told, rec.configuration_version)
                     self._sure(rec)
-                    self.bell.ring()
+                    self.change_signal.notify()
                 elif isinstance(rec, Change):
                     if not self._take(rec):
                         return GONE
@@ -93,16 +93,16 @@
                 raise
             return None
 
-    def newest_policy(self):
+    def newest_configuration(self):
         """The stamp of the newest policy that this router has or has heard of."""
-        return max(self.told, self.shelf.stamp(CONFIGURATION))
+        return max(self.told, self.store.version(CONFIGURATION))
 
     def _sure(self, rec):
         """A pulse makes this router sure only when it holds the policy that the pulse speaks of."""
         k = self.know
         known = k.listed is not None and k.policy is not None
-        up_to_date = self.shelf.stamp(CONFIGURATION) >= self.newest_policy()
-        k.sure = k.sure or known and up_to_date and rec.age < self.upstream.tracker.doubt / MS
+        up_to_date = self.store.version(CONFIGURATION) >= self.newest_configuration()
+        k.sure = k.sure or known and up_to_date and rec.confirmation_age_ms < self.upstream.tracker.maximum_age / MS
 
     def _state(self, topic):
         return self.raw if topic == CONFIGURATION else self.know.listed
@@ -113,9 +113,9 @@
         if c.topic not in TOPICS:
             raise DecodeError("a change of no known topic")
         self.upstream.change(monotonic())
-        if c.stamp <= self.shelf.stamp(c.topic):
+        if c.version <= self.store.version(c.topic):
             return True
-        if c.base != news.ZERO and c.base != self.shelf.stamp(c.topic):
+        if c.base != news.NO_VERSION and c.base != self.store.version(c.topic):
             return False
         try:
             new = news.apply_change(c, self._state(c.topic))
@@ -130,10 +130,10 @@
             k.listed = new
             k.count()
         k.renew()
-        if c.base == news.ZERO:
+        if c.base == news.NO_VERSION:
             self.afresh.discard(c.topic)
-            self.shelf.put(c.topic, c.stamp, c.blob)
+            self.store.put(c.topic, c.version, c.payload)
         else:
-            self.shelf.put(c.topic, c.stamp, lambda: news.encode_state(c.topic, new), c.blob)
-        self.bell.ring()
+            self.store.put(c.topic, c.version, lambda: news.encode_state(c.topic, new), c.payload)
+        self.change_signal.notify()
         return True
--- a/sparloom/router/relay_server.py
+++ b/sparloom/router/relay_server.py
@@ -22,18 +22,18 @@
         super().__init__()
         self.know, self.follow = know, follow
         con = know.up.bounds.contact
-        self.pulse, self.patience = con / 10, con / 3
+        self.pulse, self.write_timeout = con / 10, con / 3
         self.server, self.followers = None, {}
 
     @property
-    def shelf(self):
+    def store(self):
         """What is served: what this router itself has."""
-        return self.follow.shelf
+        return self.follow.store
 
     @property
-    def bell(self):
+    def change_signal(self):
         """Rings at news and at each pulse from above."""
-        return self.follow.bell
+        return self.follow.change_signal
 
     async def on_start(self):
         up = self.know.up
@@ -48,31 +48,31 @@
         for frames in list(self.followers):
             frames.close()
 
-    def open(self):
+    def is_open(self):
         """Whether followers are served."""
         return self.follow.upstream.serves() and not self.should_stop
 
-    def period(self):
+    def heartbeat_interval(self):
         """How long a follower waits for a pulse when none comes from above."""
         return self.pulse * 1.5
 
-    def newest_policy(self):
+    def newest_configuration(self):
         """The stamp of the newest policy that this router has or has heard of."""
-        return self.follow.newest_policy()
+        return self.follow.newest_configuration()
 
-    def pulse_age(self):
+    def confirmation_age_ms(self):
         """ms since the primary was confirmed, as known here; it grows while this router is cut off."""
-        age = self.follow.upstream.tracker.known(monotonic())
+        age = self.follow.upstream.tracker.last_confirmed_age(monotonic())
         return UNCONFIRMED if age is None else min(UNCONFIRMED - 1, int(age / MS))
 
     async def _pipe(self, reader, writer):
         frames = Frames(reader, writer)
         try:
-            async with asyncio.timeout(self.patience.total_seconds()):
+            async with asyncio.timeout(self.write_timeout.total_seconds()):
                 first = await frames.read()
-            if isinstance(first, Subscribe) and self.open() and len(self.followers) < self.follow.upstream.room():
+            if isinstance(first, Subscribe) and self.is_open() and len(self.followers) < self.follow.upstream.room():
                 self.followers[frames] = first.node
-                await serve_follower(frames, first.place, self)
+                await serve_follower(frames, first.versions, self)
         except (OSError, EOFError, DecodeError, TimeoutError, asyncio.CancelledError):
             pass
         finally:
@@ -82,7 +82,7 @@
     def told(self):
         """This router's place in the tier, for its beliefs."""
         up, now = self.follow.upstream, monotonic()
-        age = up.tracker.known(now)
+        age = up.tracker.last_confirmed_age(now)
         return {
             "follows": up.parent,
             "depth": up.depth,
--- a/sparloom/router/router_state.py
+++ b/sparloom/router/router_state.py
@@ -48,7 +48,7 @@
     @property
     def shelf(self):
         """The stamps of what this router has."""
-        return self.follow.shelf
+        return self.follow.store
 
     @property
     def seeds(self):
--- a/tests/controller/test_program.py
+++ b/tests/controller/test_program.py
@@ -138,7 +138,7 @@
             await self.until(lambda: not rt.know.fleet.of("s"))
             async with self.http.get(self.url.replace("configuration", "beliefs")) as r:
                 mine = await r.json()
-            await self.until(lambda: list(rt.know.shelf.stamp(1)) == mine["runners"])
+            await self.until(lambda: list(rt.know.shelf.version(1)) == mine["runners"])
             self.assertEqual([d for d in compare(mine, rt.front.beliefs()) if d.topic != "members"], [])
             await self.call("PUT", {**POLICY, "revision": 7, "routes": []}, 1)
             await self.until(lambda: rt.know.policy.revision == 7)
--- a/tests/feed/test_store.py
+++ b/tests/feed/test_store.py
@@ -19,14 +19,14 @@
                 text += chr(97 + n % 26)
                 src.put(CONFIGURATION, (epoch, n), text.encode(), text[-1].encode() if rng.random() < 0.8 else None)
                 if rng.random() < 0.4:
-                    for c in src.lacking({CONFIGURATION: dst.get("at", (0, 0))}):
+                    for c in src.changes_after({CONFIGURATION: dst.get("at", (0, 0))}):
                         if c.base == (0, 0):
-                            dst["text"] = c.blob.decode()
+                            dst["text"] = c.payload.decode()
                         else:
                             self.assertEqual(c.base, dst["at"])
-                            dst["text"] += c.blob.decode()
-                        self.assertGreater(c.stamp, dst.get("at", (0, 0)))
-                        dst["at"] = c.stamp
+                            dst["text"] += c.payload.decode()
+                        self.assertGreater(c.version, dst.get("at", (0, 0)))
+                        dst["at"] = c.version
                     self.assertEqual(dst["text"], text)
 
     def test_it_never_goes_back_a_stamp(self):
@@ -34,13 +34,13 @@
         self.assertTrue(s.put(CONFIGURATION, (2, 5), b"new"))
         for old in ((1, 9), (2, 5), (2, 4)):
             self.assertFalse(s.put(CONFIGURATION, old, b"old"))
-        self.assertEqual(s.items[CONFIGURATION].blob, b"new")
+        self.assertEqual(s.items[CONFIGURATION].payload, b"new")
 
     def test_topics_are_apart(self):
         s = VersionedStore()
         s.put(CONFIGURATION, (1, 1), b"p")
         s.put(ENDPOINTS, (3, 7), b"r")
-        self.assertEqual([c.topic for c in s.lacking({CONFIGURATION: (1, 1)})], [ENDPOINTS])
+        self.assertEqual([c.topic for c in s.changes_after({CONFIGURATION: (1, 1)})], [ENDPOINTS])
 
 
 class MovingOn(unittest.TestCase):
@@ -52,10 +52,10 @@
             at, what, moves = line.split()
             now = float(at) * S
             if what.startswith("pulse"):
-                t.pulse(now, UNCONFIRMED if what == "pulse?" else int(what[5:]))
+                t.on_heartbeat(now, UNCONFIRMED if what == "pulse?" else int(what[5:]))
             elif what == "change":
-                t.change(now)
-            self.assertEqual(t.move_on(now), moves == "moves", line)
+                t.on_change(now)
+            self.assertEqual(t.should_move(now), moves == "moves", line)
 
     def test_silence(self):
         self.follow("""
--- a/tests/relay/test_relay_loopback.py
+++ b/tests/relay/test_relay_loopback.py
@@ -105,15 +105,15 @@
         self.assertTrue({CONFIGURATION, ENDPOINTS} <= {c.topic for c in got})
         for c in got:
             self.assertNotEqual(c.base, (0, 0))
-            self.assertLess(len(c.blob), 400)
+            self.assertLess(len(c.payload), 400)
         late = await self.router(3)
         self.tier(relay, late)
         await self.until(lambda: "front-3" in relay.serve.told()["followers"] and late.ready())
         self.assertEqual(late.policy.revision, 2)
         self.assertEqual(
-            decode_payload(CONFIGURATION, relay.shelf.items[CONFIGURATION].blob), self.ctl.shop.held(CONFIGURATION)
+            decode_payload(CONFIGURATION, relay.shelf.items[CONFIGURATION].payload), self.ctl.shop.held(CONFIGURATION)
         )
-        self.assertEqual(decode_payload(ENDPOINTS, relay.shelf.items[ENDPOINTS].blob), self.ctl.shop.held(ENDPOINTS))
+        self.assertEqual(decode_payload(ENDPOINTS, relay.shelf.items[ENDPOINTS].payload), self.ctl.shop.held(ENDPOINTS))
         self.assertEqual(encode_state(ENDPOINTS, late.listed), encode_state(ENDPOINTS, self.ctl.shop.held(ENDPOINTS)))
         b.follow.raw = None
         await self.put({**ROUTES, "revision": 3})
@@ -130,7 +130,7 @@
         self.tier(relay, a)
         await self.until(lambda: relay.serve.told()["followers"] == ["front-1"])
         relay.serve.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        relay.serve.patience = BOUND / 10
+        relay.serve.write_timeout = BOUND / 10
         _, deaf = await self.narrow(relay, "deaf")
         reader, slow = await self.narrow(relay, "slow")
         got = bytearray()
--- a/tests/relay/test_upstream.py
+++ b/tests/relay/test_upstream.py
@@ -67,16 +67,16 @@
         s.put(CONFIGURATION, (1, 1), b"w" * 100)
         for n in range(2, 30):
             s.put(CONFIGURATION, (1, n), b"w" * 100, b"s" * 30)
-            self.assertLessEqual(sum(len(c.blob) for c in s.lacking({CONFIGURATION: (1, max(1, n - 3))})), 100)
-        self.assertEqual([c.base for c in s.lacking({CONFIGURATION: (1, 20)})], [(0, 0)])
+            self.assertLessEqual(sum(len(c.payload) for c in s.changes_after({CONFIGURATION: (1, max(1, n - 3))})), 100)
+        self.assertEqual([c.base for c in s.changes_after({CONFIGURATION: (1, 20)})], [(0, 0)])
 
     def test_a_whole_state_is_made_only_when_asked_for(self):
         s, made = VersionedStore(), []
         s.put(CONFIGURATION, (1, 1), b"w" * 100)
         s.put(CONFIGURATION, (1, 2), lambda: made.append(1) or b"x" * 100, b"s")
-        self.assertEqual([c.blob for c in s.lacking({CONFIGURATION: (1, 1)})], [b"s"])
+        self.assertEqual([c.payload for c in s.changes_after({CONFIGURATION: (1, 1)})], [b"s"])
         self.assertEqual(made, [])
-        self.assertEqual([c.blob for c in s.lacking({}) + s.lacking({})], [b"x" * 100] * 2)
+        self.assertEqual([c.payload for c in s.changes_after({}) + s.changes_after({})], [b"x" * 100] * 2)
         self.assertEqual(made, [1])
 
 
@@ -85,17 +85,17 @@
         t = SourceTracker(THIRD, THIRD)
         t.start(0 * MS)
         for now, sent, age in ((400, 5000, 10), (800, 5400, 10), (1900, 5800, 710), (2900, 6200, 1310)):
-            t.pulse(now * MS, 10, sent)
-            self.assertEqual(t.age, age * MS)
-        self.assertFalse(t.move_on(2900 * MS))
-        self.assertTrue(t.move_on(2950 * MS))
+            t.on_heartbeat(now * MS, 10, sent)
+            self.assertEqual(t.reported_age, age * MS)
+        self.assertFalse(t.should_move(2900 * MS))
+        self.assertTrue(t.should_move(2950 * MS))
 
     def test_what_was_known_is_passed_on_between_two_controllers(self):
         t = SourceTracker(THIRD, THIRD)
         t.start(0 * MS)
-        t.pulse(100 * MS, 40)
+        t.on_heartbeat(100 * MS, 40)
         t.start(500 * MS)
-        self.assertEqual((t.sureness(600 * MS), t.known(600 * MS)), (None, 540 * MS))
+        self.assertEqual((t.confirmation_age(600 * MS), t.last_confirmed_age(600 * MS)), (None, 540 * MS))
 
 
 class Choosing(unittest.TestCase):
--- a/tests/router/test_feed_client.py
+++ b/tests/router/test_feed_client.py
@@ -82,7 +82,7 @@
     async def send(self, frames, *records):
         """Sends records and waits until the last one has been taken in."""
         for r in records:
-            bell = self.follow.bell.event
+            bell = self.follow.change_signal.event
             await frames.write(r)
             await bell.wait()
 
@@ -101,17 +101,17 @@
         with self.assertRaises((EOFError, OSError)):
             await task
         _, frames, greeting = await self.start()
-        self.assertEqual(greeting.place, {CONFIGURATION: (1, 5), ENDPOINTS: (1, 1)})
+        self.assertEqual(greeting.versions, {CONFIGURATION: (1, 5), ENDPOINTS: (1, 1)})
         await self.send(frames, self.pulse(0, 0))
         self.assertFalse(self.know.sure)
-        self.assertEqual(self.follow.newest_policy(), (2, 1))
+        self.assertEqual(self.follow.newest_configuration(), (2, 1))
 
     async def test_a_deposed_primarys_changes_are_not_taken(self):
         _, frames, _ = await self.start()
         await self.send(frames, policy(3, 7))
         await frames.write(policy(2, 9))
         await self.send(frames, self.pulse(2, 9))
-        self.assertEqual((self.know.policy.revision, self.follow.shelf.stamp(CONFIGURATION)), (7, (3, 7)))
+        self.assertEqual((self.know.policy.revision, self.follow.store.version(CONFIGURATION)), (7, (3, 7)))
 
 
 class Controller(ForeignRecords, Case):
@@ -130,13 +130,13 @@
 
     async def test_one_that_started_again_passes_on_which_policy_its_followers_must_hold(self):
         _, frames, _ = await self.start()
-        bell = self.shop.bell.event
+        bell = self.shop.change_signal.event
         await frames.write(self.pulse(4, 7))
         await bell.wait()
-        self.assertEqual((self.shop.newest_policy(), self.shop.shelf.stamp(CONFIGURATION)), ((4, 7), (0, 0)))
+        self.assertEqual((self.shop.newest_configuration(), self.shop.store.version(CONFIGURATION)), ((4, 7), (0, 0)))
 
     async def test_a_change_that_can_not_be_read_is_not_taken_nor_passed_on(self):
         task, frames, _ = await self.start()
         await frames.write(Change(CONFIGURATION, 1, 1, 0, 0, b"torn"))
         await task
-        self.assertEqual((self.shop.shelf.stamp(CONFIGURATION), self.shop.afresh), ((0, 0), {CONFIGURATION}))
+        self.assertEqual((self.shop.store.version(CONFIGURATION), self.shop.afresh), ((0, 0), {CONFIGURATION}))
--- a/tests/support/relay_network.py
+++ b/tests/support/relay_network.py
@@ -38,7 +38,7 @@
 
     def boot(self, net):
         self.on, self.dark, self.frozen, self.life = True, False, False, self.life + 1
-        self.shelf, self.text, self.served, self.pipe, self.confirmed = VersionedStore(), "", {}, None, None
+        self.store, self.text, self.served, self.pipe, self.confirmed = VersionedStore(), "", {}, None, None
         self.tier, self.seen, self.sees, self.late = RelayTier(), None, set(), {}
         self.up = Upstream(self.name, UpstreamTiming.of(CONTACT), random.Random(net.rng.random()))
         return self
@@ -54,7 +54,7 @@
         known = (
             (None if self.confirmed is None else now - self.confirmed)
             if self.controller
-            else self.up.tracker.known(now)
+            else self.up.tracker.last_confirmed_age(now)
         )
         return UNCONFIRMED if known is None else int(known / MS)
 
@@ -122,7 +122,7 @@
             self.led = self.now
             for o in near:
                 o.confirmed = self.now
-                if self.version and o.shelf.put(
+                if self.version and o.store.put(
                     CONFIGURATION,
                     (1, self.version),
                     self.written[self.version].encode(),
@@ -202,7 +202,7 @@
             return
         if not s.on or s.life != slife:
             return self._over(n, life, GONE)
-        p = n.pipe = Pipe(n.name, s.name, {CONFIGURATION: n.shelf.stamp(CONFIGURATION)})
+        p = n.pipe = Pipe(n.name, s.name, {CONFIGURATION: n.store.version(CONFIGURATION)})
         n.up.tracker.start(self.now)
         s.served[p] = True
         self.most = max(self.most, self.direct())
@@ -239,8 +239,8 @@
             return
         if not s.open():
             return self._close(p)
-        for c in s.shelf.lacking(p.place):
-            p.place[c.topic] = c.stamp
+        for c in s.store.changes_after(p.place):
+            p.place[c.topic] = c.version
             self._send(p, c)
         self._send(p, FeedHeartbeat(0, 0, s.age(self.now), self._clock(s)))
 
@@ -269,20 +269,20 @@
                 self._close(p, word=False)
                 return self._over(n, n.life, GONE)
         else:
-            n.up.pulse(self.now, rec.age, rec.sent)
+            n.up.pulse(self.now, rec.confirmation_age_ms, rec.sent_at_ms)
         self._ring(n)
         self._check(n, p)
 
     def _take(self, n, c):
         """As the router's service does; never back a stamp, never a step on another base."""
-        have = n.shelf.stamp(CONFIGURATION)
-        if c.stamp <= have:
+        have = n.store.version(CONFIGURATION)
+        if c.version <= have:
             return True
         if c.base != (0, 0) and c.base != have:
             return False
-        n.text = n.text + c.blob.decode() if c.base != (0, 0) else c.blob.decode()
-        assert n.text == self.written[c.stamp[1]], (n.name, n.text, c.stamp)
-        n.shelf.put(CONFIGURATION, c.stamp, n.text.encode(), c.blob if c.base != (0, 0) else None)
+        n.text = n.text + c.payload.decode() if c.base != (0, 0) else c.payload.decode()
+        assert n.text == self.written[c.version[1]], (n.name, n.text, c.version)
+        n.store.put(CONFIGURATION, c.version, n.text.encode(), c.payload if c.base != (0, 0) else None)
         return True
 
     def _check(self, n, p):
@@ -324,7 +324,7 @@
         return [
             r
             for r in self.routers
-            if self.nodes[r].on and r not in but and self.nodes[r].shelf.stamp(CONFIGURATION)[1] < self.version
+            if self.nodes[r].on and r not in but and self.nodes[r].store.version(CONFIGURATION)[1] < self.version
         ]
 
     def relays(self):
