--- a/sparloom/configuration/__init__.py
+++ b/sparloom/configuration/__init__.py
@@ -1,11 +1,11 @@
 """The operator's policy (configuration): checked, changed, looked up."""
 
-from .check import MOST_REVISION, apply_patch, check, parse
+from .check import MAXIMUM_REVISION, apply_patch, check, parse
 from .delta import delta
 from .table import Configuration, RequestLimits, Route, Service, build
 
 __all__ = [
-    "MOST_REVISION",
+    "MAXIMUM_REVISION",
     "Configuration",
     "RequestLimits",
     "Route",
--- a/sparloom/configuration/check.py
+++ b/sparloom/configuration/check.py
@@ -8,7 +8,7 @@
 # Above this a span of ms is no timedelta any more, and a number read as infinite is caught too.
 MOST_NUMBER = 1e12
 # The control state keeps a revision in eight bytes.
-MOST_REVISION = 2**63 - 1
+MAXIMUM_REVISION = 2**63 - 1
 
 _NUM = And(Or(int, float), lambda v: type(v) is not bool and v <= MOST_NUMBER)
 _WHOLE = And(int, lambda v: type(v) is not bool)
@@ -165,8 +165,8 @@
         yield "the policy must be an object"
         return
     rev = d.get("revision")
-    if type(rev) is not int or not 0 < rev <= MOST_REVISION:
-        yield f"revision must be a whole number from 1 to {MOST_REVISION}"
+    if type(rev) is not int or not 0 < rev <= MAXIMUM_REVISION:
+        yield f"revision must be a whole number from 1 to {MAXIMUM_REVISION}"
         return
     for key in ("routes", "services"):
         if not isinstance(d.get(key, []), list):
--- a/sparloom/configuration/table.py
+++ b/sparloom/configuration/table.py
@@ -10,10 +10,10 @@
     """A service and what its runners take."""
 
     name: str
-    pipe_limit: int = 64
+    connection_limit: int = 64
     slots: int = 0
     cache_tokens: int = 0
-    health: str = ""
+    health_path: str = ""
 
 
 @define(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     split: tuple
     timeout: timedelta
     target: timedelta
-    gap: timedelta
+    gap_target: timedelta
     priority: int = 5
     max_attempts: int = 1
     resume: bool = False
@@ -47,10 +47,10 @@
 class RequestLimits:
     """What a requester may send."""
 
-    head: int = 16384
-    body: int = 4194304
-    head_time: timedelta = timedelta(seconds=3)
-    idle: timedelta = timedelta(seconds=15)
+    maximum_header_bytes: int = 16384
+    maximum_body_bytes: int = 4194304
+    header_timeout: timedelta = timedelta(seconds=3)
+    idle_timeout: timedelta = timedelta(seconds=15)
 
 
 @define(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     revision: int
     routes: tuple
     services: dict
-    caps: RequestLimits
+    limits: RequestLimits
     hosts: dict = field(repr=False, factory=dict)
 
     def match(self, host, path):
@@ -128,8 +128,8 @@
         rs,
         {s["name"]: _service(s) for s in d.get("services", [])},
         RequestLimits(
-            lim.get("maxHeaderBytes", std.head),
-            lim.get("maxBodyBytes", std.body),
+            lim.get("maxHeaderBytes", std.maximum_header_bytes),
+            lim.get("maxBodyBytes", std.maximum_body_bytes),
             _ms(lim, "headerTimeoutMs", 3000),
             _ms(lim, "idleTimeoutMs", 15000),
         ),
--- a/sparloom/controller/change_requests.py
+++ b/sparloom/controller/change_requests.py
@@ -6,11 +6,11 @@
 from returns.pipeline import is_successful
 from returns.result import Failure, Result, Success
 
-from sparloom.configuration import MOST_REVISION, apply_patch, check, parse
+from sparloom.configuration import MAXIMUM_REVISION, apply_patch, check, parse
 
 from .control_state import fingerprint
 
-MOST_DIGITS = len(str(MOST_REVISION))
+MOST_DIGITS = len(str(MAXIMUM_REVISION))
 
 
 @define(frozen=True, slots=True)
@@ -84,8 +84,8 @@
     if not isinstance(change, dict):
         return Failure("the body must be an object")
     revision = change.get("revision")
-    if type(revision) is not int or not 0 < revision <= MOST_REVISION:
-        return Failure(f"revision must be a whole number from 1 to {MOST_REVISION}")
+    if type(revision) is not int or not 0 < revision <= MAXIMUM_REVISION:
+        return Failure(f"revision must be a whole number from 1 to {MAXIMUM_REVISION}")
     if method == "PUT":
         whole = check(change)
         if not is_successful(whole):
--- a/sparloom/router/admission_queues.py
+++ b/sparloom/router/admission_queues.py
@@ -53,7 +53,7 @@
         old = self.cons.get(service)
         if old and old[0] is posts and old[1] is s and old[2:4] == (c.divisor, c.index):
             return old[4]
-        cons = {p.id: c.pieces(s.pipe_limit if s else 64, p.number) for p in posts}
+        cons = {p.id: c.pieces(s.connection_limit if s else 64, p.number) for p in posts}
         cons = cons if any(cons.values()) else dict.fromkeys(cons, 1)
         self.cons[service] = (posts, s, c.divisor, c.index, cons)
         return cons
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -55,7 +55,7 @@
     def idle_bound(self):
         """How long a client's connection is kept idle: never less than the configuration allows."""
         policy = self.know.policy
-        return LEAST_IDLE if policy is None else max(LEAST_IDLE, policy.caps.idle)
+        return LEAST_IDLE if policy is None else max(LEAST_IDLE, policy.limits.idle_timeout)
 
     @Service.task
     async def _end_idle(self):
@@ -121,8 +121,8 @@
         policy = k.policy
         if policy is None:
             return web.Response(status=503, headers={"Retry-After": NOT_KNOWN_YET})
-        caps = policy.caps
-        if sum(len(a) + len(b) + 4 for a, b in req.raw_headers) > caps.head:
+        caps = policy.limits
+        if sum(len(a) + len(b) + 4 for a, b in req.raw_headers) > caps.maximum_header_bytes:
             return web.Response(status=431)
         body, bad = await self._body(req, caps)
         if bad:
@@ -150,14 +150,14 @@
             logging.warning("front: request %s ended without an answer.", forwarding.ask.id)
 
     async def _body(self, req, caps):
-        if (req.content_length or 0) > caps.body:
+        if (req.content_length or 0) > caps.maximum_body_bytes:
             return b"", self._close(413)
         parts, size = [], 0
         try:
-            async with asyncio.timeout(caps.idle.total_seconds()):
+            async with asyncio.timeout(caps.idle_timeout.total_seconds()):
                 async for p in req.content.iter_any():
                     size += len(p)
-                    if size > caps.body:
+                    if size > caps.maximum_body_bytes:
                         return b"", self._close(413)
                     parts.append(p)
         except TimeoutError:
