--- a/sparloom/metrics/__init__.py
+++ b/sparloom/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counts what a process sends, takes and opens, by kind; off unless asked for."""
+"""Counts what a process sends, receives and opens, by kind; off unless asked for."""
 
 from .meter import Meter, count_event, current_meter, report_interval, start_meter
 
--- a/sparloom/metrics/reporter.py
+++ b/sparloom/metrics/reporter.py
@@ -1,64 +1,88 @@
-"""Logs a program's meter, at an interval and at the stop."""
+"""Logs the meter of a program, at an interval and when it stops."""
+
+from __future__ import annotations
 
 import asyncio
 import json
 import os
 import time
+from typing import TYPE_CHECKING, Any
 
 from absl import logging
 from mode import Service
 
 from sparloom.metrics import current_meter
 
+if TYPE_CHECKING:
+    from datetime import timedelta
+
+# Stands for a figure that the system does not give.
+_UNKNOWN = -1
 
-def process_figures():
-    """The meter's figures with the process's own: processor seconds, memory in kB, descriptors.
 
-    None when nothing is counted; a figure that the system doesn't tell is -1.
+def process_figures() -> dict[str, Any] | None:
+    """The figures of the meter and of the process; None when nothing is counted.
 
+    ``cpu`` is in seconds of processor time, ``memory`` in KiB resident,
+    ``descriptors`` the number of open files; -1 where the system gives none.
+
+    Examples
+    --------
     >>> process_figures() is None
     True
     """
-    m = current_meter()
-    return m and {
+    meter = current_meter()
+    if meter is None:
+        return None
+    return {
         "cpu": round(time.process_time(), 3),
-        "memory": _memory(),
-        "descriptors": _descriptors(),
-        **m.figures(),
+        "memory": _resident_memory(),
+        "descriptors": _open_descriptors(),
+        **meter.figures(),
     }
 
 
-def _memory():
+def _resident_memory() -> int:
     try:
-        with open("/proc/self/statm", "rb") as f:
-            return int(f.read().split()[1]) * os.sysconf("SC_PAGESIZE") // 1024
+        with open("/proc/self/statm", "rb") as file:
+            return int(file.read().split()[1]) * os.sysconf("SC_PAGESIZE") // 1024
     except (OSError, ValueError, IndexError):
-        return -1
+        return _UNKNOWN
 
 
-def _descriptors():
+def _open_descriptors() -> int:
     try:
         return len(os.listdir("/proc/self/fd"))
     except OSError:
-        return -1
+        return _UNKNOWN
 
 
 class MetricsReporter(Service):
-    """The log lines, each ``meter: JSON``."""
+    """Logs a line ``meter: JSON`` at each interval, and a last one at the stop.
+
+    Parameters
+    ----------
+    node
+        The name of the node, shown in each line.
+    interval
+        The time between two lines.
+    """
 
-    def __init__(self, node, span):
+    def __init__(self, node: str, interval: timedelta) -> None:
         super().__init__()
-        self.node, self.span = node, span
+        self.node, self.interval = node, interval
 
     @Service.task
-    async def _log(self):
+    async def _report_at_interval(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(self.span.total_seconds())
-            self.tell()
+            await asyncio.sleep(self.interval.total_seconds())
+            self.report()
 
-    async def on_stop(self):
-        self.tell()
+    async def on_stop(self) -> None:
+        """Logs the last line."""
+        self.report()
 
-    def tell(self):
+    def report(self) -> None:
         """Logs the figures of this moment."""
-        logging.info("meter: %s", json.dumps({"node": self.node, **process_figures()}, separators=(",", ":")))
+        figures = {"node": self.node, **(process_figures() or {})}
+        logging.info("meter: %s", json.dumps(figures, separators=(",", ":")))
--- a/tests/metrics/test_meter.py
+++ b/tests/metrics/test_meter.py
@@ -70,7 +70,7 @@
     async def test_a_line_tells_all(self):
         meter.count_event("attempts")
         with self.assertLogs("absl", "INFO") as log:
-            MetricsReporter("front-1", SECOND).tell()
+            MetricsReporter("front-1", SECOND).report()
         self.assertIn('meter: {"node":"front-1"', log.output[0])
         self.assertIn('"attempts":[1,0]', log.output[0])
 
