--- a/sparloom/transport/__init__.py
+++ b/sparloom/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Sockets for the project's own records, and the clock that they go by."""
+"""Connections and datagrams for the project's own records, HTTP client sessions, and the monotonic clock."""
 
 from .clock import monotonic
 from .file_watch import FileWatch
--- a/sparloom/transport/file_watch.py
+++ b/sparloom/transport/file_watch.py
@@ -1,36 +1,49 @@
 """Notices that a file has changed, with or without a signal."""
 
+from __future__ import annotations
+
 import os
 
-from attrs import define
+from attrs import define, field
 
 
 @define(slots=True)
 class FileWatch:
-    """A file's last known make.
+    """Compares a file with how it was when last looked at.
+
+    Attributes
+    ----------
+    path
+        The file; it need not exist.
 
+    Examples
+    --------
     >>> FileWatch("/nowhere").changed()
     False
     """
 
     path: str
-    mark: tuple = ()
+    _fingerprint: tuple[int, ...] = field(init=False)
 
-    def __attrs_post_init__(self):
-        self.mark = self._look()
+    def __attrs_post_init__(self) -> None:
+        self._fingerprint = self._read_fingerprint()
 
-    def _look(self):
+    def _read_fingerprint(self) -> tuple[int, ...]:
+        """Time of modification, size and inode; empty where there is no such file."""
         try:
-            s = os.stat(self.path)
+            status = os.stat(self.path)
         except OSError:
             return ()
-        return (s.st_mtime_ns, s.st_size, s.st_ino)
+        return (status.st_mtime_ns, status.st_size, status.st_ino)
 
-    def changed(self):
-        """Whether the file changed since the last question.
+    def changed(self) -> bool:
+        """Whether the file was changed, made or removed since the last call, or since the watch began.
 
+        Examples
+        --------
         >>> FileWatch("/nowhere").changed()
         False
         """
-        old, self.mark = self.mark, self._look()
-        return old != self.mark
+        last = self._fingerprint
+        self._fingerprint = self._read_fingerprint()
+        return last != self._fingerprint
--- a/tests/transport/test_dialing.py
+++ b/tests/transport/test_dialing.py
@@ -1,4 +1,4 @@
-"""Connections to machines that come up late, in simulated time."""
+"""Dialing of machines that start late, in simulated time."""
 
 import unittest
 from datetime import timedelta
@@ -32,7 +32,7 @@
 
 class PowerComesLate(unittest.IsolatedAsyncioTestCase):
     async def late_by(self, follow, up_at):
-        """How long after the machine has power it is reached, with a pause after each try."""
+        """How long after the machine has power it is reached, with a pause after each attempt."""
         machine = Unpowered(up_at)
         with mock.patch.object(sockets, "dial", machine.dial):
             while not machine.reached:
@@ -68,8 +68,8 @@
         await self.check(up.bounds.contact, follow)
 
 
-class Patience(unittest.IsolatedAsyncioTestCase):
-    async def test_a_peer_that_is_far_away_gets_the_time_that_it_needs(self):
+class DialTimeouts(unittest.IsolatedAsyncioTestCase):
+    async def test_a_distant_peer_gets_the_time_it_needs(self):
         needed, opened = 300 * MS, object()
 
         async def dial(host, port, wait):
@@ -77,17 +77,17 @@
                 raise TimeoutError
             return opened
 
-        patience = DialTimeout(75 * MS, 600 * MS)
+        timeout = DialTimeout(75 * MS, 600 * MS)
         with mock.patch.object(sockets, "dial", dial):
             for _ in range(4):
                 with self.assertRaises(TimeoutError):
-                    await patience.dial("h", 1)
-            self.assertIs(await patience.dial("h", 1), opened)
-        self.assertEqual(patience.span, 75 * MS)
+                    await timeout.dial("h", 1)
+            self.assertIs(await timeout.dial("h", 1), opened)
+        self.assertEqual(timeout.current, 75 * MS)
 
-    async def test_a_refusal_is_no_reason_to_wait_longer(self):
-        patience = DialTimeout(75 * MS, 600 * MS)
+    async def test_a_refusal_does_not_extend_the_timeout(self):
+        timeout = DialTimeout(75 * MS, 600 * MS)
         refused = mock.AsyncMock(side_effect=ConnectionRefusedError)
         with mock.patch.object(sockets, "dial", refused), self.assertRaises(ConnectionRefusedError):
-            await patience.dial("h", 1)
-        self.assertEqual(patience.span, 75 * MS)
+            await timeout.dial("h", 1)
+        self.assertEqual(timeout.current, 75 * MS)
