--- a/sparloom/configuration/__init__.py
+++ b/sparloom/configuration/__init__.py
@@ -1,12 +1,13 @@
-"""The operator's policy (configuration): checked, changed, looked up."""
+"""The operator's configuration: checked, patched, compared and looked up."""
 
-from .check import MAXIMUM_REVISION, apply_patch, check, parse
+from .check import MAXIMUM_REVISION, ConfigurationDocument, apply_patch, check, parse
 from .delta import delta
 from .table import Configuration, RequestLimits, Route, Service, build
 
 __all__ = [
     "MAXIMUM_REVISION",
     "Configuration",
+    "ConfigurationDocument",
     "RequestLimits",
     "Route",
     "Service",
--- a/sparloom/configuration/check.py
+++ b/sparloom/configuration/check.py
@@ -1,20 +1,38 @@
-"""Says whether a policy is sound; a faulty one gets a sentence that names the fault."""
+"""Checks a configuration document and applies patches; a fault is described in one sentence.
+
+The sentences go out over HTTP. Those of the schema library show the name of a
+failed condition, so the conditions of the schemas stay lambdas.
+"""
+
+from __future__ import annotations
 
 import json
+from typing import TYPE_CHECKING, Any
 
 from returns.result import Failure, Result, Success
 from schema import And, Optional, Or, Schema, SchemaError
 
-# Above this a span of ms is no timedelta any more, and a number read as infinite is caught too.
-MOST_NUMBER = 1e12
-# The control state keeps a revision in eight bytes.
+if TYPE_CHECKING:
+    from collections.abc import Callable, Collection, Hashable, Iterable, Iterator
+    from typing import NoReturn
+
+# A JSON object: a whole configuration, or the body of a PATCH.
+ConfigurationDocument = dict[str, Any]
+
+# Beyond this many milliseconds a duration is no timedelta; it also excludes a number that was read as infinite.
+MAXIMUM_NUMBER = 1e12
+# The control state stores a revision in eight bytes.
 MAXIMUM_REVISION = 2**63 - 1
+# Characters of a sentence from the schema library.
+_MAXIMUM_DETAIL = 200
 
-_NUM = And(Or(int, float), lambda v: type(v) is not bool and v <= MOST_NUMBER)
-_WHOLE = And(int, lambda v: type(v) is not bool)
-_NAME = And(str, len)
-_FROM0 = And(_NUM, lambda v: v >= 0)
-_SPLIT = Schema({"service": _NAME, "weight": _FROM0, Optional(str): object})
+# The library's types allow only callables in ``And``; it takes schemas too.
+_ANY_NUMBER: Any = Or(int, float)
+_NUMBER: Any = And(_ANY_NUMBER, lambda v: type(v) is not bool and v <= MAXIMUM_NUMBER)
+_INTEGER: Any = And(int, lambda v: type(v) is not bool)
+_NAME: Any = And(str, len)
+_NON_NEGATIVE: Any = And(_NUMBER, lambda v: v >= 0)
+_WEIGHTED_SERVICE = Schema({"service": _NAME, "weight": _NON_NEGATIVE, Optional(str): object})
 
 ROUTE = Schema(
     {
@@ -24,15 +42,15 @@
             str, lambda p: p.startswith("/") and p.endswith("/"), error="pathPrefix must begin and end with a slash"
         ),
         "routeKind": Or("safe", "unsafe", "streaming"),
-        Optional("timeoutMs"): And(_NUM, lambda v: v > 0, error="timeoutMs must be above 0"),
-        Optional("targetMs"): _FROM0,
-        Optional("priority"): And(_WHOLE, lambda v: v >= 0),
-        Optional("weightedServices"): [_SPLIT],
+        Optional("timeoutMs"): And(_NUMBER, lambda v: v > 0, error="timeoutMs must be above 0"),
+        Optional("targetMs"): _NON_NEGATIVE,
+        Optional("priority"): And(_INTEGER, lambda v: v >= 0),
+        Optional("weightedServices"): [_WEIGHTED_SERVICE],
         Optional("service"): _NAME,
-        Optional("maxAttempts"): And(_WHOLE, lambda v: v >= 1),
+        Optional("maxAttempts"): And(_INTEGER, lambda v: v >= 1),
         Optional("stickySessions"): bool,
         Optional("resumeStreams"): bool,
-        Optional("gapTargetMs"): _FROM0,
+        Optional("gapTargetMs"): _NON_NEGATIVE,
         Optional(str): object,
     }
 )
@@ -40,228 +58,298 @@
     {
         "name": _NAME,
         Optional("healthPath"): str,
-        Optional("connectionLimit"): And(_WHOLE, lambda v: v > 0),
-        Optional("engine"): Or(None, And(dict, lambda engine: _numbers(engine), error="engine: slots, cacheTokens")),
+        Optional("connectionLimit"): And(_INTEGER, lambda v: v > 0),
+        Optional("engine"): Or(
+            None, And(dict, lambda engine: _has_numbers(engine), error="engine: slots, cacheTokens")
+        ),
         Optional(str): object,
     }
 )
 LIMITS = Schema(
     {
-        Optional("maxHeaderBytes"): And(_WHOLE, lambda v: v > 0),
-        Optional("maxBodyBytes"): And(_WHOLE, lambda v: v > 0),
-        Optional("headerTimeoutMs"): And(_NUM, lambda v: v > 0),
-        Optional("idleTimeoutMs"): And(_NUM, lambda v: v > 0),
+        Optional("maxHeaderBytes"): And(_INTEGER, lambda v: v > 0),
+        Optional("maxBodyBytes"): And(_INTEGER, lambda v: v > 0),
+        Optional("headerTimeoutMs"): And(_NUMBER, lambda v: v > 0),
+        Optional("idleTimeoutMs"): And(_NUMBER, lambda v: v > 0),
         Optional(str): object,
     }
 )
 
 
-def _is(*kinds):
-    return lambda v: type(v) in kinds
+def _is_instance(kind: type) -> Callable[[Any], bool]:
+    return lambda value: type(value) is kind
 
 
-def _named(v):
-    return type(v) is str and v != ""
+def _is_name(value: Any) -> bool:
+    return type(value) is str and value != ""
 
 
-def _from0(v):
-    return type(v) in (int, float) and 0 <= v <= MOST_NUMBER
+def _is_non_negative(value: Any) -> bool:
+    return type(value) in (int, float) and 0 <= value <= MAXIMUM_NUMBER
 
 
-def _above0(v):
-    return type(v) in (int, float) and 0 < v <= MOST_NUMBER
+def _is_positive(value: Any) -> bool:
+    return type(value) in (int, float) and 0 < value <= MAXIMUM_NUMBER
 
 
-def _whole(least):
-    return lambda v: type(v) is int and v >= least
+def _is_integer_from(minimum: int) -> Callable[[Any], bool]:
+    return lambda value: type(value) is int and value >= minimum
 
 
-def _numbers(engine):
+def _has_numbers(engine: dict[str, Any]) -> bool:
     """Whether the figures that routers read of an engine are numbers, where they are given."""
-    return all(engine.get(key) is None or _from0(engine[key]) for key in ("slots", "cacheTokens"))
-
-
-def _engine(v):
-    return v is None or type(v) is dict and _numbers(v)
-
-
-def _prefix(v):
-    return type(v) is str and v[:1] == "/" and v[-1:] == "/"
-
-
-def _splits(v):
-    return type(v) is list and all(type(s) is dict and _named(s.get("service")) and _from0(s.get("weight")) for s in v)
-
-
-# What a sound item looks like, without the schema library: that takes over a millisecond a route, and a
-# controller that checks thousands of routes beats no heart meanwhile. The schemas alone refuse, and say why.
-_SOUND = {
-    "route": (
-        ("name", "hostname", "pathPrefix", "routeKind"),
-        {
-            "name": _named,
-            "hostname": _named,
-            "pathPrefix": _prefix,
-            "routeKind": ("safe", "unsafe", "streaming").__contains__,
-            "timeoutMs": _above0,
-            "targetMs": _from0,
-            "priority": _whole(0),
-            "weightedServices": _splits,
-            "service": _named,
-            "maxAttempts": _whole(1),
-            "stickySessions": _is(bool),
-            "resumeStreams": _is(bool),
-            "gapTargetMs": _from0,
-        },
-    ),
-    "service": (
-        ("name",),
-        {"name": _named, "healthPath": _is(str), "connectionLimit": _whole(1), "engine": _engine},
-    ),
+    return all(engine.get(key) is None or _is_non_negative(engine[key]) for key in ("slots", "cacheTokens"))
+
+
+def _is_engine(value: Any) -> bool:
+    return value is None or (type(value) is dict and _has_numbers(value))
+
+
+def _is_path_prefix(value: Any) -> bool:
+    return type(value) is str and value[:1] == "/" and value[-1:] == "/"
+
+
+def _is_weighted_service(value: Any) -> bool:
+    return type(value) is dict and _is_name(value.get("service")) and _is_non_negative(value.get("weight"))
+
+
+def _are_weighted_services(value: Any) -> bool:
+    return type(value) is list and all(map(_is_weighted_service, value))
+
+
+# The schema library takes over a millisecond for a route, and a controller that checks thousands of routes
+# sends no heartbeat meanwhile. An item that passes these checks is valid by its schema too; one that does
+# not is left to its schema, which alone refuses and says why.
+_REQUIRED_KEYS = {"route": ("name", "hostname", "pathPrefix", "routeKind"), "service": ("name",)}
+_FIELD_CHECKS: dict[str, dict[str, Callable[[Any], bool]]] = {
+    "route": {
+        "name": _is_name,
+        "hostname": _is_name,
+        "pathPrefix": _is_path_prefix,
+        "routeKind": ("safe", "unsafe", "streaming").__contains__,
+        "timeoutMs": _is_positive,
+        "targetMs": _is_non_negative,
+        "priority": _is_integer_from(0),
+        "weightedServices": _are_weighted_services,
+        "service": _is_name,
+        "maxAttempts": _is_integer_from(1),
+        "stickySessions": _is_instance(bool),
+        "resumeStreams": _is_instance(bool),
+        "gapTargetMs": _is_non_negative,
+    },
+    "service": {
+        "name": _is_name,
+        "healthPath": _is_instance(str),
+        "connectionLimit": _is_integer_from(1),
+        "engine": _is_engine,
+    },
 }
 
 
-def _sound(item, what):
-    """Whether an item is sound at first sight; if not, its schema judges."""
-    need, tests = _SOUND.get(what, ((), {}))
-    return (
-        bool(need)
-        and type(item) is dict
-        and all(k in item for k in need)
-        and all(tests[k](v) for k, v in item.items() if k in tests)
-    )
+def _passes_quick_checks(item: Any, kind: str) -> bool:
+    """Whether an item is valid without asking its schema; ``kind``: ``route``, ``service`` or ``limits``."""
+    if kind not in _FIELD_CHECKS or type(item) is not dict:
+        return False
+    checks = _FIELD_CHECKS[kind]
+    has_required = all(key in item for key in _REQUIRED_KEYS[kind])
+    return has_required and all(checks[key](value) for key, value in item.items() if key in checks)
 
 
-def _shape(schema, item, what):
-    if _sound(item, what):
+def _shape_fault(schema: Schema, item: Any, kind: str) -> str | None:
+    """What is wrong with an item on its own, or None."""
+    if _passes_quick_checks(item, kind):
         return None
     try:
         schema.validate(item)
-    except SchemaError as e:
+    except SchemaError as error:
         name = item.get("name", "?") if isinstance(item, dict) else "?"
-        return f"{what} {name}: {' '.join(str(e).split())[:200]}"
+        return f"{kind} {name}: {' '.join(str(error).split())[:_MAXIMUM_DETAIL]}"
     return None
 
 
-def _split_fault(r):
-    if ("service" in r) == ("weightedServices" in r):
-        return f"route {r['name']}: it must name either service or weightedServices"
-    if "weightedServices" in r and sum(w["weight"] for w in r["weightedServices"]) <= 0:
-        return f"route {r['name']}: its weights add up to 0"
+def _split_fault(route: dict[str, Any]) -> str | None:
+    """What is wrong with how a route names its services, or None."""
+    if ("service" in route) == ("weightedServices" in route):
+        return f"route {route['name']}: it must name either service or weightedServices"
+    if "weightedServices" in route and sum(part["weight"] for part in route["weightedServices"]) <= 0:
+        return f"route {route['name']}: its weights add up to 0"
     return None
 
 
-def _targets(r):
-    return [r["service"]] if "service" in r else [w["service"] for w in r["weightedServices"]]
+def _service_names(route: dict[str, Any]) -> list[str]:
+    if "service" in route:
+        return [route["service"]]
+    return [part["service"] for part in route["weightedServices"]]
 
 
-def _double(vals):
+def _first_duplicate(values: Iterable[Hashable]) -> Any:
+    """The first value that occurs for the second time, or None."""
     seen = set()
-    return next((v for v in vals if v in seen or seen.add(v)), None)
+    for value in values:
+        if value in seen:
+            return value
+        seen.add(value)
+    return None
 
 
-def _faults(d):
-    if not isinstance(d, dict):
-        yield "the policy must be an object"
-        return
-    rev = d.get("revision")
-    if type(rev) is not int or not 0 < rev <= MAXIMUM_REVISION:
-        yield f"revision must be a whole number from 1 to {MAXIMUM_REVISION}"
-        return
+def _top_level_fault(document: Any) -> str | None:
+    """What is wrong with the kinds of the document and its parts, or None."""
+    if not isinstance(document, dict):
+        return "the policy must be an object"
+    revision = document.get("revision")
+    if type(revision) is not int or not 0 < revision <= MAXIMUM_REVISION:
+        return f"revision must be a whole number from 1 to {MAXIMUM_REVISION}"
     for key in ("routes", "services"):
-        if not isinstance(d.get(key, []), list):
-            yield f"{key} must be a list"
-            return
-    rs, ss = d.get("routes", []), d.get("services", [])
-    shapes = [
-        f
-        for f in (
-            *(_shape(ROUTE, r, "route") for r in rs),
-            *(_shape(SERVICE, s, "service") for s in ss),
-            _shape(LIMITS, d.get("limits", {}), "limits"),
-        )
-        if f
-    ]
-    yield from shapes
-    if shapes:
-        return
-    yield from (f for f in map(_split_fault, rs) if f)
-    names = {s["name"] for s in ss}
-    yield from (f"route {r['name']}: the service {t} is unknown" for r in rs for t in _targets(r) if t not in names)
-    for what, dup in (
-        ("two services are named", _double(s["name"] for s in ss)),
-        ("two routes are named", _double(r["name"] for r in rs)),
-        ("two routes share host and prefix", _double((r["hostname"].lower(), r["pathPrefix"]) for r in rs)),
-    ):
-        if dup:
-            yield f"{what} {dup if isinstance(dup, str) else ' '.join(dup)}"
-
+        if not isinstance(document.get(key, []), list):
+            return f"{key} must be a list"
+    return None
 
-def check(d, above=0) -> Result:
-    """Checks a whole policy; its revision must lie above that of the current one.
 
+def _shape_faults(document: ConfigurationDocument) -> Iterator[str | None]:
+    """What is wrong with each part on its own; None for each that is valid."""
+    for route in document.get("routes", []):
+        yield _shape_fault(ROUTE, route, "route")
+    for service in document.get("services", []):
+        yield _shape_fault(SERVICE, service, "service")
+    yield _shape_fault(LIMITS, document.get("limits", {}), "limits")
+
+
+def _reference_faults(document: ConfigurationDocument) -> Iterator[str | None]:
+    """What is wrong between the parts, each of which is valid on its own."""
+    routes, services = document.get("routes", []), document.get("services", [])
+    yield from map(_split_fault, routes)
+    known = {service["name"] for service in services}
+    for route in routes:
+        for name in _service_names(route):
+            if name not in known:
+                yield f"route {route['name']}: the service {name} is unknown"
+    if name := _first_duplicate(service["name"] for service in services):
+        yield f"two services are named {name}"
+    if name := _first_duplicate(route["name"] for route in routes):
+        yield f"two routes are named {name}"
+    if place := _first_duplicate((route["hostname"].lower(), route["pathPrefix"]) for route in routes):
+        yield f"two routes share host and prefix {' '.join(place)}"
+
+
+def _first_fault(document: Any) -> str | None:
+    fault = _top_level_fault(document)
+    fault = fault or next(filter(None, _shape_faults(document)), None)
+    return fault or next(filter(None, _reference_faults(document)), None)
+
+
+def check(document: Any, above: int = 0) -> Result[ConfigurationDocument, str]:
+    """Checks a whole configuration.
+
+    Parameters
+    ----------
+    document
+        What was received.
+    above
+        The current revision; that of the document must be higher.
+
+    Returns
+    -------
+    Result
+        The document, or a sentence about the first fault that was found.
+
+    Examples
+    --------
     >>> check({"revision": 1, "routes": [], "services": []}).unwrap()["revision"]
     1
     >>> check({"revision": 1}, above=4).failure()
     'revision 1 is not above the current 4'
     """
-    fault = next(_faults(d), None)
+    fault = _first_fault(document)
     if fault:
         return Failure(fault)
-    if d["revision"] <= above:
-        return Failure(f"revision {d['revision']} is not above the current {above}")
-    return Success(d)
+    if document["revision"] <= above:
+        return Failure(f"revision {document['revision']} is not above the current {above}")
+    return Success(document)
 
 
-def _no_constant(name):
+def _refuse_constant(name: str) -> NoReturn:
     raise ValueError(f"{name} is no JSON number")
 
 
-def parse(raw) -> Result:
-    """Reads JSON bytes.
+def parse(raw: bytes) -> Result[Any, str]:
+    """Reads JSON; NaN and infinite numbers are refused.
 
+    Examples
+    --------
     >>> parse(b"{").failure().startswith("the body is not JSON")
     True
     """
     try:
-        return Success(json.loads(raw, parse_constant=_no_constant))
-    except (ValueError, RecursionError) as e:
-        return Failure(f"the body is not JSON: {e}")
+        return Success(json.loads(raw, parse_constant=_refuse_constant))
+    except (ValueError, RecursionError) as error:
+        return Failure(f"the body is not JSON: {error}")
+
 
+def _edited(items: list[Any], upsert: list[Any], remove: Collection[str]) -> list[Any]:
+    """A list after a patch: items keep their places, new ones follow."""
+    new = {item["name"]: item for item in upsert}
+    kept = [new.pop(item["name"], item) for item in items if item["name"] not in remove]
+    return kept + list(new.values())
 
-def _edit(items, ups, drops):
-    new = {i["name"]: i for i in ups}
-    kept = [new.pop(i["name"], i) for i in items if i["name"] not in drops]
-    return kept + [i for i in new.values()]
 
+def _patch_fault(patch: Any) -> str | None:
+    """What is wrong with the sections of a patch, or None."""
+    if not isinstance(patch, dict):
+        return "the change must be an object"
+    upsert, remove = patch.get("upsert", {}), patch.get("remove", {})
+    if not isinstance(upsert, dict) or not isinstance(remove, dict):
+        return "upsert and remove must be objects"
+    unknown = [key for key in (*upsert, *remove) if key not in ("routes", "services", "limits")]
+    if unknown:
+        return f"the change names an unknown list {unknown[0]}"
+    return None
 
-def apply_patch(base, patch) -> Result:
-    """Applies a PATCH body to the current policy, giving the whole new one.
 
+def _edit_fault(key: str, upsert: Any, remove: Any) -> str | None:
+    """What is wrong with the edits of one list of a patch, or None."""
+    if not isinstance(upsert, list) or not all(
+        isinstance(item, dict) and isinstance(item.get("name"), str) for item in upsert
+    ):
+        return f"upsert.{key} must be a list of items with names"
+    if not isinstance(remove, list) or not all(isinstance(name, str) for name in remove):
+        return f"remove.{key} must be a list of names"
+    duplicate = _first_duplicate(item["name"] for item in upsert)
+    return f"upsert.{key} names {duplicate} twice" if duplicate else None
+
+
+def apply_patch(base: ConfigurationDocument, patch: Any) -> Result[ConfigurationDocument, str]:
+    """The whole configuration that a PATCH body makes of another; ``check`` must follow.
+
+    Parameters
+    ----------
+    base
+        The current configuration; it is left as it is.
+    patch
+        What was received: ``revision``, ``upsert``, ``remove`` and ``limits``.
+
+    Returns
+    -------
+    Result
+        The new configuration, or a sentence about the first fault of the patch.
+
+    Examples
+    --------
     >>> apply_patch({"revision": 1, "routes": [], "services": []}, {"revision": 2}).unwrap()["revision"]
     2
     """
-    if not isinstance(patch, dict):
-        return Failure("the change must be an object")
-    ups, drops = patch.get("upsert", {}), patch.get("remove", {})
-    if not isinstance(ups, dict) or not isinstance(drops, dict):
-        return Failure("upsert and remove must be objects")
-    strange = [k for k in (*ups, *drops) if k not in ("routes", "services", "limits")]
-    if strange:
-        return Failure(f"the change names an unknown list {strange[0]}")
-    out = {**base, "revision": patch.get("revision")}
+    fault = _patch_fault(patch)
+    if fault:
+        return Failure(fault)
+    upserts, removals = patch.get("upsert", {}), patch.get("remove", {})
+    new = {**base, "revision": patch.get("revision")}
     if "limits" in patch:
-        out["limits"] = patch["limits"]
-    if isinstance(ups.get("limits"), dict):
-        out["limits"] = {**base.get("limits", {}), **ups["limits"]}
+        new["limits"] = patch["limits"]
+    if isinstance(upserts.get("limits"), dict):
+        new["limits"] = {**base.get("limits", {}), **upserts["limits"]}
     for key in ("routes", "services"):
-        up, drop = ups.get(key, []), drops.get(key, [])
-        if not isinstance(up, list) or not all(isinstance(i, dict) and isinstance(i.get("name"), str) for i in up):
-            return Failure(f"upsert.{key} must be a list of items with names")
-        if not isinstance(drop, list) or not all(isinstance(n, str) for n in drop):
-            return Failure(f"remove.{key} must be a list of names")
-        dup = _double(i["name"] for i in up)
-        if dup:
-            return Failure(f"upsert.{key} names {dup} twice")
-        out[key] = _edit(base.get(key, []), up, set(drop))
-    return Success(out)
+        upsert, remove = upserts.get(key, []), removals.get(key, [])
+        fault = _edit_fault(key, upsert, remove)
+        if fault:
+            return Failure(fault)
+        new[key] = _edited(base.get(key, []), upsert, set(remove))
+    return Success(new)
--- a/sparloom/configuration/delta.py
+++ b/sparloom/configuration/delta.py
@@ -1,28 +1,41 @@
-"""The change from one policy to the next, as a PATCH body that others apply."""
+"""The difference of two configurations, as a PATCH body that others apply."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from .check import apply_patch
 
+if TYPE_CHECKING:
+    from .check import ConfigurationDocument
+
 
-def delta(old, new):
-    """What makes ``new`` of ``old`` by ``apply_patch``, or None where no change says it exactly.
+def delta(old: ConfigurationDocument, new: ConfigurationDocument) -> ConfigurationDocument | None:
+    """The PATCH body from which ``apply_patch`` makes exactly ``new`` of ``old``; None where there is none.
 
-    >>> delta({"revision": 1, "routes": [{"name": "a"}], "services": []}, {"revision": 2, "routes": [], "services": []})
+    Examples
+    --------
+    >>> old = {"revision": 1, "routes": [{"name": "a"}], "services": []}
+    >>> delta(old, {"revision": 2, "routes": [], "services": []})
     {'revision': 2, 'remove': {'routes': ['a']}}
     >>> delta({"revision": 1, "x": 1}, {"revision": 2}) is None
     True
     """
-    out, ups, drops = {"revision": new.get("revision")}, {}, {}
+    patch: ConfigurationDocument = {"revision": new.get("revision")}
     if old.get("limits") != new.get("limits"):
         if "limits" not in new:
             return None
-        out["limits"] = new["limits"]
+        patch["limits"] = new["limits"]
+    upsert, remove = {}, {}
     for key in ("routes", "services"):
-        was = {i["name"]: i for i in old.get(key, ())}
-        now = {i["name"]: i for i in new.get(key, ())}
-        up = [i for n, i in now.items() if was.get(n) != i]
-        drop = [n for n in was if n not in now]
-        ups |= {key: up} if up else {}
-        drops |= {key: drop} if drop else {}
-    out |= {"upsert": ups} if ups else {}
-    out |= {"remove": drops} if drops else {}
-    return out if apply_patch(old, out).value_or(None) == new else None
+        old_items = {item["name"]: item for item in old.get(key, ())}
+        new_items = {item["name"]: item for item in new.get(key, ())}
+        if changed := [item for name, item in new_items.items() if old_items.get(name) != item]:
+            upsert[key] = changed
+        if removed := [name for name in old_items if name not in new_items]:
+            remove[key] = removed
+    if upsert:
+        patch["upsert"] = upsert
+    if remove:
+        patch["remove"] = remove
+    return patch if apply_patch(old, patch).value_or(None) == new else None
--- a/sparloom/configuration/table.py
+++ b/sparloom/configuration/table.py
@@ -1,16 +1,42 @@
-"""The policy as routers use it: an immutable snapshot, swapped whole."""
+"""The configuration as routers use it: an immutable snapshot that is replaced as a whole."""
+
+from __future__ import annotations
 
 from datetime import timedelta
+from typing import TYPE_CHECKING, Any
 
 from attrs import define, field
 
+if TYPE_CHECKING:
+    from .check import ConfigurationDocument
+
+DEFAULT_TIMEOUT_MS = 30000
+DEFAULT_PRIORITY = 5
+DEFAULT_CONNECTION_LIMIT = 64
+# The latency target of a route without one, as a part of its timeout.
+DEFAULT_TARGET_RATIO = 1 / 4
+
 
 @define(frozen=True, slots=True)
 class Service:
-    """A service and what its runners take."""
+    """A service, and what each of its runners can take.
+
+    Attributes
+    ----------
+    name
+        Its name in the configuration and in the endpoint list.
+    connection_limit
+        How many connections a runner accepts.
+    slots
+        Requests that a runner works on at once; 0 where it is not given.
+    cache_tokens
+        Tokens that a runner's prefix cache holds; 0 where it is not given.
+    health_path
+        Path of the health check; empty for none.
+    """
 
     name: str
-    connection_limit: int = 64
+    connection_limit: int = DEFAULT_CONNECTION_LIMIT
     slots: int = 0
     cache_tokens: int = 0
     health_path: str = ""
@@ -18,26 +44,57 @@
 
 @define(frozen=True, slots=True)
 class Route:
-    """A route, with its durations as timedeltas."""
+    """Requests of one host and path prefix, and how they are treated.
+
+    Attributes
+    ----------
+    name
+        Its name in the configuration.
+    host
+        Host name, in lower case.
+    prefix
+        Beginning of the path; begins and ends with a slash.
+    kind
+        ``safe``, ``unsafe`` or ``streaming``.
+    split
+        (service, weight) of each service that serves the route.
+    timeout
+        From the arrival of a request to the end of its response.
+    target
+        Latency target of the first byte.
+    gap_target
+        Latency target between two parts of a stream.
+    priority
+        More important requests have the lower number.
+    max_attempts
+        How often a request may be sent, with the first attempt.
+    resume
+        Whether an interrupted stream is resumed at another runner.
+    sticky
+        Whether requests of a session go to the same runner.
+    """
 
     name: str
     host: str
     prefix: str
     kind: str
-    split: tuple
+    split: tuple[tuple[str, float], ...]
     timeout: timedelta
     target: timedelta
     gap_target: timedelta
-    priority: int = 5
+    priority: int = DEFAULT_PRIORITY
     max_attempts: int = 1
     resume: bool = False
     sticky: bool = False
 
     @property
-    def repeatable(self):
-        """Whether an ask may run more than once.
+    def repeatable(self) -> bool:
+        """Whether a request may be carried out more than once (is idempotent).
 
-        >>> Route("r", "h", "/", "unsafe", (), timedelta(1), timedelta(1), timedelta(1)).repeatable
+        Examples
+        --------
+        >>> second = timedelta(seconds=1)
+        >>> Route("r", "h", "/", "unsafe", (), second, second, second).repeatable
         False
         """
         return self.kind == "safe" or (self.kind == "streaming" and self.resume)
@@ -45,7 +102,17 @@
 
 @define(frozen=True, slots=True)
 class RequestLimits:
-    """What a requester may send."""
+    """What a client may send.
+
+    Attributes
+    ----------
+    maximum_header_bytes, maximum_body_bytes
+        The largest size of all headers together, and of the body.
+    header_timeout
+        How long a client may take for the headers.
+    idle_timeout
+        How long a client may send nothing.
+    """
 
     maximum_header_bytes: int = 16384
     maximum_body_bytes: int = 4194304
@@ -55,83 +122,119 @@
 
 @define(frozen=True, slots=True)
 class Configuration:
-    """One revision of the policy."""
+    """One revision of the configuration.
+
+    Attributes
+    ----------
+    revision
+        Its number, given by the operator; it only rises.
+    routes
+        All routes, in the order of the document.
+    services
+        Services by name.
+    limits
+        What clients may send.
+    hosts
+        The routes of each host, the longest prefix first.
+    """
 
     revision: int
-    routes: tuple
-    services: dict
+    routes: tuple[Route, ...]
+    services: dict[str, Service]
     limits: RequestLimits
-    hosts: dict = field(repr=False, factory=dict)
+    hosts: dict[str, tuple[Route, ...]] = field(repr=False, factory=dict)
+
+    def match(self, host: str, path: str) -> Route | None:
+        """The route of a host with the longest prefix that begins the path; None where there is none.
 
-    def match(self, host, path):
-        """The route of that host with the longest prefix that begins the path, or None.
+        Parameters
+        ----------
+        host
+            Host name in any case, with or without a port.
+        path
+            Path of the request.
 
+        Examples
+        --------
         >>> build({"revision": 1}).match("h", "/") is None
         True
         """
         name = host.rsplit(":", 1)[0] if ":" in host else host
-        return next((r for r in self.hosts.get(name.lower(), ()) if path.startswith(r.prefix)), None)
+        return next((route for route in self.hosts.get(name.lower(), ()) if path.startswith(route.prefix)), None)
 
 
-def _ms(d, key, default):
-    return timedelta(milliseconds=d.get(key, default))
+def _milliseconds(item: dict[str, Any], key: str, default: timedelta) -> timedelta:
+    return timedelta(milliseconds=item[key]) if key in item else default
 
 
-def _route(d):
-    timeout = d.get("timeoutMs", 30000)
-    target = d.get("targetMs") or timeout / 4
-    split = (
-        ((d["service"], 1.0),)
-        if "service" in d
-        else tuple((w["service"], float(w["weight"])) for w in d["weightedServices"])
-    )
+def _split(item: dict[str, Any]) -> tuple[tuple[str, float], ...]:
+    if "service" in item:
+        return ((item["service"], 1.0),)
+    return tuple((part["service"], float(part["weight"])) for part in item["weightedServices"])
+
+
+def _route(item: dict[str, Any]) -> Route:
+    timeout = item.get("timeoutMs", DEFAULT_TIMEOUT_MS)
+    # A target of 0 stands for none.
+    target = item.get("targetMs") or timeout * DEFAULT_TARGET_RATIO
     return Route(
-        d["name"],
-        d["hostname"].lower(),
-        d["pathPrefix"],
-        d["routeKind"],
-        split,
-        timedelta(milliseconds=timeout),
-        timedelta(milliseconds=target),
-        _ms(d, "gapTargetMs", target / 2),
-        d.get("priority", 5),
-        d.get("maxAttempts", 1),
-        d.get("resumeStreams", False),
-        d.get("stickySessions", False),
+        name=item["name"],
+        host=item["hostname"].lower(),
+        prefix=item["pathPrefix"],
+        kind=item["routeKind"],
+        split=_split(item),
+        timeout=timedelta(milliseconds=timeout),
+        target=timedelta(milliseconds=target),
+        gap_target=timedelta(milliseconds=item.get("gapTargetMs", target / 2)),
+        priority=item.get("priority", DEFAULT_PRIORITY),
+        max_attempts=item.get("maxAttempts", 1),
+        resume=item.get("resumeStreams", False),
+        sticky=item.get("stickySessions", False),
     )
 
 
-def _service(d):
-    eng = d.get("engine") or {}
+def _service(item: dict[str, Any]) -> Service:
+    engine = item.get("engine") or {}
     return Service(
-        d["name"],
-        d.get("connectionLimit", 64),
-        int(eng.get("slots") or 0),
-        int(eng.get("cacheTokens") or 0),
-        d.get("healthPath", ""),
+        name=item["name"],
+        connection_limit=item.get("connectionLimit", DEFAULT_CONNECTION_LIMIT),
+        slots=int(engine.get("slots") or 0),
+        cache_tokens=int(engine.get("cacheTokens") or 0),
+        health_path=item.get("healthPath", ""),
+    )
+
+
+def _request_limits(item: dict[str, Any]) -> RequestLimits:
+    default = RequestLimits()
+    return RequestLimits(
+        maximum_header_bytes=item.get("maxHeaderBytes", default.maximum_header_bytes),
+        maximum_body_bytes=item.get("maxBodyBytes", default.maximum_body_bytes),
+        header_timeout=_milliseconds(item, "headerTimeoutMs", default.header_timeout),
+        idle_timeout=_milliseconds(item, "idleTimeoutMs", default.idle_timeout),
     )
 
 
-def build(d):
-    """Turns a checked policy into a snapshot.
+def _by_host(routes: tuple[Route, ...]) -> dict[str, tuple[Route, ...]]:
+    """The routes of each host, the longest prefix first."""
+    hosts: dict[str, list[Route]] = {}
+    for route in sorted(routes, key=lambda route: -len(route.prefix)):
+        hosts.setdefault(route.host, []).append(route)
+    return {host: tuple(found) for host, found in hosts.items()}
+
+
+def build(document: ConfigurationDocument) -> Configuration:
+    """The snapshot of a configuration document that ``check`` has passed.
 
+    Examples
+    --------
     >>> build({"revision": 3, "routes": [], "services": []}).revision
     3
     """
-    std, lim = RequestLimits(), d.get("limits", {})
-    rs = tuple(map(_route, d.get("routes", [])))
-    hosts = {h: [] for h in {r.host for r in rs}}
-    for r in sorted(rs, key=lambda r: -len(r.prefix)):
-        hosts[r.host].append(r)
+    routes = tuple(map(_route, document.get("routes", [])))
     return Configuration(
-        d["revision"],
-        rs,
-        {s["name"]: _service(s) for s in d.get("services", [])},
-        RequestLimits(
-            lim.get("maxHeaderBytes", std.maximum_header_bytes),
-            lim.get("maxBodyBytes", std.maximum_body_bytes),
-            _ms(lim, "headerTimeoutMs", 3000),
-            _ms(lim, "idleTimeoutMs", 15000),
-        ),
-        {h: tuple(v) for h, v in hosts.items()},
+        revision=document["revision"],
+        routes=routes,
+        services={item["name"]: _service(item) for item in document.get("services", [])},
+        limits=_request_limits(document.get("limits", {})),
+        hosts=_by_host(routes),
     )
--- a/tests/configuration/test_check.py
+++ b/tests/configuration/test_check.py
@@ -8,10 +8,10 @@
 from returns.pipeline import is_successful
 
 from sparloom.configuration import apply_patch, build, check, parse
-from sparloom.configuration.check import _SOUND, ROUTE, SERVICE, _sound
+from sparloom.configuration.check import _FIELD_CHECKS, ROUTE, SERVICE, _passes_quick_checks
 from tests.support.router_fixture import POLICY, route
 
-ROUTE_KEYS = list(_SOUND["route"][1])
+ROUTE_KEYS = list(_FIELD_CHECKS["route"])
 
 
 class Faults(unittest.TestCase):
@@ -88,7 +88,7 @@
                     d[k] = luck.choice(odd)
                     if luck.random() < 0.2:
                         del d[k]
-                first = _sound(d, what)
+                first = _passes_quick_checks(d, what)
                 seen[first] += 1
                 self.assertLessEqual(first, schema.is_valid(d), (what, d))
         self.assertGreater(min(seen.values()), 300)
