--- a/sparloom/feed/__init__.py
+++ b/sparloom/feed/__init__.py
@@ -1,6 +1,17 @@
-"""News for the data plane: a numbered feed, followed from a place on."""
+"""The versioned feed that brings the configuration and the endpoint list to controllers and routers."""
 
-from .records import CONFIGURATION, ENDPOINTS, NO_VERSION, TOPICS, UNCONFIRMED, Change, FeedHeartbeat, Subscribe
+from .records import (
+    CONFIGURATION,
+    ENDPOINTS,
+    NO_VERSION,
+    TOPICS,
+    UNCONFIRMED,
+    Change,
+    FeedHeartbeat,
+    Subscribe,
+    Topic,
+    Version,
+)
 from .store import SourceTracker, VersionedItem, VersionedStore
 
 __all__ = [
@@ -13,6 +24,8 @@
     "FeedHeartbeat",
     "SourceTracker",
     "Subscribe",
+    "Topic",
+    "Version",
     "VersionedItem",
     "VersionedStore",
 ]
--- a/sparloom/feed/payload.py
+++ b/sparloom/feed/payload.py
@@ -1,66 +1,136 @@
-"""What the feed carries, as bytes: whole states and the steps between them."""
+"""The payload of a change: snapshots of a topic and the deltas between them, compressed."""
+
+from __future__ import annotations
 
 import json
 import zlib
+from typing import TYPE_CHECKING, Any, cast
 
-from sparloom import configuration as policy
-from sparloom import discovery as platform
+from sparloom import configuration, discovery
 from sparloom.codec import DecodeError, pack, unpack
+from sparloom.errors import SparloomError
 from sparloom.feed import CONFIGURATION, NO_VERSION
 
+if TYPE_CHECKING:
+    from typing import TypeAlias
+
+    from sparloom.configuration import ConfigurationDocument
+    from sparloom.discovery import EndpointDelta, EndpointList
+    from sparloom.feed import Change
+
+    State: TypeAlias = ConfigurationDocument | EndpointList
+    Delta: TypeAlias = ConfigurationDocument | EndpointDelta
 
-class PayloadError(ValueError):
-    """A change that can't be read, or that does not fit what is held."""
+# A configuration is encoded once and sent to every node over thin links; the endpoint list changes often.
+_BEST_COMPRESSION = 9
+_FAST_COMPRESSION = 1
 
 
-def encode_state(topic, state):
-    """The bytes of a whole state: a policy's dict or a RunnerList.
+class PayloadError(SparloomError, ValueError):
+    """A payload that cannot be decoded, or does not apply to the state that is held."""
 
-    A configuration is made once and sent to all over thin links: it is worth the tightest packing.
 
+def encode_state(topic: int, state: State | Delta) -> bytes:
+    """The payload of a snapshot or of a delta.
+
+    Parameters
+    ----------
+    topic
+        ``CONFIGURATION`` or ``ENDPOINTS``.
+    state
+        A configuration document or a PATCH body; or an endpoint list or its delta.
+
+    Examples
+    --------
     >>> decode_payload(CONFIGURATION, encode_state(CONFIGURATION, {"revision": 1}))
     {'revision': 1}
     """
-    raw = json.dumps(state, separators=(",", ":")).encode() if topic == CONFIGURATION else pack(state)
-    return zlib.compress(raw, 9 if topic == CONFIGURATION else 1)
+    if topic == CONFIGURATION:
+        return zlib.compress(json.dumps(state, separators=(",", ":")).encode(), _BEST_COMPRESSION)
+    return zlib.compress(pack(cast("EndpointList | EndpointDelta", state)), _FAST_COMPRESSION)
 
 
-def encode_delta(topic, old, new, most):
-    """The bytes of the change from one state to the next; None unless shorter than ``most`` bytes.
+def encode_delta(topic: int, old: State, new: State, size_limit: int) -> bytes | None:
+    """The payload of the delta between two states; None unless shorter than ``size_limit`` bytes.
 
+    Examples
+    --------
     >>> encode_delta(CONFIGURATION, {"revision": 1}, {"revision": 2}, 3) is None
     True
     """
-    change = policy.delta(old, new) if topic == CONFIGURATION else platform.delta(old, new)
-    raw = None if change is None else encode_state(topic, change)
-    return raw if raw is not None and len(raw) < most else None
+    delta = _delta(topic, old, new)
+    if delta is None:
+        return None
+    payload = encode_state(topic, delta)
+    return payload if len(payload) < size_limit else None
+
 
+def _delta(topic: int, old: State, new: State) -> Delta | None:
+    """The delta from one state to the next; None where no delta gives exactly the new state."""
+    if topic == CONFIGURATION:
+        return configuration.delta(cast("ConfigurationDocument", old), cast("ConfigurationDocument", new))
+    return cast("EndpointDelta", discovery.delta(cast("EndpointList", old), cast("EndpointList", new)))
 
-def decode_payload(topic, blob):
-    """The state, or the change, in some bytes; raises Unfit."""
+
+def decode_payload(topic: int, payload: bytes) -> Any:
+    """The snapshot or the delta in a payload.
+
+    Raises
+    ------
+    PayloadError
+        The payload is not compressed data, or holds neither JSON nor a record.
+    """
     try:
-        raw = zlib.decompress(blob)
+        raw = zlib.decompress(payload)
         return json.loads(raw) if topic == CONFIGURATION else unpack(raw)
-    except (zlib.error, ValueError, DecodeError) as e:
-        raise PayloadError(str(e)) from e
+    except (zlib.error, ValueError, DecodeError) as error:
+        raise PayloadError(str(error)) from error
+
+
+def apply_change(change: Change, old: State | None) -> State:
+    """The state of a topic after a change.
 
+    Parameters
+    ----------
+    change
+        A snapshot, or a delta whose base the caller has compared with the version of ``old``.
+    old
+        The state that is held; None before the first.
 
-def apply_change(c, old):
-    """The state after a Change upon ``old`` (None before the first); raises Unfit.
+    Raises
+    ------
+    PayloadError
+        The payload cannot be decoded, is of another topic, or does not apply to ``old``.
 
+    Examples
+    --------
     >>> from sparloom.feed import Change
-    >>> apply_change(Change(CONFIGURATION, 1, 2, 1, 1, encode_state(CONFIGURATION, {"revision": 2})), {"revision": 1, "routes": [], "services": []})["revision"]
+    >>> payload = encode_state(CONFIGURATION, {"revision": 2})
+    >>> old = {"revision": 1, "routes": [], "services": []}
+    >>> apply_change(Change(CONFIGURATION, 1, 2, 1, 1, payload), old)["revision"]
     2
     """
-    got = decode_payload(c.topic, c.payload)
-    if c.base == NO_VERSION:
-        if not isinstance(got, dict if c.topic == CONFIGURATION else platform.EndpointList):
-            raise PayloadError("no whole state")
-        return got
-    if c.topic == CONFIGURATION:
-        new = policy.apply_patch(old, got).value_or(None) if old is not None else None
-    else:
-        new = platform.apply_delta(old, got) if old is not None and isinstance(got, platform.EndpointDelta) else None
+    content = decode_payload(change.topic, change.payload)
+    is_configuration = change.topic == CONFIGURATION
+    if change.base == NO_VERSION:
+        return _snapshot(content, dict if is_configuration else discovery.EndpointList)
+    if old is None:
+        raise PayloadError("found a delta before the first snapshot")
+    if is_configuration:
+        return _patched(cast("ConfigurationDocument", old), content)
+    if not isinstance(content, discovery.EndpointDelta):
+        raise PayloadError(f"found {type(content).__name__}, expected EndpointDelta")
+    return cast("EndpointList", discovery.apply_delta(cast("EndpointList", old), content))
+
+
+def _snapshot(content: object, expected: type[Any]) -> State:
+    if not isinstance(content, expected):
+        raise PayloadError(f"found {type(content).__name__}, expected a snapshot ({expected.__name__})")
+    return cast("State", content)
+
+
+def _patched(old: ConfigurationDocument, patch: object) -> ConfigurationDocument:
+    new = configuration.apply_patch(old, patch).value_or(None)
     if new is None:
-        raise PayloadError("the step does not fit")
+        raise PayloadError(f"the patch does not apply to revision {old.get('revision')}")
     return new
--- a/sparloom/feed/records.py
+++ b/sparloom/feed/records.py
@@ -1,17 +1,46 @@
-"""The records of the feed, sent over a pipe."""
+"""The records of the feed, sent over a connection between a follower and its source."""
 
 from __future__ import annotations
 
+from enum import IntEnum
+
 from sparloom.codec import Record, UInt8, UInt32, UInt64, record
 
-CONFIGURATION, ENDPOINTS = TOPICS = (0, 1)
+Version = tuple[int, int]
+"""(epoch, number) of a state: versions are ordered first by the primary's epoch, then by the number in it."""
+
+NO_VERSION: Version = (0, 0)
+"""The version of a topic of which nothing has been received."""
+
 UNCONFIRMED = 0xFFFFFFFF
-NO_VERSION = (0, 0)
+"""The ``confirmation_age_ms`` of a sender that knows of no confirmed primary."""
+
+
+class Topic(IntEnum):
+    """What a change is about; the number goes out on the wire."""
+
+    CONFIGURATION = 0
+    ENDPOINTS = 1
+
+
+CONFIGURATION = Topic.CONFIGURATION
+ENDPOINTS = Topic.ENDPOINTS
+TOPICS = (CONFIGURATION, ENDPOINTS)
 
 
 @record(60)
 class Subscribe(Record):
-    """I am at this place; send what is newer."""
+    """The first record of a follower: its versions, after which it wants every change.
+
+    Attributes
+    ----------
+    node
+        The follower's node name.
+    configuration_epoch, configuration_number
+        The version of the configuration that it has.
+    endpoints_epoch, endpoints_number
+        The version of the endpoint list that it has.
+    """
 
     node: str
     configuration_epoch: UInt64
@@ -20,7 +49,7 @@
     endpoints_number: UInt64
 
     @property
-    def versions(self):
+    def versions(self) -> dict[int, Version]:
         """The follower's version of each topic."""
         return {
             CONFIGURATION: (self.configuration_epoch, self.configuration_number),
@@ -30,7 +59,19 @@
 
 @record(61)
 class Change(Record):
-    """A topic's new state: whole when the base is 0, else a change upon that base."""
+    """A newer state of a topic: a snapshot, or a delta to be applied to one exact version.
+
+    Attributes
+    ----------
+    topic
+        A number of ``Topic``; one that is unknown here comes from a newer sender.
+    epoch, number
+        The version that the topic has after the change.
+    base_epoch, base_number
+        The version to which a delta applies; both 0 for a snapshot.
+    payload
+        The snapshot or the delta, see ``sparloom.feed.payload``.
+    """
 
     topic: UInt8
     epoch: UInt64
@@ -40,22 +81,30 @@
     payload: bytes
 
     @property
-    def version(self):
-        """The version that the topic has with this change."""
+    def version(self) -> Version:
+        """The version that the topic has after the change."""
         return (self.epoch, self.number)
 
     @property
-    def base(self):
-        """The version that the change builds on."""
+    def base(self) -> Version:
+        """The version to which the change applies; ``NO_VERSION`` for a snapshot."""
         return (self.base_epoch, self.base_number)
 
 
 @record(62)
 class FeedHeartbeat(Record):
-    """The sender's sureness: ms since the primary was last confirmed.
-
-    ``sent_at_ms``: ms of the sender's steady clock. What a later pulse takes longer
-    than the quickest one was held up on its way, and adds to the age.
+    """Tells a follower that its source lives, and how recently the primary was confirmed.
+
+    Attributes
+    ----------
+    configuration_epoch, configuration_number
+        See ``configuration_version``.
+    confirmation_age_ms
+        Milliseconds since a majority last confirmed the primary, or ``UNCONFIRMED``.
+    sent_at_ms
+        Milliseconds of the sender's monotonic clock. Only differences mean
+        anything: a heartbeat that took longer than the quickest one was
+        delayed, and the delay adds to the age.
     """
 
     configuration_epoch: UInt64
@@ -64,10 +113,10 @@
     sent_at_ms: UInt64
 
     @property
-    def configuration_version(self):
-        """The newest policy's version that the sender has or has heard of.
+    def configuration_version(self) -> Version:
+        """The newest version of the configuration that the sender has or has heard of.
 
-        A follower that holds an older one is not up to date, however lately
-        the primary was confirmed.
+        A follower with an older one is not up to date, however recently the
+        primary was confirmed.
         """
         return (self.configuration_epoch, self.configuration_number)
--- a/sparloom/feed/store.py
+++ b/sparloom/feed/store.py
@@ -1,134 +1,232 @@
-"""The machines behind the feed: what is held, what a follower lacks, when to move on."""
+"""Decisions of the feed, without I/O: what is stored, what a follower lacks, when to change the source."""
+
+from __future__ import annotations
 
 from datetime import timedelta
+from typing import TYPE_CHECKING
 
 from attrs import define, field
 
 from .records import CONFIGURATION, ENDPOINTS, NO_VERSION, UNCONFIRMED, Change, Subscribe
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Collection, Mapping, Sequence
 
-@define(slots=True)
-class VersionedItem:
-    """A topic's newest state, and the small changes that led to it.
+    from .records import Version
 
-    ``made``: the whole state's bytes, or a function that makes them when they
-    are first asked for. ``size``: their size when last known.
+_MILLISECOND = timedelta(milliseconds=1)
 
+
+@define(slots=True)
+class VersionedItem:
+    """A topic's newest snapshot and the deltas that led to it.
+
+    Attributes
+    ----------
+    version
+        The version of the snapshot.
+    source
+        The snapshot's payload, or a function that encodes it when it is first needed.
+    deltas
+        Deltas, each with the version of the one before as its base; the last one leads to ``version``.
+    size
+        Bytes of the snapshot's payload; of an earlier one until ``source`` was called.
+
+    Examples
+    --------
     >>> VersionedItem((1, 1), lambda: b"x").payload
     b'x'
     """
 
-    version: tuple
-    made: object
-    steps: tuple = ()
+    version: Version
+    source: bytes | Callable[[], bytes]
+    deltas: tuple[Change, ...] = ()
     size: int = 0
 
     @property
-    def payload(self):
-        """The whole state's bytes.
+    def payload(self) -> bytes:
+        """The snapshot's payload.
 
+        Examples
+        --------
         >>> VersionedItem((1, 1), b"x").payload
         b'x'
         """
-        if callable(self.made):
-            self.made = self.made()
-            self.size = len(self.made)
-        return self.made
-
-
-def _tail(steps, most):
-    """The last steps that together are no larger than the whole."""
-    size, n = 0, 0
-    for _, _, step in reversed(steps):
-        size += len(step)
-        if size > most:
+        if not isinstance(self.source, bytes):
+            self.source = self.source()
+            self.size = len(self.source)
+        return self.source
+
+
+def _within_size(deltas: Sequence[Change], limit: int) -> tuple[Change, ...]:
+    """The longest run of the last deltas that together have at most ``limit`` bytes."""
+    size, count = 0, 0
+    for delta in reversed(deltas):
+        size += len(delta.payload)
+        if size > limit:
             break
-        n += 1
-    return tuple(steps[len(steps) - n :])
+        count += 1
+    return tuple(deltas[len(deltas) - count :])
 
 
 @define(slots=True)
 class VersionedStore:
-    """The newest state of each topic; it never goes back a version.
-
-    Steps are kept while they are together smaller than the whole state, and
-    ``keep`` at most.
-
-    >>> s = VersionedStore(); s.put(CONFIGURATION, (1, 1), b"x"), s.put(CONFIGURATION, (1, 1), b"y")
+    """The newest state of each topic; its version never goes back.
+
+    Deltas are kept while they are together no larger than the snapshot: beyond
+    that a follower is better served with the snapshot.
+
+    Attributes
+    ----------
+    items
+        The state of each topic that has one.
+    maximum_deltas
+        How many deltas of a topic are kept at most.
+
+    Examples
+    --------
+    >>> store = VersionedStore()
+    >>> store.put(CONFIGURATION, (1, 1), b"x"), store.put(CONFIGURATION, (1, 1), b"y")
     (True, False)
     """
 
-    items: dict = field(factory=dict)
-    keep: int = 16
+    items: dict[int, VersionedItem] = field(factory=dict)
+    maximum_deltas: int = 16
 
-    def version(self, topic):
-        """The version held of a topic.
+    def version(self, topic: int) -> Version:
+        """The version of a topic's state; ``NO_VERSION`` before the first.
 
+        Examples
+        --------
         >>> VersionedStore().version(ENDPOINTS)
         (0, 0)
         """
         return self.items[topic].version if topic in self.items else NO_VERSION
 
-    def put(self, topic, version, payload, step=None):
-        """Takes a newer state; ``step`` is the change from the one before, if small.
-
-        ``payload``: the whole state's bytes, or a function that makes them.
-
+    def put(
+        self, topic: int, version: Version, payload: bytes | Callable[[], bytes], delta: bytes | None = None
+    ) -> bool:
+        """Takes a newer state; whether it was newer.
+
+        Parameters
+        ----------
+        topic, version
+            What the state is of, and its version.
+        payload
+            The snapshot's payload, or a function that encodes it when it is first needed.
+        delta
+            The payload of the delta from the state before, where there is one worth keeping.
+
+        Examples
+        --------
         >>> VersionedStore().put(ENDPOINTS, (0, 0), b"")
         False
         """
         old = self.items.get(topic)
-        if version <= (old.version if old else NO_VERSION):
+        if version <= self.version(topic):
             return False
-        size = old.size if callable(payload) and old else 0 if callable(payload) else len(payload)
-        steps = (
-            _tail((*old.steps, (old.version, version, step))[-self.keep :], size) if old and step is not None else ()
-        )
-        self.items[topic] = VersionedItem(version, payload, steps, size)
+        last_size = old.size if old else 0
+        size = len(payload) if isinstance(payload, bytes) else last_size
+        deltas: tuple[Change, ...] = ()
+        if old and delta is not None:
+            newest = Change(topic, *version, *old.version, delta)
+            deltas = _within_size((*old.deltas, newest)[-self.maximum_deltas :], size)
+        self.items[topic] = VersionedItem(version, payload, deltas, size)
         return True
 
-    def changes_after(self, place):
-        """The changes that bring a follower up from its place.
-
-        >>> s = VersionedStore(); _ = s.put(CONFIGURATION, (1, 1), b"a"); _ = s.put(CONFIGURATION, (1, 2), b"ab", b"+b")
-        >>> [(c.payload, c.base) for c in s.changes_after({CONFIGURATION: (1, 1)})], [c.payload for c in s.changes_after({})]
-        ([(b'+b', (1, 1))], [b'ab'])
+    def changes_after(self, versions: Mapping[int, Version]) -> list[Change]:
+        """The changes that bring a follower up to date.
+
+        Parameters
+        ----------
+        versions
+            The follower's version of each topic; a missing one is ``NO_VERSION``.
+
+        Examples
+        --------
+        >>> store = VersionedStore()
+        >>> store.put(CONFIGURATION, (1, 1), b"a"), store.put(CONFIGURATION, (1, 2), b"ab", b"+b")
+        (True, True)
+        >>> [(change.payload, change.base) for change in store.changes_after({CONFIGURATION: (1, 1)})]
+        [(b'+b', (1, 1))]
+        >>> [change.payload for change in store.changes_after({})]
+        [b'ab']
         """
-        return [c for t in sorted(self.items) for c in self._changes_after(t, place.get(t, NO_VERSION))]
-
-    def _changes_after(self, topic, at):
-        it = self.items[topic]
-        if at >= it.version:
-            return []
-        tail = next((it.steps[i:] for i, s in enumerate(it.steps) if s[0] == at), None)
-        if tail is None:
-            return [Change(topic, *it.version, 0, 0, it.payload)]
-        return [Change(topic, *new, *old, step) for old, new, step in tail]
-
-    def is_behind(self, place):
-        """Whether there is news for a follower at this place.
-
-        >>> s = VersionedStore(); _ = s.put(CONFIGURATION, (1, 1), b"a"); s.is_behind({}), s.is_behind({CONFIGURATION: (1, 1)})
+        changes: list[Change] = []
+        for topic in sorted(self.items):
+            changes += self._topic_changes(topic, versions.get(topic, NO_VERSION))
+        return changes
+
+    def _topic_changes(self, topic: int, version: Version) -> Sequence[Change]:
+        item = self.items[topic]
+        if version >= item.version:
+            return ()
+        for index, delta in enumerate(item.deltas):
+            if delta.base == version:
+                return item.deltas[index:]
+        return (Change(topic, *item.version, *NO_VERSION, item.payload),)
+
+    def is_behind(self, versions: Mapping[int, Version]) -> bool:
+        """Whether a follower with these versions lacks a change.
+
+        Examples
+        --------
+        >>> store = VersionedStore()
+        >>> store.put(CONFIGURATION, (1, 1), b"a")
+        True
+        >>> store.is_behind({}), store.is_behind({CONFIGURATION: (1, 1)})
         (True, False)
         """
-        return any(it.version > place.get(t, NO_VERSION) for t, it in self.items.items())
+        return any(item.version > versions.get(topic, NO_VERSION) for topic, item in self.items.items())
 
-    def subscription(self, node, resync=()):
-        """The record with which to start following; topics of ``resync`` are asked for whole.
+    def subscription(self, node: str, resync: Collection[int] = ()) -> Subscribe:
+        """The record with which a node starts to follow.
 
-        >>> VersionedStore().subscription("r").versions
-        {0: (0, 0), 1: (0, 0)}
+        Parameters
+        ----------
+        node
+            The node's name.
+        resync
+            Topics whose snapshot is wanted whatever version is stored.
+
+        Examples
+        --------
+        >>> VersionedStore().subscription("router-1").versions[ENDPOINTS]
+        (0, 0)
         """
-        at = {t: NO_VERSION if t in resync else self.version(t) for t in (CONFIGURATION, ENDPOINTS)}
-        return Subscribe(node, *at[CONFIGURATION], *at[ENDPOINTS])
+        versions = {
+            topic: NO_VERSION if topic in resync else self.version(topic) for topic in (CONFIGURATION, ENDPOINTS)
+        }
+        return Subscribe(node, *versions[CONFIGURATION], *versions[ENDPOINTS])
 
 
 @define(slots=True)
 class SourceTracker:
-    """A follower's judgement of the one that it follows.
-
-    Silence, or word that the other itself is cut from the primary, sends the
-    follower on to the next one.
+    """A follower's view of its source, and whether to change to another one.
+
+    A follower changes when its source is silent, or reports that it has itself
+    lost contact with the primary. All times are of the follower's monotonic clock.
+
+    Attributes
+    ----------
+    timeout
+        How long the source may be silent.
+    maximum_age
+        How old the last confirmation of the primary may be. A source that has
+        none yet is given the same time from ``started_at``.
+    started_at
+        When this source was first followed.
+    last_message_at
+        When the last heartbeat or change arrived.
+    reported_age
+        Age of the confirmation at the last heartbeat, with the delay of that
+        heartbeat; None when the source knows of none.
+    heartbeats
+        How many heartbeats this source has sent.
+    clock_offset
+        The smallest difference seen between this clock and the source's.
+    confirmed_at
+        The latest time at which any source is known to have had the primary confirmed.
     """
 
     timeout: timedelta
@@ -137,86 +235,128 @@
     last_message_at: timedelta = timedelta(0)
     reported_age: timedelta | None = None
     heartbeats: int = 0
-    offset: timedelta | None = None
-    confirmed: timedelta | None = None
+    clock_offset: timedelta | None = None
+    confirmed_at: timedelta | None = None
 
-    def start(self, now):
-        """Another one is followed.
+    def start(self, now: timedelta) -> None:
+        """Begins with another source; only ``confirmed_at`` outlasts the change.
 
+        Examples
+        --------
         >>> SourceTracker(timedelta(1), timedelta(1)).start(timedelta(0))
         """
         self.started_at = self.last_message_at = now
-        self.reported_age, self.heartbeats, self.offset = None, 0, None
-
-    def on_heartbeat(self, now, ms, sent=None):
-        """A pulse came; ``sent``: ms of the sender's clock, by which delay on the way is seen.
-
-        >>> t = SourceTracker(timedelta(1), timedelta(1)); S = timedelta(seconds=1)
-        >>> t.on_heartbeat(9 * S, 5, 1000), t.on_heartbeat(11 * S, 5, 2000), t.reported_age
-        (None, None, datetime.timedelta(seconds=1, microseconds=5000))
+        self.reported_age, self.heartbeats, self.clock_offset = None, 0, None
+
+    def on_heartbeat(self, now: timedelta, age_ms: int, sent_at_ms: int | None = None) -> None:
+        """Takes a heartbeat.
+
+        Parameters
+        ----------
+        now
+            When it arrived.
+        age_ms
+            Its ``confirmation_age_ms``.
+        sent_at_ms
+            The sender's clock; the delay on the way, beyond that of the quickest heartbeat, adds to the age.
+
+        Examples
+        --------
+        >>> tracker, second = SourceTracker(timedelta(1), timedelta(1)), timedelta(seconds=1)
+        >>> tracker.on_heartbeat(9 * second, 5, 1000)
+        >>> tracker.on_heartbeat(11 * second, 5, 2000)
+        >>> tracker.reported_age
+        datetime.timedelta(seconds=1, microseconds=5000)
         """
         self.last_message_at = now
         self.heartbeats += 1
-        lag = timedelta(0)
-        if sent is not None:
-            way = now - timedelta(milliseconds=sent)
-            self.offset = way if self.offset is None else min(way, self.offset)
-            lag = way - self.offset
-        self.reported_age = None if ms == UNCONFIRMED else timedelta(milliseconds=ms) + lag
-        if self.reported_age is not None:
-            at = now - self.reported_age
-            self.confirmed = at if self.confirmed is None else max(at, self.confirmed)
-
-    def on_change(self, now):
-        """A change came.
-
+        delay = timedelta(0) if sent_at_ms is None else self._delay(now, sent_at_ms)
+        if age_ms == UNCONFIRMED:
+            self.reported_age = None
+            return
+        self.reported_age = timedelta(milliseconds=age_ms) + delay
+        confirmed_at = now - self.reported_age
+        self.confirmed_at = confirmed_at if self.confirmed_at is None else max(confirmed_at, self.confirmed_at)
+
+    def _delay(self, now: timedelta, sent_at_ms: int) -> timedelta:
+        """How much longer than the quickest heartbeat of this source one took."""
+        offset = now - timedelta(milliseconds=sent_at_ms)
+        self.clock_offset = offset if self.clock_offset is None else min(offset, self.clock_offset)
+        return offset - self.clock_offset
+
+    def on_change(self, now: timedelta) -> None:
+        """Takes note that a change arrived.
+
+        Examples
+        --------
         >>> SourceTracker(timedelta(1), timedelta(1)).on_change(timedelta(0))
         """
         self.last_message_at = now
 
-    def confirmation_age(self, now):
-        """How old the sureness of the one followed is, or None.
+    def confirmation_age(self, now: timedelta) -> timedelta | None:
+        """Age of the confirmation that the present source has; None when it knows of none.
 
+        Examples
+        --------
         >>> SourceTracker(timedelta(1), timedelta(1)).confirmation_age(timedelta(0)) is None
         True
         """
         return None if self.reported_age is None else self.reported_age + (now - self.last_message_at)
 
-    def last_confirmed_age(self, now):
-        """How long ago the primary was confirmed, by whatever was ever heard, or None.
+    def last_confirmed_age(self, now: timedelta) -> timedelta | None:
+        """Age of the latest confirmation that any source reported; None when none did.
 
-        >>> t = SourceTracker(timedelta(1), timedelta(1)); t.on_heartbeat(timedelta(0), 0); t.start(timedelta(1)); t.last_confirmed_age(timedelta(2))
+        Examples
+        --------
+        >>> tracker = SourceTracker(timedelta(1), timedelta(1))
+        >>> tracker.on_heartbeat(timedelta(0), 0)
+        >>> tracker.start(timedelta(1))
+        >>> tracker.last_confirmed_age(timedelta(2))
         datetime.timedelta(days=2)
         """
-        return None if self.confirmed is None else max(timedelta(0), now - self.confirmed)
-
-    def time_until_move(self, now, first_heartbeat=None):
-        """How long until silence or age may send the follower on; ``first_heartbeat``: bound for the first pulse.
-
-        >>> t = SourceTracker(timedelta(seconds=1), timedelta(seconds=1)); t.start(timedelta(0)); t.time_until_move(timedelta(0))
+        return None if self.confirmed_at is None else max(timedelta(0), now - self.confirmed_at)
+
+    def time_until_move(self, now: timedelta, first_heartbeat: timedelta | None = None) -> timedelta:
+        """How long to wait for a message before ``should_move`` can become true.
+
+        Parameters
+        ----------
+        now
+            The present time.
+        first_heartbeat
+            How long the source may take for its first heartbeat; None for no such limit.
+
+        Examples
+        --------
+        >>> tracker = SourceTracker(timedelta(seconds=1), timedelta(seconds=1))
+        >>> tracker.time_until_move(timedelta(0))
         datetime.timedelta(seconds=1, microseconds=1000)
         """
-        ends = [self.last_message_at + self.timeout]
-        if first_heartbeat is not None and not self.heartbeats:
-            ends.append(self.started_at + first_heartbeat)
+        deadlines = [self.last_message_at + self.timeout]
         if self.heartbeats:
-            ends.append(
-                max(
-                    self.started_at + self.maximum_age,
-                    self.last_message_at + self.maximum_age - self.reported_age
-                    if self.reported_age is not None
-                    else self.started_at,
-                )
-            )
-        return max(min(ends) - now, timedelta(0)) + timedelta(milliseconds=1)
-
-    def should_move(self, now):
-        """Whether to try another one.
-
-        >>> t = SourceTracker(timedelta(seconds=1), timedelta(seconds=1)); t.start(timedelta(0)); t.should_move(timedelta(seconds=2))
+            deadlines.append(self._stale_at())
+        elif first_heartbeat is not None:
+            deadlines.append(self.started_at + first_heartbeat)
+        return max(min(deadlines) - now, timedelta(0)) + _MILLISECOND
+
+    def _stale_at(self) -> timedelta:
+        """When the confirmation of the present source becomes too old."""
+        earliest = self.started_at + self.maximum_age
+        if self.reported_age is None:
+            return earliest
+        return max(earliest, self.last_message_at + self.maximum_age - self.reported_age)
+
+    def should_move(self, now: timedelta) -> bool:
+        """Whether to follow another source.
+
+        Examples
+        --------
+        >>> tracker = SourceTracker(timedelta(seconds=1), timedelta(seconds=1))
+        >>> tracker.should_move(timedelta(seconds=2))
         True
         """
         if now - self.last_message_at > self.timeout:
             return True
-        sure = self.confirmation_age(now)
-        return now - self.started_at > self.maximum_age and (sure is None or sure > self.maximum_age)
+        age = self.confirmation_age(now)
+        is_stale = age is None or age > self.maximum_age
+        return is_stale and now - self.started_at > self.maximum_age
