--- a/simulator/isolation.py
+++ b/simulator/isolation.py
@@ -113,7 +113,9 @@
         old = self.runners.get(i)
         life = old.life + 1 if old else 0
         if old:
+            began = self.loop.time()
             await old.runner.stop()
+            self.books.runner_ends.append((began, self.loop.time()))
         host = f"127.4.0.{i + 1}"
         runner = KeepingRunner(id=f"i-{i}-{life}", events=4, pause=0.005, books=self.books)
         HOST.set(host)
--- a/simulator/rivals.py
+++ b/simulator/rivals.py
@@ -31,7 +31,8 @@
 
     ``public``: ids of parts that all may share. ``crossed``: parts found that
     another member's prompt had left, as (runner, part, finder, first reader).
-    ``broken``: requests that a runner's end broke off.
+    ``broken``: requests that a runner's end broke off. ``runner_ends``: when
+    runners ended, as (begin, end) in seconds of the loop.
     """
 
     public: frozenset
@@ -41,6 +42,15 @@
     reads: int = 0
     crossed: list = field(factory=list)
     broken: set = field(factory=set)
+    runner_ends: list = field(factory=list)
+
+    def runner_ended_during(self, began, ended):
+        """Whether a runner ended between two times of the loop.
+
+        >>> Books(frozenset(), runner_ends=[(2.0, 3.0)]).runner_ended_during(2.5, 2.6)
+        True
+        """
+        return any(first <= ended and began <= last for first, last in self.runner_ends)
 
     def lookup(self, runner, member, prompt):
         """Looks a prompt up in a runner's cache and leaves it there; gives the tokens that had to be read.
@@ -146,12 +156,21 @@
             return outcome.ended - outcome.began
         if outcome.refused:
             self.seen.refused += 1
-        elif router_lived and outcome.id not in self.books.broken:
-            self.seen.lost.append(outcome.id)
-        else:
+        elif not router_lived or outcome.id in self.books.broken or self._failed_by_runner(outcome):
             self.seen.cut += 1
+        else:
+            self.seen.lost.append(outcome.id)
         return None
 
+    def _failed_by_runner(self, outcome):
+        """Whether a complete 502 came while a runner ended.
+
+        The request may have been on its way to that runner, which read none of
+        it: the runner's books don't know it, and the router can't tell.
+        """
+        complete = outcome.whole and outcome.status == 502
+        return complete and self.books.runner_ended_during(outcome.began, outcome.ended)
+
     def start(self, work):
         """Does some work in a task that is waited for at the end."""
         task = asyncio.ensure_future(work)
--- a/tests/isolation/test_isolation.py
+++ b/tests/isolation/test_isolation.py
@@ -7,7 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from simulator.clients import Outcome
 from simulator.isolation import play_isolation
+from simulator.rivals import Books, Clients
 from sparloom.isolation import COMMON, Generation, Isolation, part_ids
 from sparloom.load_balancing import parse_parts
 from sparloom.router.router_state import RouterState
@@ -224,6 +226,29 @@
             self.assertEqual(rig.know.lines.member(mine), "z")
 
 
+class Judging(unittest.TestCase):
+    """What the clients' judge makes of a request that was neither answered nor refused."""
+
+    def judged(self, **seen):
+        books = Books(frozenset(), runner_ends=[(10.0, 10.2)])
+        clients = Clients(1, list, lambda address: 0, books)
+        clients._count(Outcome("id", 0.0, 0.0, **seen), True)
+        return clients.seen
+
+    def test_a_502_while_a_runner_ends_is_that_runners(self):
+        seen = self.judged(status=502, whole=True, ended=10.1)
+        self.assertEqual((seen.cut, seen.lost), (1, []))
+
+    def test_a_502_at_any_other_time_is_lost(self):
+        seen = self.judged(status=502, whole=True, ended=9.9)
+        self.assertEqual((seen.cut, seen.lost), (0, ["id"]))
+
+    def test_no_whole_answer_is_lost_though_a_runner_ends(self):
+        for status in (0, 200, 502):
+            seen = self.judged(status=status, whole=False, ended=10.1)
+            self.assertEqual((seen.cut, seen.lost), (0, ["id"]))
+
+
 class Rivals(unittest.TestCase):
     def test_nothing_crosses_in_a_played_fleet(self):
         played = play_isolation(1)
