--- a/simulator/timeline.py
+++ b/simulator/timeline.py
@@ -64,7 +64,7 @@
         EVENTS[cmd](core, n)
         return
     acts = {
-        "yield": lambda: core.act(n, led.hand_over(core.now)),
+        "yield": lambda: core.act(n, led.transfer_leadership(core.now)),
         "write": lambda: test.assertTrue(core.write(int(arg), n), f"{at}: acknowledged"),
         "unwritten": lambda: test.assertFalse(core.write(int(arg), n, 800), f"{at}: must not acknowledge"),
         "lead": lambda: test.assertTrue(led.leading(), f"{at} leads"),
--- a/sparloom/consensus/actions.py
+++ b/sparloom/consensus/actions.py
@@ -87,3 +87,7 @@
 @define(frozen=True, slots=True)
 class LeaveCompleted:
     """A planned leave is complete: nothing rests on this member any more."""
+
+
+# What a member asks of its service.
+Action = Send | Save | Committed | Aborted | ReadConfirmed | LeaveCompleted
--- a/sparloom/consensus/message_handlers.py
+++ b/sparloom/consensus/message_handlers.py
@@ -1,6 +1,9 @@
-"""What a member does with each kind of record."""
+"""What a member does with each kind of message."""
+
+from __future__ import annotations
 
 from functools import singledispatch
+from typing import TYPE_CHECKING
 
 from .actions import Send
 from .records import (
@@ -20,150 +23,159 @@
     Released,
     TransferLeadership,
 )
+from .view_change import may_release
+
+if TYPE_CHECKING:
+    from sparloom.codec import Record
+
+    from .actions import Action
+    from .member import ConsensusMember
 
 
 @singledispatch
-def take(record, ledger):
-    """Gives the actions that follow from a record; one of no known kind is dropped."""
+def handle(message: Record, consensus: ConsensusMember) -> list[Action]:
+    """Gives the actions that follow from a message; one of no known kind is dropped.
+
+    Parameters
+    ----------
+    message
+        What another member sent; those of an earlier epoch are refused or dropped.
+    consensus
+        The member that received it, with its clock at the time of receipt.
+    """
     return []
 
 
-@take.register
-def _(record: Hello, ledger):
-    member = record.member
-    if record.initial and record.empty_disk and not ledger.view and (member.host, member.port) in ledger.genesis:
-        ledger.hellos[member.id] = (member, ledger.now)
+# -- first start ----------------------------------------------------------------
+@handle.register(Hello)
+def _(message: Hello, consensus: ConsensusMember) -> list[Action]:
+    member = message.member
+    founder = message.initial and message.empty_disk and (member.host, member.port) in consensus.genesis
+    if founder and not consensus.view:
+        consensus.known_founders[member.id] = member
     return []
 
 
-@take.register
-def _(record: Prepare, ledger):
-    replica = ledger.replica
-    if replica.is_outdated(record.epoch) or (ledger.hears_primary() and not record.forced):
-        return [Send(record.candidate, replica.promise_answer(record.epoch, False, ledger.register))]
-    if record.epoch == ledger.register.promised_epoch:
-        done = replica.is_promise_durable(record.epoch)
-        return [Send(record.candidate, replica.durable_promise(record.epoch))] if done else []
-    return [*ledger.follow_epoch(record.epoch), replica.grant_promise(record)]
-
-
-@take.register
-def _(record: PreVote, ledger):
-    return [Send(record.candidate, ledger.replica.pre_vote_answer(record.round, not ledger.hears_primary()))]
-
-
-@take.register
-def _(record: PreVoteAnswer, ledger):
-    ledger.highest_epoch = max(ledger.highest_epoch, record.promised_epoch)
-    if not record.granted and record.view:
-        ledger.learn(record.view)
-    return ledger.pre_voting.on_answer(record) if ledger.pre_voting else []
-
-
-@take.register
-def _(record: Promise, ledger):
-    ledger.highest_epoch = max(ledger.highest_epoch, record.promised_epoch)
-    if not record.granted and record.view:
-        ledger.learn(record.view)
-    return ledger.election.on_promise(record) if ledger.election else []
-
-
-@take.register
-def _(record: Heartbeat, ledger):
-    ok = not ledger.replica.is_outdated(record.epoch)
-    if ok:
-        ledger.heard, ledger.heartbeat_epoch, ledger.attempts = ledger.now, record.epoch, 0
-        ledger.pre_voting = None
-    active = ok and ledger.register.view_epoch == record.epoch
-    ack = HeartbeatAck(ledger.member.id, record.epoch, record.sequence, ok, active, ledger.register.promised_epoch)
-    return ledger.send_to(record.sender, ack)
-
-
-@take.register
-def _(record: Activate, ledger):
-    replica = ledger.replica
-    if replica.is_outdated(record.view.epoch):
-        return [replica.reject_activation(record.view)]
-    ledger.heard = ledger.now
-    if replica.is_activated(record):
-        return replica.repeat_activation(record.view)
-    lost = ledger.follow_epoch(record.view.epoch)
-    ledger.hint = None
-    return [*lost, replica.activate(record)]
-
-
-@take.register
-def _(record: Copy, ledger):
-    replica = ledger.replica
-    if replica.is_outdated(record.view.epoch):
-        return [replica.reject_copy(record)]
-    if not replica.is_newest_copy(record):
-        return []
-    lost = ledger.follow_epoch(record.view.epoch)
-    ledger.heard = ledger.now
-    return [*lost, replica.store_copy(record)]
-
-
-@take.register
-def _(record: TransferLeadership, ledger):
-    if record.leaving:
-        ledger.membership.record_leave(record.sender, ledger.now)
-    ledger.learn(record.view)
-    busy = ledger.leadership or ledger.election or record.epoch < ledger.register.view_epoch
-    if (
-        busy
-        or not ledger.voter
-        or ledger.membership.is_suspected(ledger.member.id, ledger.now, ledger.spans.removal_timeout)
-    ):
-        return []
-    return ledger.stand(forced=True)
+# -- elections ------------------------------------------------------------------
+@handle.register(PreVote)
+def _(message: PreVote, consensus: ConsensusMember) -> list[Action]:
+    granted = not consensus.hears_primary()
+    return [Send(message.candidate, consensus.replica.pre_vote_answer(message.round, granted))]
+
 
+@handle.register(Prepare)
+def _(message: Prepare, consensus: ConsensusMember) -> list[Action]:
+    replica, epoch = consensus.replica, message.epoch
+    if replica.is_outdated(epoch) or (consensus.hears_primary() and not message.forced):
+        return [Send(message.candidate, replica.promise_answer(epoch, False, consensus.register))]
+    if epoch != consensus.register.promised_epoch:
+        return [*consensus.follow_epoch(epoch), replica.grant_promise(message)]
+    # A repeated request. While the promise is on its way to the disk, its save brings the answer.
+    return [Send(message.candidate, replica.durable_promise(epoch))] if replica.is_promise_durable(epoch) else []
 
-@take.register
-def _(record: HeartbeatAck, ledger):
-    ledger.highest_epoch = max(ledger.highest_epoch, record.promised_epoch)
-    return ledger.leadership.on_heartbeat_ack(record) if ledger.leadership else []
 
+@handle.register(PreVoteAnswer)
+def _(message: PreVoteAnswer, consensus: ConsensusMember) -> list[Action]:
+    _learn_from_vote(message, consensus)
+    return consensus.pre_voting.on_answer(message) if consensus.pre_voting else []
 
-@take.register
-def _(record: CopyAck, ledger):
-    ledger.highest_epoch = max(ledger.highest_epoch, record.promised_epoch)
-    return ledger.leadership.on_kept(record) if ledger.leadership else []
 
+@handle.register(Promise)
+def _(message: Promise, consensus: ConsensusMember) -> list[Action]:
+    _learn_from_vote(message, consensus)
+    return consensus.election.on_promise(message) if consensus.election else []
 
-@take.register
-def _(record: Activated, ledger):
-    ledger.highest_epoch = max(ledger.highest_epoch, record.promised_epoch)
-    if not ledger.leadership:
+
+def _learn_from_vote(message: PreVoteAnswer | Promise, consensus: ConsensusMember) -> None:
+    """Takes note of the epoch and, from a refusal, of the view that another member reports."""
+    consensus.observe_promised_epoch(message.promised_epoch)
+    if not message.granted and message.view:
+        consensus.learn_view(message.view)
+
+
+@handle.register(TransferLeadership)
+def _(message: TransferLeadership, consensus: ConsensusMember) -> list[Action]:
+    if message.leaving:
+        consensus.membership.record_leave(message.sender, consensus.now)
+    consensus.learn_view(message.view)
+    if consensus.leadership or consensus.election or message.epoch < consensus.register.view_epoch:
+        # It is sent several times, and may arrive after the epoch that it brought about.
         return []
-    if record.accepted and record.epoch == ledger.leadership.epoch:
-        ledger.membership.record_activation(record.sender, record.epoch, ledger.now)
-    return ledger.leadership.on_activated(record)
+    slow_disk = consensus.membership.is_suspected(consensus.member.id, consensus.now, consensus.timing.removal_timeout)
+    return consensus.stand(forced=True) if consensus.voter and not slow_disk else []
+
+
+# -- messages of the primary ----------------------------------------------------
+@handle.register(Heartbeat)
+def _(message: Heartbeat, consensus: ConsensusMember) -> list[Action]:
+    epoch, register = message.epoch, consensus.register
+    accepted = not consensus.replica.is_outdated(epoch)
+    if accepted:
+        consensus.note_heartbeat(epoch)
+    active = accepted and register.view_epoch == epoch
+    ack = HeartbeatAck(consensus.member.id, epoch, message.sequence, accepted, active, register.promised_epoch)
+    return consensus.send_to(message.sender, ack)
+
+
+@handle.register(Activate)
+def _(message: Activate, consensus: ConsensusMember) -> list[Action]:
+    replica, view = consensus.replica, message.view
+    if replica.is_outdated(view.epoch):
+        return [replica.reject_activation(view)]
+    consensus.primary_heard_at = consensus.now
+    if replica.is_activated(message):
+        return replica.repeat_activation(view)
+    aborted = consensus.follow_epoch(view.epoch)
+    consensus.learned_view = None
+    return [*aborted, replica.activate(message)]
+
+
+@handle.register(Copy)
+def _(message: Copy, consensus: ConsensusMember) -> list[Action]:
+    replica = consensus.replica
+    if replica.is_outdated(message.view.epoch):
+        return [replica.reject_copy(message)]
+    if not replica.is_newest_copy(message):
+        return []
+    aborted = consensus.follow_epoch(message.view.epoch)
+    consensus.primary_heard_at = consensus.now
+    return [*aborted, replica.store_copy(message)]
+
+
+# -- answers to the primary -----------------------------------------------------
+@handle.register(Activated)
+@handle.register(CopyAck)
+@handle.register(HeartbeatAck)
+def _(message: Activated | CopyAck | HeartbeatAck, consensus: ConsensusMember) -> list[Action]:
+    consensus.observe_promised_epoch(message.promised_epoch)
+    return consensus.leadership.on_ack(message) if consensus.leadership else []
 
 
-@take.register
-def _(record: Join, ledger):
-    member = record.member
-    if member.id == ledger.member.id or ledger.leading() and member.id in ledger.leadership.view.ids:
+# -- changes of the membership --------------------------------------------------
+@handle.register(Join)
+def _(message: Join, consensus: ConsensusMember) -> list[Action]:
+    member, leadership = message.member, consensus.serving_leadership
+    if member.id == consensus.member.id or leadership and member.id in leadership.view.ids:
         return []
-    learner = ledger.membership.record_join(member, record.initial, ledger.now)
-    if not ledger.leading() or learner.ready_epoch == ledger.leadership.epoch:
+    learner = consensus.membership.record_join(member, message.initial, consensus.now)
+    if leadership is None or learner.ready_epoch == leadership.epoch:
         return []
-    return [Send(member, Activate(ledger.member.id, ledger.leadership.view, ledger.leadership.settled))]
+    return [Send(member, Activate(consensus.member.id, leadership.view, leadership.committed))]
 
 
-@take.register
-def _(record: Leave, ledger):
-    member = record.member
-    ledger.membership.record_leave(member.id, ledger.now)
-    if not ledger.leading() or not ledger.leadership.may_release(member.id):
+@handle.register(Leave)
+def _(message: Leave, consensus: ConsensusMember) -> list[Action]:
+    member, leadership = message.member, consensus.serving_leadership
+    consensus.membership.record_leave(member.id, consensus.now)
+    if leadership is None or not may_release(leadership, member.id):
         return []
-    return [Send(member, Released(ledger.member.id, member.id, ledger.leadership.epoch))]
+    return [Send(member, Released(consensus.member.id, member.id, leadership.epoch))]
 
 
-@take.register
-def _(record: Released, ledger):
-    leave = ledger.planned_leave
-    if not leave or leave.released or record.member_id != ledger.member.id:
+@handle.register(Released)
+def _(message: Released, consensus: ConsensusMember) -> list[Action]:
+    leave = consensus.planned_leave
+    if not leave or leave.released or message.member_id != consensus.member.id:
         return []
-    return leave.release() if record.epoch >= ledger.register.promised_epoch else []
+    # The word of a primary that was deposed meanwhile does not count: a later view may need this member.
+    return leave.release() if message.epoch >= consensus.register.promised_epoch else []
--- a/sparloom/consensus/reconfiguration.py
+++ b/sparloom/consensus/reconfiguration.py
@@ -123,7 +123,7 @@
     def step(self):
         """What is due."""
         consensus = self.consensus
-        if self.released or consensus.now - self.sent_at < consensus.spans.resend_interval:
+        if self.released or consensus.now - self.sent_at < consensus.timing.resend_interval:
             return []
         if consensus.leadership:
             return self._as_primary()
@@ -144,10 +144,10 @@
         if not staying:
             return self.release()
         backups = [i for i in leadership.view.backups if i in staying]
-        near = [i for i in backups if not leadership.late(i, consensus.spans.election_timeout)]
+        near = [i for i in backups if not leadership.late(i, consensus.timing.election_timeout)]
         if not near or leadership.write is not None:
             return []
-        return consensus.hand_over(consensus.now, leaving=True)
+        return consensus.transfer_leadership(consensus.now, leaving=True)
 
     def release(self):
         """This member may end."""
--- a/sparloom/consensus/views.py
+++ b/sparloom/consensus/views.py
@@ -1,11 +1,17 @@
 """Pure functions about views: majorities, backups, rosters."""
 
+from __future__ import annotations
+
 from hashlib import blake2b
+from typing import TYPE_CHECKING
 
 from attrs import define
 
 from .records import Member, Roster, View
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 MAXIMUM_VOTERS = 9
 # Ids of founders have this bit; those drawn by lot are shorter.
 FOUNDER_BIT = 1 << 60
@@ -65,6 +71,15 @@
     return int.from_bytes(blake2b(text.encode(), digest_size=7).digest()) | FOUNDER_BIT
 
 
+def members_by_id(views: Iterable[View | None]) -> dict[int, Member]:
+    """The voters of some views, those of previous rosters too, by id; a later view's entry replaces an earlier one's.
+
+    >>> members_by_id([None, View(1, 1, [], [Member(1, "h", 1, "z", "")], [])])[1].host
+    'h'
+    """
+    return {member.id: member for view in views if view for member in view.members}
+
+
 def first_view(genesis, known):
     """The view before the first one: the first roster, with what its ``known`` members say of themselves.
 
--- a/sparloom/controller/consensus_service.py
+++ b/sparloom/controller/consensus_service.py
@@ -196,7 +196,7 @@
 
     async def _pump(self, key, line):
         """Writes copies as they come; a copy may take as long as its bytes make way."""
-        spans, frames = self.ledger.spans, None
+        spans, frames = self.ledger.timing, None
         try:
             frames = await dial(*key, spans.election_timeout)
             while True:
--- a/sparloom/controller/feed_server.py
+++ b/sparloom/controller/feed_server.py
@@ -54,7 +54,7 @@
     def sureness(self):
         """ms since the primary was last confirmed, as known here."""
         now, led = monotonic(), self.core.ledger
-        age = led.sure_since(now) if led.leading() else self.tracker.known(now)
+        age = led.confirmation_age(now) if led.leading() else self.tracker.known(now)
         return UNCONFIRMED if age is None else max(0, min(UNCONFIRMED - 1, int(age / MS)))
 
     # What ``serve_follower`` asks: pulses of the primary are passed on when they come.
--- a/tests/consensus/test_member.py
+++ b/tests/consensus/test_member.py
@@ -224,7 +224,7 @@
             c.write(5)
             n = c.leader()
             back = c.nodes[n][0].leadership.view.backups[0]
-            c.act(n, c.nodes[n][0].hand_over(c.now))
+            c.act(n, c.nodes[n][0].transfer_leadership(c.now))
             c.run(500)
             self.assertEqual(c.members[c.leader()].id, back)
             self.assertEqual(c.nodes[c.leader()][0].data.revision, 5)
--- a/tests/consensus/test_model_checker_findings.py
+++ b/tests/consensus/test_model_checker_findings.py
@@ -81,7 +81,7 @@
 
     def test_a_founder_that_knows_no_view_does_not_leave_at_once(self):
         world = World.begin(Scope())
-        play_until(world, lambda now: all(node.ledger.hellos for node in now.nodes.values()))
+        play_until(world, lambda now: all(node.ledger.known_founders for node in now.nodes.values()))
         At("leave", "a").play(world)
         self.assertFalse(world.nodes["a"].left)
 
--- a/tests/consensus/test_stateful.py
+++ b/tests/consensus/test_stateful.py
@@ -219,7 +219,7 @@
 
 
 def _confirm_the_newest(self, confirm=Leadership._confirm):
-    return [ReadConfirmed(action.id, self.ledger.data) for action in confirm(self)]
+    return [ReadConfirmed(action.id, self.consensus.data) for action in confirm(self)]
 
 
 class Mutated(unittest.TestCase):
--- a/tests/simulator/test_model_checker.py
+++ b/tests/simulator/test_model_checker.py
@@ -12,7 +12,7 @@
 from sparloom.consensus.leadership import Leadership
 from sparloom.consensus.replica import Replica
 
-_copy, _confirm, _on_kept = Replica.store_copy, Leadership._confirm, Leadership.on_kept
+_copy, _confirm, _on_copy_ack = Replica.store_copy, Leadership._confirm, Leadership.on_copy_ack
 
 
 def _promise_at_once(self, seek):
@@ -25,7 +25,7 @@
 
 
 def _confirm_the_newest(self):
-    return [ReadConfirmed(action.id, self.ledger.data) for action in _confirm(self)]
+    return [ReadConfirmed(action.id, self.consensus.data) for action in _confirm(self)]
 
 
 def _read_at_once(self, read):
@@ -34,8 +34,8 @@
 
 def _decide_with_one_copy(self, record):
     if record.epoch == self.epoch:
-        self.kept = dict.fromkeys(self.view.holders, self.ledger.data.number)
-    return _on_kept(self, record)
+        self.stored = dict.fromkeys(self.view.holders, self.consensus.data.number)
+    return _on_copy_ack(self, record)
 
 
 MUTATIONS = {
@@ -45,7 +45,7 @@
     "one promise elects": (election, "quorum", lambda ids, rosters: bool(ids)),
     "learners count in an election": (election, "quorum", lambda ids, rosters: 2 * len(ids) > len(rosters[0])),
     "who lacks the data may lead": (Election, "_holds", staticmethod(lambda basis, promise: True)),
-    "one copy decides": (Leadership, "on_kept", _decide_with_one_copy),
+    "one copy decides": (Leadership, "on_copy_ack", _decide_with_one_copy),
     "a read shows the newest data": (Leadership, "_confirm", _confirm_the_newest),
     "a read needs no heartbeat": (Leadership, "begin_read", _read_at_once),
 }
