--- a/sparloom/consensus/member.py
+++ b/sparloom/consensus/member.py
@@ -61,7 +61,7 @@
     def start(
         cls,
         member: Member,
-        kept: tuple[Register, Data] | None,
+        stored: tuple[Register, Data] | None,
         first_start: bool,
         timing: ConsensusTiming,
         rng: random.Random,
@@ -71,31 +71,22 @@
     ) -> ConsensusMember:
         """A member as its disk left it.
 
-        Parameters
-        ----------
-        member
-            Its id and addresses; a founder's id is its ``founder_id``.
-        kept
-            What its disk held; None for an empty disk.
-        first_start
-            Whether an empty disk may belong to a machine of the first start.
-        timing, rng, replicas, genesis, now
-            As the attributes.
+        ``stored``: what its disk held, None for an empty one. ``first_start``: whether an
+        empty disk may belong to a machine of the first start. A founder's id is its
+        ``founder_id``. The others are as the attributes.
 
         >>> from .actions import ConsensusTiming
         >>> from .records import Member
         >>> from .views import founder_id
         >>> import random
-        >>> timing = ConsensusTiming.of(timedelta(seconds=3))
-        >>> founder = Member(founder_id([("h", 1)], "h", 1), "h", 1, "z", "")
-        >>> consensus = ConsensusMember.start(
-        ...     founder, None, True, timing, random.Random(1), 1, {("h", 1)}, timedelta(0)
-        ... )
-        >>> consensus.founder, consensus.leading()
+        >>> timing, genesis = ConsensusTiming.of(timedelta(seconds=3)), {("h", 1)}
+        >>> founder = Member(founder_id(genesis, "h", 1), "h", 1, "z", "")
+        >>> member = ConsensusMember.start(founder, None, True, timing, random.Random(1), 1, genesis, timedelta(0))
+        >>> member.founder, member.leading()
         (True, False)
         """
-        register, data = kept or (Register(member.id, first_start, 0, [], False, 0), EMPTY)
-        replica = Replica(member, register, data, register if kept else None)
+        register, data = stored or (Register(member.id, first_start, 0, [], False, 0), EMPTY)
+        replica = Replica(member, register, data, register if stored else None)
         consensus = cls(replica, timing, rng, replicas, frozenset(genesis), now, started_at=now, primary_heard_at=now)
         consensus.highest_epoch = register.promised_epoch
         deferral = 0.5
@@ -171,10 +162,10 @@
         if self.voter and primary_lost and self.now >= self.candidacy_deferred_until:
             return self._start_pre_vote()
         if not self.voter or self.pre_vote_attempts > PRE_VOTES_BEFORE_JOIN:
-            return self._ask_to_join()
+            return self._request_join()
         return []
 
-    def _ask_to_join(self) -> list[Action]:
+    def _request_join(self) -> list[Action]:
         """Asks all that are known to be taken in; no id is named before it is on disk."""
         recently = self.now - self.announced_at <= self.timing.election_timeout / 2
         if self.durable is None or self.planned_leave or recently:
--- a/tests/consensus/test_model_checker_findings.py
+++ b/tests/consensus/test_model_checker_findings.py
@@ -1,4 +1,4 @@
-"""What the model checker found in the ledger machine, each as short as it could be made."""
+"""What the model checker found in the consensus member, each as short as it could be made."""
 
 import unittest
 
@@ -10,9 +10,9 @@
 from simulator.timeline import play
 
 
-def play_until(world, holds, skipped=lambda message: False, most=400):
+def play_until(world, holds, skipped=lambda message: False, maximum_steps=400):
     """The fair schedule, but for messages that are lost, until something holds."""
-    for _ in range(most):
+    for _ in range(maximum_steps):
         if holds(world):
             return
         move = fair(world)
@@ -20,7 +20,7 @@
             world.flight.remove(move.message)
         else:
             move.play(world)
-    raise AssertionError("not reached")
+    raise AssertionError(f"not reached within {maximum_steps} steps")
 
 
 class FoundByTheChecker(unittest.TestCase):
--- a/tests/consensus/test_stateful.py
+++ b/tests/consensus/test_stateful.py
@@ -1,6 +1,6 @@
 """Rule-based machines over a simulated core: machines come, go, are wiped, replaced and cut off, several at once.
 
-Troubles stay within what is tolerated: at most as many machines at once as there are backups, and as many disks
+Faults stay within what is tolerated: at most as many machines at once as there are backups, and as many disks
 between two repairs; power may be lost everywhere at any time. ``SPARLOOM_EXAMPLES`` plays more, with fresh luck.
 """
 
@@ -25,13 +25,13 @@
 
 
 class CoreMachine(RuleBasedStateMachine):
-    """A core of three that bears one trouble at a time."""
+    """A core of three that bears one fault at a time."""
 
     members, replicas = "abc", 1
 
     def __init__(self):
         super().__init__()
-        self.core, self.trouble, self.lost = None, set(), set()
+        self.core, self.faulty, self.lost = None, set(), set()
 
     @initialize(seed=st.integers(0, 1 << 16))
     def begin(self, seed):
@@ -50,16 +50,16 @@
         names = sorted(among)
         return names[index % len(names)] if names else None
 
-    def may_trouble(self, n):
-        """Whether one more machine may be in trouble now; a lost disk counts until all is whole again."""
+    def may_fail(self, name):
+        """Whether one more machine may fail now; a lost disk counts until all is repaired."""
         if self.lost and self.core.whole():
-            self.trouble, self.lost = self.trouble - self.lost, set()
-        return n is not None and len(self.trouble | self.lost | self.leaving() | {n}) <= self.replicas
+            self.faulty, self.lost = self.faulty - self.lost, set()
+        return name is not None and len(self.faulty | self.lost | self.leaving() | {name}) <= self.replicas
 
     def leaving(self):
         """Machines whose planned leave is not complete, also when the time for it is over."""
         nodes = self.core.nodes
-        return {n for n in nodes if nodes[n][0].planned_leave and n not in self.core.left}
+        return {name for name in nodes if nodes[name][0].planned_leave and name not in self.core.left}
 
     # -- time and calls -------------------------------------------------------
     @rule(ms=st.integers(1, 60))
@@ -75,85 +75,85 @@
     @rule(index=PICK, after=st.integers(0, 60))
     def order(self, index, after):
         """A client asks any member for a change."""
-        n = self.pick(index, self.core.here())
-        if n is not None:
-            self.core.tell("order", n)
-            self.core.order(n)
+        name = self.pick(index, self.core.here())
+        if name is not None:
+            self.core.tell("order", name)
+            self.core.order(name)
         self.core.run(after)
 
     @rule(after=st.integers(0, 60))
     def order_at_leader(self, after):
         """A client asks the primary for a change."""
-        n = self.core.leader()
-        if n is not None:
-            self.core.tell("order", n)
-            self.core.order(n)
+        name = self.core.leader()
+        if name is not None:
+            self.core.tell("order", name)
+            self.core.order(name)
         self.core.run(after)
 
-    # -- troubles ---------------------------------------------------------------
+    # -- faults -----------------------------------------------------------------
     @rule(index=PICK)
     def kill(self, index):
         """A process ends; its disk stays."""
-        n = self.pick(index, self.core.here())
-        if self.may_trouble(n):
-            self.trouble.add(n)
-            self.core.do("kill", n)
+        name = self.pick(index, self.core.here())
+        if self.may_fail(name):
+            self.faulty.add(name)
+            self.core.do("kill", name)
 
     @rule()
     def power(self):
         """All lose power, and all machines start again."""
-        names = [n for n in self.core.nodes if n not in self.core.off]
-        for n in names:
-            self.core.do("kill", n)
+        names = [name for name in self.core.nodes if name not in self.core.off]
+        for name in names:
+            self.core.do("kill", name)
         self.core.run(300)
-        for n in names:
-            self.core.do("boot", n)
+        for name in names:
+            self.core.do("boot", name)
 
     @rule(index=PICK, word=st.sampled_from(("wipe", "remove")))
     def lose_disk(self, index, word):
         """A disk is lost, of a machine that comes back or not."""
-        n = self.pick(index, self.core.here())
-        if self.may_trouble(n):
-            self.lost.add(n)
-            self.core.lose(word, n)
+        name = self.pick(index, self.core.here())
+        if self.may_fail(name):
+            self.lost.add(name)
+            self.core.lose(word, name)
 
     @rule(index=PICK, way=st.sampled_from(("cut", "cut-in", "cut-out", "stall")))
     def hinder(self, index, way):
         """Links or the disk of a machine fail for a while."""
-        n = self.pick(index, self.core.here())
-        if self.may_trouble(n):
-            self.trouble.add(n)
-            self.core.do(way, n)
+        name = self.pick(index, self.core.here())
+        if self.may_fail(name):
+            self.faulty.add(name)
+            self.core.do(way, name)
 
     @rule()
     def mend(self):
-        """What hinders machines ends, and those that are down start."""
+        """Faults of links and disks end, and machines that are down start."""
         self.core.mend()
-        self.trouble = set()
+        self.faulty = set()
 
     @precondition(lambda self: len(self.core.nodes) < MOST_MACHINES)
     @rule()
     def new_machine(self):
         """An empty machine at a new address, one more than needed at most."""
         if len(self.core.here()) <= len(self.members):
-            n = MORE_MACHINES[len(self.core.nodes) - len(self.members)]
-            self.core.do("boot", n)
+            name = MORE_MACHINES[len(self.core.nodes) - len(self.members)]
+            self.core.do("boot", name)
 
     @rule(index=PICK)
     def planned_leave(self, index):
         """A machine leaves as planned, when another one is there for it, perhaps just after a loss."""
-        n = self.pick(index, self.core.here())
-        if len(self.core.here()) > len(self.members) and not self.trouble and not self.leaving():
-            self.core.do("leave", n)
+        name = self.pick(index, self.core.here())
+        if len(self.core.here()) > len(self.members) and not self.faulty and not self.leaving():
+            self.core.do("leave", name)
 
     @rule(lost=PICK, leaver=PICK, before=st.integers(0, 100), between=st.integers(0, 100))
     def leave_just_after_a_loss(self, lost, leaver, before, between):
         """A disk is lost, machines come for it and for one that leaves, and it leaves at once."""
-        n = self.pick(lost, self.core.here())
-        if not self.may_trouble(n):
+        name = self.pick(lost, self.core.here())
+        if not self.may_fail(name):
             return
-        self.lost.add(n)
-        self.core.lose("remove", n)
+        self.lost.add(name)
+        self.core.lose("remove", name)
         self.core.run(before * 10)
         while len(self.core.here()) <= len(self.members) and len(self.core.nodes) < MOST_MACHINES:
             self.core.do("boot", MORE_MACHINES[len(self.core.nodes) - len(self.members)])
@@ -163,21 +163,21 @@
     @rule(index=PICK)
     def old_disk_returns(self, index):
         """A machine that left comes back with its old disk."""
-        n = self.pick(index, [n for n in self.core.left if n in self.core.off])
-        if n is not None:
-            self.core.do("boot", n)
+        name = self.pick(index, [name for name in self.core.left if name in self.core.off])
+        if name is not None:
+            self.core.do("boot", name)
 
     # -- what must hold ---------------------------------------------------------
     @rule()
     def serves_under_tolerated_trouble(self):
-        """While no more is in trouble than tolerated, a primary serves."""
+        """While no more machines fail than tolerated, a primary serves."""
         self.core.tell("serves", self.members[0])
-        self.check(self.core.until(SERVE_MS, lambda: self.core.leader() is not None), "no primary under a trouble")
-        self.check(self.core.acknowledges(WRITE_MS), "no write under a trouble")
+        self.check(self.core.until(SERVE_MS, lambda: self.core.leader() is not None), "no primary under a fault")
+        self.check(self.core.acknowledges(WRITE_MS), "no write under a fault")
 
     @rule()
     def repairs(self):
-        """Once troubles end and there are machines enough, all is whole again."""
+        """Once faults end and there are machines enough, all is repaired."""
         self.mend()
         while len(self.core.here()) < len(self.members):
             self.new_machine()
@@ -193,7 +193,7 @@
 
 
 class CoreOfFive(CoreMachine):
-    """A core of five that bears two troubles at once."""
+    """A core of five that bears two faults at once."""
 
     members, replicas = "abcde", 2
 
