--- a/sparloom/consensus/leadership.py
+++ b/sparloom/consensus/leadership.py
@@ -13,7 +13,7 @@
 from .actions import NEVER, Aborted, Committed, ReadConfirmed, Send
 from .election import RosterPlan
 from .records import Activate, Copy, CopyAck, Data, Heartbeat
-from .views import backups_wanted, majority, next_roster, quorum
+from .views import RosterState, backups_wanted, majority, next_roster, quorum
 
 SENT_HEARTBEATS = 30
 # How often the time for a copy may double where links or disks are slow, as a factor.
@@ -320,10 +320,11 @@
         leaving = ledger.leaving_members() & set(ids) - {self.me}
         learners = ledger.membership.ready_learners(self.view.epoch)
         wanted = 2 * ledger.replicas + 1
-        roster = next_roster(self.view, learners, dead, leaving, len(near) == len(ids), wanted)
+        all_near = len(near) == len(ids)
+        roster = next_roster(RosterState(self.view, learners, frozenset(dead), frozenset(leaving), all_near, wanted))
         if roster is None or not majority(near, ids):
             return None
-        able = set(near) | {member.id for member, _ in learners}
+        able = set(near) | {learner.member.id for learner in learners}
         return roster if majority(able, [member.id for member in roster]) else None
 
     def may_release(self, member_id):
--- a/sparloom/consensus/reconfiguration.py
+++ b/sparloom/consensus/reconfiguration.py
@@ -1,18 +1,47 @@
-"""Who wants in, who is about to end, and whose disk or silence is suspected; and a planned leave."""
+"""Who wants to join, who is about to leave, who is suspected; and this member's own planned leave."""
+
+from __future__ import annotations
 
 from datetime import timedelta
+from typing import TYPE_CHECKING
 
 from attrs import define, field
 
 from .actions import NEVER, LeaveCompleted, Send
 from .records import Leave
+from .views import ReadyLearner
+
+if TYPE_CHECKING:
+    from collections.abc import Container
+
+    from .actions import Action
+    from .leadership import Leadership
+    from .member import ConsensusMember
+    from .records import Member
+
+# A suspicion lasts this many times longer than a learner that is silent.
+SUSPICION_FACTOR = 4
 
 
 @define(slots=True, eq=False)
 class Learner:
-    """A member that asked to be taken in; ``ready_epoch``: whose view it has on disk."""
+    """A member without a vote that asked to join.
+
+    Attributes
+    ----------
+    member
+        The learner.
+    initial
+        It started together with the whole system (``Register.initial``).
+    waiting_since
+        When it first asked, on the monotonic clock.
+    heard_at
+        When it was last heard of.
+    ready_epoch
+        The epoch of the active view that it has on disk; 0 for none.
+    """
 
-    member: object
+    member: Member
     initial: bool
     waiting_since: timedelta
     heard_at: timedelta
@@ -21,7 +50,15 @@
 
 @define(slots=True, eq=False)
 class Leaver:
-    """A member that is about to end: since when, and when it was last heard of."""
+    """A member that is about to shut down.
+
+    Attributes
+    ----------
+    leaving_since
+        When it first said so, on the monotonic clock.
+    heard_at
+        When it was last heard of.
+    """
 
     leaving_since: timedelta
     heard_at: timedelta
@@ -29,7 +66,15 @@
 
 @define(frozen=True, slots=True)
 class Suspicion:
-    """When a member was found silent, or (``slow_disk``) slow to save."""
+    """A member was found silent or slow.
+
+    Attributes
+    ----------
+    suspected_at
+        When, on the monotonic clock.
+    slow_disk
+        It answers, but its disk was too slow; messages from it don't clear this.
+    """
 
     suspected_at: timedelta
     slow_disk: bool
@@ -37,96 +82,117 @@
 
 @define(slots=True, eq=False)
 class Membership:
-    """What a member knows of others beside the active view.
+    """What a member knows of others beside the active view, by their ids; in memory only.
+
+    Attributes
+    ----------
+    learners
+        Members that asked to join.
+    leaving
+        Members that are about to shut down.
+    suspected
+        Members that were silent or slow.
 
     >>> from .records import Member
     >>> known = Membership()
     >>> known.record_join(Member(4, "h", 1, "z", ""), False, timedelta(0)).ready_epoch = 7
-    >>> [member.id for member, initial in known.ready_learners(7)], known.ready_learners(8)
+    >>> [learner.member.id for learner in known.ready_learners(7)], known.ready_learners(8)
     ([4], [])
     """
 
-    learners: dict = field(factory=dict)
-    leaving: dict = field(factory=dict)
-    suspected: dict = field(factory=dict)
+    learners: dict[int, Learner] = field(factory=dict)
+    leaving: dict[int, Leaver] = field(factory=dict)
+    suspected: dict[int, Suspicion] = field(factory=dict)
 
-    def record_suspicion(self, member_id, now, slow_disk=False):
+    def record_suspicion(self, member_id: int, now: timedelta, slow_disk: bool = False) -> None:
         """A member was silent, or (``slow_disk``) heard but slow to put data on its disk."""
-        slow_disk = slow_disk or member_id in self.suspected and self.suspected[member_id].slow_disk
+        earlier = self.suspected.get(member_id)
+        # Silence must not hide an earlier finding about the disk, which only time clears.
+        slow_disk = slow_disk or (earlier is not None and earlier.slow_disk)
         self.suspected[member_id] = Suspicion(now, slow_disk)
 
-    def is_suspected(self, member_id, now, span):
-        """Whether a member was suspected within a span."""
-        return member_id in self.suspected and now - self.suspected[member_id].suspected_at < span
+    def is_suspected(self, member_id: int, now: timedelta, timeout: timedelta) -> bool:
+        """Whether a member was suspected less than ``timeout`` ago."""
+        return member_id in self.suspected and now - self.suspected[member_id].suspected_at < timeout
 
-    def record_heard(self, member_id):
+    def record_heard(self, member_id: int) -> None:
         """A member answers: it is not silent any more; its disk may still be slow."""
         if member_id in self.suspected and not self.suspected[member_id].slow_disk:
             del self.suspected[member_id]
 
-    def add_pause(self, paused):
-        """This process stood still for a while: nobody was silent meanwhile."""
-        for known in (*self.learners.values(), *self.leaving.values()):
-            known.heard_at += paused
-
-    def expire(self, now, span):
-        """Drops what was not heard of for a span, and suspicions of four spans."""
-        self.learners = {i: learner for i, learner in self.learners.items() if now - learner.heard_at < span}
-        self.leaving = {i: leaver for i, leaver in self.leaving.items() if now - leaver.heard_at < span}
-        self.suspected = {
-            i: suspicion for i, suspicion in self.suspected.items() if now - suspicion.suspected_at < span * 4
-        }
-
-    def record_join(self, member, initial, now):
-        """A member asks to be taken in, perhaps again."""
+    def add_pause(self, pause: timedelta) -> None:
+        """This process stood still for a while: messages that came meanwhile are yet to be read."""
+        others: list[Learner | Leaver] = [*self.learners.values(), *self.leaving.values()]
+        for other in others:
+            other.heard_at += pause
+
+    def expire(self, now: timedelta, timeout: timedelta) -> None:
+        """Drops members not heard of for ``timeout``, and suspicions four times as old."""
+        self.learners = {i: learner for i, learner in self.learners.items() if now - learner.heard_at < timeout}
+        self.leaving = {i: leaver for i, leaver in self.leaving.items() if now - leaver.heard_at < timeout}
+        oldest = timeout * SUSPICION_FACTOR
+        self.suspected = {i: entry for i, entry in self.suspected.items() if now - entry.suspected_at < oldest}
+
+    def record_join(self, member: Member, initial: bool, now: timedelta) -> Learner:
+        """A member asks to join, perhaps again; it keeps its place among the waiting."""
         learner = self.learners.get(member.id)
         if learner is None:
             learner = self.learners[member.id] = Learner(member, initial, now, now)
         learner.member, learner.initial, learner.heard_at = member, initial, now
         return learner
 
-    def record_leave(self, member_id, now):
-        """A member is about to end; it takes no seat any more."""
+    def record_leave(self, member_id: int, now: timedelta) -> None:
+        """A member is about to shut down; it must get no seat any more."""
         leaver = self.leaving.setdefault(member_id, Leaver(now, now))
         leaver.heard_at = now
         self.learners.pop(member_id, None)
 
-    def record_activation(self, member_id, epoch, now):
+    def record_activation(self, member_id: int, epoch: int, now: timedelta) -> None:
         """A learner has the view of an epoch on disk."""
         if member_id in self.learners:
             learner = self.learners[member_id]
             learner.ready_epoch, learner.heard_at = epoch, now
 
-    def ready_learners(self, epoch):
-        """(member, initial) of the learners that hold an epoch's view, the longest waiting first."""
-        learners = sorted((x for x in self.learners.values() if x.ready_epoch == epoch), key=lambda x: x.waiting_since)
-        return [(learner.member, learner.initial) for learner in learners]
+    def ready_learners(self, epoch: int) -> list[ReadyLearner]:
+        """The learners that have an epoch's view on disk, the longest waiting first."""
+        ready = [learner for learner in self.learners.values() if learner.ready_epoch == epoch]
+        ready.sort(key=lambda learner: learner.waiting_since)
+        return [ReadyLearner(learner.member, learner.initial) for learner in ready]
 
-    def drop_voters(self, ids):
-        """Those that an elected view counts are learners no more."""
+    def drop_voters(self, ids: Container[int]) -> None:
+        """Voters of an elected view are learners no more."""
         self.learners = {i: learner for i, learner in self.learners.items() if i not in ids}
 
 
 @define(slots=True, eq=False)
 class PlannedLeave:
-    """This member's own leave: its copy and its vote are moved before it ends.
+    """This member's own graceful shutdown: its copy and its vote are moved before it ends.
 
     A primary hands over to a holder that stays; then the next primary is asked
-    again and again until nothing rests on this member any more. Silence of the
-    others is no reason to end: the service bounds the wait.
+    again and again until neither data nor majorities depend on this member.
+    Silence of the others is no reason to end; the service bounds the wait.
+
+    Attributes
+    ----------
+    consensus
+        This member.
+    released
+        The leave is complete.
+    sent_at
+        When the primary was last asked, on the monotonic clock.
     """
 
-    consensus: object
+    consensus: ConsensusMember
     released: bool = False
     sent_at: timedelta = NEVER
 
-    def step(self):
-        """What is due."""
+    def step(self) -> list[Action]:
+        """The actions that are due; called at each tick."""
         consensus = self.consensus
         if self.released or consensus.now - self.sent_at < consensus.spans.resend_interval:
             return []
         if consensus.leadership:
-            return self._as_primary()
+            return self._step_as_primary(consensus.leadership)
         if consensus.view is None:
             # A founder may be counted by a view that it has not marked yet.
             return [] if consensus.founder else self.release()
@@ -136,20 +202,21 @@
         self.sent_at = consensus.now
         return [Send(primary, Leave(consensus.member))]
 
-    def _as_primary(self):
-        consensus, leadership = self.consensus, self.consensus.leadership
+    def _step_as_primary(self, leadership: Leadership) -> list[Action]:
+        """Hands over once a backup that stays is near; a write under way is finished first, or it would be aborted."""
+        consensus = self.consensus
         if not leadership.serving:
             return []
         staying = set(leadership.view.ids) - consensus.leaving_members()
         if not staying:
             return self.release()
-        backups = [i for i in leadership.view.backups if i in staying]
-        near = [i for i in backups if not leadership.late(i, consensus.spans.election_timeout)]
+        timeout = consensus.spans.election_timeout
+        near = any(i in staying and not leadership.late(i, timeout) for i in leadership.view.backups)
         if not near or leadership.write is not None:
             return []
         return consensus.hand_over(consensus.now, leaving=True)
 
-    def release(self):
-        """This member may end."""
+    def release(self) -> list[Action]:
+        """This member may shut down."""
         self.released = True
         return [LeaveCompleted()]
--- a/sparloom/consensus/replica.py
+++ b/sparloom/consensus/replica.py
@@ -1,122 +1,175 @@
 """What a member keeps on disk, and how it answers candidates and primaries."""
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
 from attrs import define, evolve
 
+from sparloom.errors import SparloomError
+
 from .actions import Save, Send
-from .records import Activated, CopyAck, Data, PreVoteAnswer, Promise, Register
+from .records import Activated, CopyAck, PreVoteAnswer, Promise
+from .views import primary_of
 
+if TYPE_CHECKING:
+    from .actions import Action
+    from .records import Activate, Copy, Data, Member, Prepare, Register, View
 
-def primary_of(view):
-    """The member that leads a view."""
-    return next(member for member in view.roster if member.id == view.primary)
+
+class PromiseNotDurableError(SparloomError):
+    """A promise was to be sent before any register had reached the disk."""
 
 
 @define(slots=True, eq=False)
 class Replica:
-    """The register and the copy of the data, in memory and (``durable``) as they are on disk.
-
-    A promise, a mark or a copy is answered for only once it is on disk.
-
-    >>> from .records import EMPTY, Member
+    """The register and the copy of the data, in memory and as they are on disk.
+
+    A promise, an activated view and a copy are acknowledged only once they are
+    on disk: an acknowledgement that a loss of power could undo would let two
+    primaries win the same epoch, or lose a committed write.
+
+    Attributes
+    ----------
+    member
+        This member.
+    register
+        The register as it is in memory; every change of it is followed by a save.
+    data
+        The newest copy of the data in memory, committed or not.
+    durable
+        The register as it is on disk, or None before the first save.
+    save_sequence
+        How many saves were asked for.
+
+    >>> from .records import EMPTY, Member, Register
     >>> replica = Replica(Member(1, "h", 1, "z", ""), Register(1, True, 0, [], False, 0), EMPTY)
     >>> replica.promise(7); replica.register.promised_epoch, replica.durable
     (7, None)
     """
 
-    member: object
+    member: Member
     register: Register
     data: Data
     durable: Register | None = None
     save_sequence: int = 0
 
-    def save(self, *followups, data=None):
-        """Puts the register on disk as it is now; ``followups`` follows."""
+    def save(self, *followups: Action, data: Data | None = None) -> Save:
+        """Puts the register on disk as it is now, with ``data`` if given; then ``followups`` are carried out."""
         self.save_sequence += 1
-        return Save(self.register, data, self.save_sequence, tuple(followups))
+        return Save(self.register, data, self.save_sequence, followups)
+
+    def _change_register(self, **changes: bool | int | list[View]) -> None:
+        # mypy can't see that ``record`` makes attrs classes.
+        self.register = evolve(self.register, **changes)  # type: ignore[misc]
 
-    def promise(self, epoch):
-        """Refuses all epochs before this one from now on."""
-        self.register = evolve(self.register, promised_epoch=max(epoch, self.register.promised_epoch))
+    # -- promises ---------------------------------------------------------------
+    def promise(self, epoch: int) -> None:
+        """Rejects all earlier epochs from now on; never lowers the promised epoch."""
+        self._change_register(promised_epoch=max(epoch, self.register.promised_epoch))
 
-    def set_copy_epoch(self, epoch):
-        """The data in memory becomes the copy of an epoch."""
-        self.register = evolve(self.register, copy_epoch=epoch)
+    def is_outdated(self, epoch: int) -> bool:
+        """Whether a later epoch was promised."""
+        return epoch < self.register.promised_epoch
 
-    def promise_answer(self, epoch, granted, register):
-        """The answer to a candidate, by what a register holds."""
+    def promise_answer(self, epoch: int, granted: bool, register: Register) -> Promise:
+        """The answer to a candidate, with the state of a register."""
         return Promise(
-            self.member.id,
-            epoch,
-            granted,
-            register.promised_epoch,
-            register.views,
-            register.committed,
-            register.copy_epoch,
+            sender=self.member.id,
+            epoch=epoch,
+            granted=granted,
+            promised_epoch=register.promised_epoch,
+            views=register.views,
+            committed=register.committed,
+            copy_epoch=register.copy_epoch,
         )
 
-    def pre_vote_answer(self, round, granted):
-        """The answer to one that wonders whether to stand."""
+    def pre_vote_answer(self, round: int, granted: bool) -> PreVoteAnswer:
+        """The answer to a pre-vote. It claims nothing, so it need not wait for the disk."""
         register = self.register
         return PreVoteAnswer(
             self.member.id, round, granted, register.promised_epoch, register.views, register.committed
         )
 
-    def durable_promise(self, epoch):
-        """The promise of an epoch that is on disk."""
+    def durable_promise(self, epoch: int) -> Promise:
+        """The promise of an epoch that is on disk.
+
+        Raises
+        ------
+        PromiseNotDurableError
+            Nothing was saved yet.
+        """
+        if self.durable is None:
+            raise PromiseNotDurableError(f"epoch {epoch} can't be promised: found no register on disk, expected one")
         return self.promise_answer(epoch, True, self.durable)
 
-    def is_promise_durable(self, epoch):
-        """Whether just this epoch is promised on disk."""
+    def is_promise_durable(self, epoch: int) -> bool:
+        """Whether exactly this epoch is promised on disk."""
         return self.durable is not None and self.durable.promised_epoch == epoch
 
-    def grant_promise(self, seek):
-        """Promises a candidate its epoch."""
-        self.promise(seek.epoch)
-        return self.save(Send(seek.candidate, self.promise_answer(seek.epoch, True, self.register)))
-
-    def is_outdated(self, epoch):
-        """Whether a later epoch was promised."""
-        return epoch < self.register.promised_epoch
+    def grant_promise(self, prepare: Prepare) -> Save:
+        """Promises a candidate its epoch; the answer goes out once that is on disk."""
+        self.promise(prepare.epoch)
+        return self.save(Send(prepare.candidate, self.promise_answer(prepare.epoch, True, self.register)))
 
-    def reject_activation(self, view):
-        """A later epoch was promised."""
-        refusal = Activated(self.member.id, view.epoch, False, False, self.register.promised_epoch)
-        return Send(primary_of(view), refusal)
+    # -- activation of views ----------------------------------------------------
+    def reject_activation(self, view: View) -> Send:
+        """Tells a primary that a later epoch was promised."""
+        rejection = Activated(self.member.id, view.epoch, False, False, self.register.promised_epoch)
+        return Send(primary_of(view), rejection)
 
-    def is_activated(self, record):
-        """Whether the view of the record is marked already, in memory."""
+    def is_activated(self, record: Activate) -> bool:
+        """Whether the view is marked already, in memory, and committed if that is asked for."""
         return self.register.view_epoch == record.view.epoch and self.register.committed >= record.committed
 
-    def repeat_activation(self, view):
-        """The answer for a view that was marked before; none while that is on its way to the disk."""
+    def repeat_activation(self, view: View) -> list[Action]:
+        """The answer for a view that was marked before.
+
+        None is given while the mark is on its way to the disk: the answer that
+        follows that save is enough, and an earlier one would not be true yet.
+        """
         durable = self.durable
         if durable is None or durable.view_epoch != view.epoch or durable.committed != self.register.committed:
             return []
         return [Send(primary_of(view), Activated(self.member.id, view.epoch, True, durable.committed, view.epoch))]
 
-    def activate(self, record):
-        """Marks a view active, or settled."""
+    def activate(self, record: Activate) -> Save:
+        """Marks a view active, or committed; the answer goes out once that is on disk.
+
+        A voter of an active view is no founder any more: it must not form the
+        first roster a second time beside the group that exists.
+        """
         view = record.view
         self.promise(view.epoch)
         initial = self.register.initial and self.member.id not in view.ids
-        self.register = evolve(self.register, initial=initial, views=[view], committed=record.committed)
-        done = Activated(self.member.id, view.epoch, True, record.committed, view.epoch)
-        return self.save(Send(primary_of(view), done))
+        self._change_register(initial=initial, views=[view], committed=record.committed)
+        answer = Activated(self.member.id, view.epoch, True, record.committed, view.epoch)
+        return self.save(Send(primary_of(view), answer))
 
-    def reject_copy(self, record):
-        """A later epoch was promised."""
+    # -- copies of the data -----------------------------------------------------
+    def set_copy_epoch(self, epoch: int) -> None:
+        """Declares the data in memory the copy of an epoch."""
+        self._change_register(copy_epoch=epoch)
+
+    def reject_copy(self, record: Copy) -> Send:
+        """Tells a primary that a later epoch was promised."""
         view, number = record.view, record.data.number
-        return Send(primary_of(view), CopyAck(self.member.id, view.epoch, number, False, self.register.promised_epoch))
+        rejection = CopyAck(self.member.id, view.epoch, number, False, self.register.promised_epoch)
+        return Send(primary_of(view), rejection)
+
+    def is_newest_copy(self, record: Copy) -> bool:
+        """Whether a copy is of another epoch, or no older than the one held.
 
-    def is_newest_copy(self, record):
-        """Whether a copy is no older than the one held of the same epoch."""
+        Copies travel by connections that may be replaced, so an older one can
+        arrive late; it must not overwrite the data of a newer write.
+        """
         return record.view.epoch != self.register.copy_epoch or record.data.number >= self.data.number
 
-    def store_copy(self, record):
-        """Takes a primary's data."""
+    def store_copy(self, record: Copy) -> Save:
+        """Takes over a primary's data; the answer goes out once it is on disk."""
         view = record.view
         self.promise(view.epoch)
         self.data = record.data
         self.set_copy_epoch(view.epoch)
-        done = CopyAck(self.member.id, view.epoch, record.data.number, True, view.epoch)
-        return self.save(Send(primary_of(view), done), data=record.data)
+        answer = CopyAck(self.member.id, view.epoch, record.data.number, True, view.epoch)
+        return self.save(Send(primary_of(view), answer), data=record.data)
--- a/tests/consensus/test_member.py
+++ b/tests/consensus/test_member.py
@@ -8,7 +8,7 @@
 from simulator.timeline import play
 from sparloom.consensus import Store
 from sparloom.consensus.records import Data, Member, Register, Roster, View
-from sparloom.consensus.views import Basis, choose_backups, next_roster, next_view, quorum
+from sparloom.consensus.views import Basis, ReadyLearner, RosterState, choose_backups, next_roster, next_view, quorum
 
 
 class Timelines(unittest.TestCase):
@@ -351,7 +351,9 @@
         self.assertIsNone(choose_backups(1, ros, {1}, (), 1))
 
     def roster(self, learners, dead=(), leaving=(), all_near=True, ids=(1, 2, 3)):
-        found = next_roster(self.view(list(ids)), learners, set(dead), set(leaving), all_near)
+        ready = [ReadyLearner(*learner) for learner in learners]
+        state = RosterState(self.view(list(ids)), ready, frozenset(dead), frozenset(leaving), all_near)
+        found = next_roster(state)
         return found and [member.id for member in found]
 
     def test_wiped_member_gets_its_own_place(self):
