--- a/sparloom/consensus/__init__.py
+++ b/sparloom/consensus/__init__.py
@@ -1,8 +1,25 @@
-"""The control state: a primary, its backups, and witnesses that keep epochs only."""
+"""Consensus of the controllers on the control state.
 
-from .actions import CONTROLLERS, SEEDS, Aborted, Committed, ConsensusTiming, LeaveCompleted, ReadConfirmed, Save, Send
+A primary replicates the data to its backups; witnesses vote but keep no data.
+``ConsensusMember`` holds the decisions, without I/O: messages and time in,
+actions out. The service in ``sparloom.controller`` carries the actions out.
+"""
+
+from .actions import (
+    CONTROLLERS,
+    SEEDS,
+    Aborted,
+    Action,
+    Committed,
+    ConsensusTiming,
+    Destination,
+    LeaveCompleted,
+    ReadConfirmed,
+    Save,
+    Send,
+)
 from .member import ConsensusMember
-from .records import EMPTY, Data, Member, Register, View
+from .records import EMPTY, Data, Member, Message, Register, View
 from .store import Store
 from .views import founder_id
 
@@ -11,12 +28,15 @@
     "EMPTY",
     "SEEDS",
     "Aborted",
+    "Action",
     "Committed",
     "ConsensusMember",
     "ConsensusTiming",
     "Data",
+    "Destination",
     "LeaveCompleted",
     "Member",
+    "Message",
     "ReadConfirmed",
     "Register",
     "Save",
