--- a/sparloom/consensus/leadership.py
+++ b/sparloom/consensus/leadership.py
@@ -300,7 +300,7 @@
         The answers show that no other member led when that heartbeat was sent,
         so no write of a later epoch can have been acknowledged before the read.
         """
-        if not self.serving:
+        if not self.serving or self.decided is None:
             return []
         answered = sorted((self.acknowledged.get(member_id, 0) for member_id in self.view.ids), reverse=True)
         by_majority = answered[len(answered) // 2]
--- a/sparloom/consensus/member.py
+++ b/sparloom/consensus/member.py
@@ -30,11 +30,9 @@
     import random
     from collections.abc import Collection, Mapping
 
-    from sparloom.codec import Record
-
     from .actions import Action, ConsensusTiming, Save
     from .election import RosterPlan
-    from .records import Data, Member, View
+    from .records import Data, Member, Message, View
 
 # After how many election time-outs without a primary a member stands, by what it was in the last view:
 # the likeliest to succeed stand first, so that candidates seldom meet.
@@ -115,7 +113,7 @@
         self.defer_candidacy(self.timing.election_timeout * 3)
         return self.transfer_leadership(now) if self.leadership else []
 
-    def send_to(self, member_id: int, message: Record) -> list[Action]:
+    def send_to(self, member_id: int, message: Message) -> list[Action]:
         """Sends a message to a member, if its address is known."""
         return [Send(member, message) for member in self.known_members() if member.id == member_id]
 
@@ -293,7 +291,7 @@
         return self.leadership.begin_read(id) if self.leadership else None
 
     # -- messages -----------------------------------------------------------------
-    def receive(self, now: timedelta, message: Record) -> list[Action]:
+    def receive(self, now: timedelta, message: Message) -> list[Action]:
         """Takes a message; gives the actions that follow from it."""
         self.now = now
         return handle(message, self)
--- a/sparloom/consensus/view_change.py
+++ b/sparloom/consensus/view_change.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from .election import RosterPlan
-from .views import backups_wanted, majority, next_roster
+from .views import RosterState, backups_wanted, majority, next_roster
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -108,10 +108,12 @@
     leaving = consensus.leaving_members() & set(ids) - {leadership.own_id}
     learners = consensus.membership.ready_learners(leadership.view.epoch)
     wanted = 2 * consensus.replicas + 1
-    roster = next_roster(leadership.view, learners, dead, leaving, len(near) == len(ids), wanted)
+    all_near = len(near) == len(ids)
+    state = RosterState(leadership.view, learners, frozenset(dead), frozenset(leaving), all_near, wanted)
+    roster = next_roster(state)
     if roster is None or not majority(near, ids):
         return None
-    able = set(near) | {member.id for member, _ in learners}
+    able = set(near) | {learner.member.id for learner in learners}
     return roster if majority(able, [member.id for member in roster]) else None
 
 
