--- a/sparloom/consensus/reconfiguration.py
+++ b/sparloom/consensus/reconfiguration.py
@@ -189,7 +189,7 @@
     def step(self) -> list[Action]:
         """The actions that are due; called at each tick."""
         consensus = self.consensus
-        if self.released or consensus.now - self.sent_at < consensus.spans.resend_interval:
+        if self.released or consensus.now - self.sent_at < consensus.timing.resend_interval:
             return []
         if consensus.leadership:
             return self._step_as_primary(consensus.leadership)
@@ -210,11 +210,11 @@
         staying = set(leadership.view.ids) - consensus.leaving_members()
         if not staying:
             return self.release()
-        timeout = consensus.spans.election_timeout
+        timeout = consensus.timing.election_timeout
         near = any(i in staying and not leadership.late(i, timeout) for i in leadership.view.backups)
         if not near or leadership.write is not None:
             return []
-        return consensus.hand_over(consensus.now, leaving=True)
+        return consensus.transfer_leadership(consensus.now, leaving=True)
 
     def release(self) -> list[Action]:
         """This member may shut down."""
--- a/sparloom/consensus/views.py
+++ b/sparloom/consensus/views.py
@@ -114,6 +114,15 @@
     return int.from_bytes(digest) | FOUNDER_BIT
 
 
+def members_by_id(views: Iterable[View | None]) -> dict[int, Member]:
+    """The voters of some views, those of previous rosters too, by id; a later view's entry replaces an earlier one's.
+
+    >>> members_by_id([None, View(1, 1, [], [Member(1, "h", 1, "z", "")], [])])[1].host
+    'h'
+    """
+    return {member.id: member for view in views if view for member in view.members}
+
+
 def first_view(genesis: Collection[Address], known: Iterable[Member]) -> View:
     """The view before the first election: the first roster, with what its ``known`` members say of themselves.
 
