--- a/tests/consensus/test_core_sizes.py
+++ b/tests/consensus/test_core_sizes.py
@@ -1,4 +1,4 @@
-"""Cores of every size: the first roster grows to the whole core, and bears the tolerated losses again and again."""
+"""Groups of every size: the first roster grows to all members, and the tolerated losses are survived repeatedly."""
 
 import unittest
 from itertools import combinations
@@ -6,6 +6,7 @@
 from simulator.core import Core
 
 NAMES = "abcdefghi"
+# Milliseconds until members that came back have copies and votes again.
 CATCH_UP = 4000
 
 
@@ -20,17 +21,17 @@
         self.assertTrue(core.write(5))
         return core
 
-    def lose(self, core, lost, what):
-        """Some machines at once, and back again after a while."""
+    def lose(self, core, lost, fault):
+        """Some machines at once; they start again later."""
         for name in lost:
-            getattr(core, what)(name)
+            getattr(core, fault)(name)
         core.run(3500)
         self.assertIsNotNone(core.leader(), f"without {sorted(lost)}")
         self.assertGreaterEqual(core.nodes[core.leader()][0].decided.revision, 5)
         for name in lost:
             core.boot(name)
         core.run(CATCH_UP)
-        # An even roster drops a dead member: it bears as many losses with one voter fewer.
+        # An even roster drops a dead member: it tolerates as many losses with one voter fewer.
         self.assertEqual((len(core.voters()) - 1) // 2, (len(core.names) - 1) // 2)
         self.assertEqual(core.voters() & core.off, set())
 
@@ -58,7 +59,9 @@
                     self.assertEqual(core.nodes[core.leader()][0].decided.revision, 5)
                     core.run(CATCH_UP)
                     self.assertEqual(core.voters(), set(core.names), "the new members have taken the wiped seats")
-                    self.assertEqual({m.id for m in core.view().roster}, {core.members[n].id for n in core.names})
+                    self.assertEqual(
+                        {member.id for member in core.view().roster}, {core.members[name].id for name in core.names}
+                    )
 
     def test_a_zone_of_two_in_three_zones(self):
         """Six machines, two a zone; a lost zone never takes both copies."""
--- a/tests/consensus/test_power_loss.py
+++ b/tests/consensus/test_power_loss.py
@@ -1,4 +1,4 @@
-"""How soon the core serves again after a loss of all power."""
+"""How soon there is a primary again after a loss of all power."""
 
 import random
 import unittest
@@ -8,8 +8,8 @@
 
 class PowerLost(unittest.TestCase):
     def test_a_primary_is_soon_up_again_after_all_power_was_lost(self):
-        """Members come up one after another; the first question finds some that don't listen yet."""
-        spans = []
+        """Members come up one after another; the first pre-vote finds some that don't listen yet."""
+        recovery_times = []
         for seed in range(12):
             core = Core("abcde", replicas=2, seed=seed, seeds="abc", loss=0.0)
             core.run(6000)
@@ -17,21 +17,21 @@
             for name in core.names:
                 core.kill(name)
             core.run(300)
-            spans.append(self.time_to_lead_again(core, random.Random(seed)))
-        self.assertLessEqual(sum(spans) / len(spans), 250)
-        self.assertLessEqual(max(spans), 450)
+            recovery_times.append(self.time_to_lead_again(core, random.Random(seed)))
+        self.assertLessEqual(sum(recovery_times) / len(recovery_times), 250)
+        self.assertLessEqual(max(recovery_times), 450)
 
     @staticmethod
     def time_to_lead_again(core, rng):
-        """Boots all members within 450 ms; gives the ms from a majority's start until one leads."""
+        """Boots all members within 450 ms; returns the milliseconds from a majority's start until one leads."""
         starts = sorted((rng.randrange(450), name) for name in core.names)
-        begun = 0
-        for at, name in starts:
-            core.run(at - begun)
+        started = 0
+        for start, name in starts:
+            core.run(start - started)
             core.boot(name)
-            begun = at
+            started = start
         waited = 0
         while core.leader() is None and waited < 3000:
             core.run(10)
             waited += 10
-        return begun + waited - starts[len(starts) // 2][0]
+        return started + waited - starts[len(starts) // 2][0]
--- a/tests/consensus/test_reconfiguration.py
+++ b/tests/consensus/test_reconfiguration.py
@@ -1,10 +1,10 @@
-"""Repair, replacement and planned leaves of core machines, and the loss that comes right after."""
+"""Replacement and planned leaves of members, and a tolerated loss right after them."""
 
 import unittest
 
 from simulator.core import Core
 
-# A machine counts as lost until this long after it is back, or after the start of its successor.
+# Milliseconds after a machine's return, or its successor's start, until which it counts as lost.
 CATCH_UP = 4000
 
 
@@ -15,18 +15,18 @@
         self.assertTrue(core.write(5), seed)
         return core
 
-    def serves(self, core, seed, within=4000, has=5, revision=7):
+    def assert_serves(self, core, seed, within=4000, has=5, revision=7):
         """A primary is there within a bound, has what was acknowledged, and takes a write."""
         end = core.now.total_seconds() * 1000 + within
         while core.leader() is None and core.now.total_seconds() * 1000 < end:
             core.run(50)
         self.assertIsNotNone(core.leader(), f"seed {seed}: a primary")
         self.assertGreaterEqual(core.nodes[core.leader()][0].decided.revision, has, f"seed {seed}")
-        # The first may be lost while a backup that has just gone is replaced.
+        # The first may be lost while a backup that was just lost is replaced.
         self.assertTrue(core.write(revision) or core.run(1500) or core.write(revision + 1), f"seed {seed}: a write")
 
-    def whole(self, core, names, seed):
-        """The roster, its copies and its majority are as they should be between troubles."""
+    def assert_complete(self, core, names, seed):
+        """The roster, its copies and its majority are as they should be between faults."""
         leadership = core.nodes[core.leader()][0].leadership
         self.assertEqual(core.voters(), set(names), f"seed {seed}")
         self.assertTrue(leadership.complete(), f"seed {seed}")
@@ -46,8 +46,8 @@
                     core.run(pause)
                     core.boot("d")
                     core.run(CATCH_UP)
-                    self.serves(core, seed)
-                    self.whole(core, set("abcd") - {lost}, seed)
+                    self.assert_serves(core, seed)
+                    self.assert_complete(core, set("abcd") - {lost}, seed)
 
     def test_a_tolerated_loss_right_after_the_replacement_has_caught_up(self):
         for victim in ("primary", "backup", "witness", "newcomer"):
@@ -59,10 +59,10 @@
                     core.run(200)
                     core.boot("d")
                     core.run(CATCH_UP)
-                    core.wipe(self.pick(core, victim))
-                    self.serves(core, seed)
+                    core.wipe(self.name_of(core, victim))
+                    self.assert_serves(core, seed)
 
-    def pick(self, core, victim):
+    def name_of(self, core, victim):
         if victim == "newcomer":
             return "d"
         if victim == "primary":
@@ -73,10 +73,10 @@
     def test_every_machine_in_turn_with_a_loss_of_power_after_each(self):
         for seed in range(4):
             core = self.core(seed)
-            for turn, new in enumerate("defghi"):
+            for turn, newcomer in enumerate("defghi"):
                 core.wipe(sorted(core.voters())[turn % 3])
                 core.run(300)
-                core.boot(new)
+                core.boot(newcomer)
                 core.run(CATCH_UP)
                 voters = core.voters()
                 for name in voters:
@@ -84,8 +84,8 @@
                 core.run(200)
                 for name in voters:
                     core.boot(name)
-                self.serves(core, seed, has=5 + 2 * turn, revision=7 + 2 * turn)
-                self.whole(core, voters, seed)
+                self.assert_serves(core, seed, has=5 + 2 * turn, revision=7 + 2 * turn)
+                self.assert_complete(core, voters, seed)
 
     def test_a_second_newcomer_waits_as_a_learner(self):
         for seed in range(4):
@@ -93,13 +93,13 @@
             core.boot("d")
             core.boot("e")
             core.run(2000)
-            self.whole(core, "abc", seed)
-            gone = min(core.voters() - {core.leader()})
-            core.wipe(gone)
+            self.assert_complete(core, "abc", seed)
+            lost = min(core.voters() - {core.leader()})
+            core.wipe(lost)
             core.run(3000)
             self.assertEqual(len(core.voters()), 3)
-            self.assertNotIn(gone, core.voters())
-            self.serves(core, seed)
+            self.assertNotIn(lost, core.voters())
+            self.assert_serves(core, seed)
 
     def test_two_of_five_are_replaced_and_two_more_are_lost(self):
         for seed in range(4):
@@ -111,78 +111,78 @@
             core.boot("f")
             core.boot("g")
             core.run(CATCH_UP)
-            self.whole(core, set("abcdefg") - {first, second}, seed)
+            self.assert_complete(core, set("abcdefg") - {first, second}, seed)
             core.wipe(core.leader())
             core.wipe(min(core.voters() - {first, second} - core.off) if core.leader() else "f")
-            self.serves(core, seed)
+            self.assert_serves(core, seed)
 
     def test_a_member_that_returns_with_an_old_disk_after_its_seat_was_taken(self):
         for seed in range(6):
             core = self.core(seed)
-            gone = min(core.voters() - {core.leader()})
-            core.kill(gone)
+            returning = min(core.voters() - {core.leader()})
+            core.kill(returning)
             core.boot("d")
             core.run(3000)
-            self.assertNotIn(gone, core.voters())
+            self.assertNotIn(returning, core.voters())
             self.assertTrue(core.write(6))
-            core.boot(gone)
+            core.boot(returning)
             core.run(3000)
-            self.whole(core, set("abcd") - {gone}, seed)
+            self.assert_complete(core, set("abcd") - {returning}, seed)
             core.wipe(core.leader())
-            self.serves(core, seed, has=6)
+            self.assert_serves(core, seed, has=6)
             core.run(CATCH_UP)
-            self.assertIn(gone, core.voters(), "the learner has taken the lost member's seat")
+            self.assertIn(returning, core.voters(), "the learner has taken the lost member's seat")
 
 
 class PlannedLeave(Case):
-    def exchange(self, seed, role, settle=6000):
-        """A newcomer, ``settle`` ms later a planned leave of the primary, a backup or the witness."""
+    def exchange(self, seed, role, pause=6000):
+        """A newcomer, ``pause`` ms later a planned leave of the primary, a backup or the witness."""
         core = self.core(seed)
         core.boot("d")
-        core.run(settle)
-        old = {
+        core.run(pause)
+        leaver = {
             "primary": core.leader(),
             "backup": min(core.holders() - {core.leader()}),
             "witness": min(core.voters() - core.holders()),
         }[role]
-        core.leave(old)
-        return core, old
+        core.leave(leaver)
+        return core, leaver
 
-    def test_the_leaver_ends_soon_and_nothing_rests_on_it(self):
+    def test_the_leaver_ends_soon_and_no_copy_or_vote_depends_on_it(self):
         for role in ("primary", "backup", "witness"):
             for seed in range(8):
                 with self.subTest(role=role, seed=seed):
-                    core, old = self.exchange(seed, role)
+                    core, leaver = self.exchange(seed, role)
                     core.run(1500)
-                    self.assertIn(old, core.off, "it has ended by itself, well before the bound")
-                    self.whole(core, set("abcd") - {old}, seed)
+                    self.assertIn(leaver, core.off, "it has ended by itself, well before the bound")
+                    self.assert_complete(core, set("abcd") - {leaver}, seed)
 
     def test_a_loss_right_after_the_leaver_has_ended(self):
         for role in ("primary", "backup", "witness"):
             for pause in (0, 400, 800, 1600):
                 for seed in range(4):
                     with self.subTest(role=role, pause=pause, seed=seed):
-                        core, old = self.exchange(seed, role)
-                        while old not in core.off:
+                        core, leaver = self.exchange(seed, role)
+                        while leaver not in core.off:
                             core.run(20)
                         core.run(pause)
                         core.wipe(sorted(core.voters())[seed % 3])
-                        self.serves(core, seed)
+                        self.assert_serves(core, seed)
 
     def test_a_leaver_without_a_successor_gives_its_copy_to_a_witness_first(self):
         for seed in range(8):
             core = self.core(seed)
-            old = min(core.holders() - {core.leader()})
-            core.leave(old)
+            leaver = min(core.holders() - {core.leader()})
+            core.leave(leaver)
             core.run(1500)
-            self.assertIn(old, core.off)
-            self.assertNotIn(old, core.holders())
+            self.assertIn(leaver, core.off)
+            self.assertNotIn(leaver, core.holders())
             self.assertEqual(len(core.holders()), 2)
             self.assertEqual(core.voters(), set("abc"), "its seat waits for it")
-            core.boot(old)
+            core.boot(leaver)
             core.run(1500)
             core.wipe(core.leader())
-            self.serves(core, seed)
+            self.assert_serves(core, seed)
 
     def test_all_leave_at_once_and_come_back(self):
         for seed in range(6):
@@ -193,7 +193,7 @@
             self.assertEqual(core.off, set("abc"))
             for name in "abc":
                 core.boot(name)
-            self.serves(core, seed)
+            self.assert_serves(core, seed)
 
     def test_rolling_restarts_keep_the_roster(self):
         for seed in range(4):
@@ -205,8 +205,8 @@
                 core.run(300)
                 core.boot(name)
                 core.run(CATCH_UP)
-                self.whole(core, "abc", seed)
-            self.serves(core, seed)
+                self.assert_complete(core, "abc", seed)
+            self.assert_serves(core, seed)
 
 
 class Reads(Case):
