--- a/tests/consensus/test_member.py
+++ b/tests/consensus/test_member.py
@@ -1,4 +1,4 @@
-"""The ledger under failures; timelines with a column per node, on simulated time."""
+"""The consensus member under faults; timelines with a column per node, on simulated time."""
 
 import random
 import unittest
@@ -6,16 +6,13 @@
 
 from simulator.core import Core
 from simulator.timeline import play
-from sparloom.consensus import Store
-from sparloom.consensus.records import Data, Member, Register, Roster, View
-from sparloom.consensus.views import Basis, ReadyLearner, RosterState, choose_backups, next_roster, next_view, quorum
 
 
 class Timelines(unittest.TestCase):
-    def play(self, text, names="abc", seeds=range(8), **kw):
+    def play(self, text, names="abc", seeds=range(8), **options):
         for seed in seeds:
             with self.subTest(seed=seed):
-                play(self, Core(names, seed=seed, **kw), text)
+                play(self, Core(names, seed=seed, **options), text)
 
     def test_first_start_and_write(self):
         self.play("""
@@ -47,7 +44,7 @@
 
     def test_wiped_holder_while_the_others_lose_power(self):
         for wiped in "abc":
-            cells = {n: "wipe" if n == wiped else "kill" for n in "abc"}
+            cells = {name: "wipe" if name == wiped else "kill" for name in "abc"}
             self.play(
                 f"""
                 ms    a   b   c   any
@@ -75,19 +72,19 @@
 
     def test_isolated_primary_confirms_no_read(self):
         for seed in range(6):
-            c = Core(seed=seed)
-            c.run(2500)
-            n = c.leader()
-            c.cut(n)
-            c.act(n, c.nodes[n][0].read(c.now, 77))
-            c.run(3000)
-            self.assertNotIn((n, 77), c.confirmed)
-            self.assertIn((n, 77), c.lost)
-
-    def test_one_way_cuts(self):
-        for way in ("cut-in", "cut-out"):
+            core = Core(seed=seed)
+            core.run(2500)
+            name = core.leader()
+            core.cut(name)
+            core.act(name, core.nodes[name][0].read(core.now, 77))
+            core.run(3000)
+            self.assertNotIn((name, 77), core.confirmed)
+            self.assertIn((name, 77), core.lost)
+
+    def test_one_way_partitions(self):
+        for direction in ("cut-in", "cut-out"):
             for victim in range(3):
-                cells = [way if i == victim else "." for i in range(3)]
+                cells = [direction if i == victim else "." for i in range(3)]
                 self.play(
                     f"""
                     ms    a b c any
@@ -102,132 +99,132 @@
                     seeds=range(3),
                 )
 
-    def test_one_way_cut_of_a_backup_does_not_unseat_the_primary(self):
+    def test_one_way_partition_of_a_backup_does_not_depose_the_primary(self):
         for seed in range(6):
-            c = Core(seed=seed)
-            c.run(2500)
-            first = c.leader()
-            back = c.nodes[first][0].leadership.view.backups[0]
-            n = next(k for k, m in c.members.items() if m.id == back)
-            c.cut(n, way="in")
-            c.run(4000)
-            self.assertEqual(c.leader(), first)
-
-    def test_a_member_that_was_cut_off_comes_back_without_deposing_the_primary(self):
+            core = Core(seed=seed)
+            core.run(2500)
+            first = core.leader()
+            backup = core.nodes[first][0].leadership.view.backups[0]
+            name = next(other for other, member in core.members.items() if member.id == backup)
+            core.cut(name, way="in")
+            core.run(4000)
+            self.assertEqual(core.leader(), first)
+
+    def test_a_partitioned_member_comes_back_without_deposing_the_primary(self):
         """It asks whether it would win before it uses an epoch; twenty seconds alone raise no promise."""
-        for way in ("both", "in", "out"):
+        for direction in ("both", "in", "out"):
             for seed in range(4):
-                c = Core(seed=seed)
-                c.run(2500)
-                first = c.leader()
-                epoch = c.view().epoch
-                n = min(set("abc") - c.holders())
-                c.cut(n, way=way)
-                c.run(20000)
-                c.heal()
-                c.run(3000)
-                self.assertEqual((c.leader(), c.view().epoch), (first, epoch), (way, seed))
-                self.assertEqual(c.voters(), set("abc"))
-
-    def test_stalled_disk_moves_the_duty(self):
+                core = Core(seed=seed)
+                core.run(2500)
+                first = core.leader()
+                epoch = core.view().epoch
+                name = min(set("abc") - core.holders())
+                core.cut(name, way=direction)
+                core.run(20000)
+                core.heal()
+                core.run(3000)
+                self.assertEqual((core.leader(), core.view().epoch), (first, epoch), (direction, seed))
+                self.assertEqual(core.voters(), set("abc"))
+
+    def test_stalled_disk_moves_the_leadership(self):
         for seed in range(6):
-            c = Core(seed=seed)
-            c.run(2500)
-            n = c.leader()
-            c.stall(n)
-            self.assertFalse(c.write(6, n))
-            c.run(3000)
-            self.assertNotEqual(c.leader(), n)
-            self.assertIsNotNone(c.leader())
-            self.assertTrue(c.write(8))
+            core = Core(seed=seed)
+            core.run(2500)
+            name = core.leader()
+            core.stall(name)
+            self.assertFalse(core.write(6, name))
+            core.run(3000)
+            self.assertNotEqual(core.leader(), name)
+            self.assertIsNotNone(core.leader())
+            self.assertTrue(core.write(8))
 
     def test_copies_that_are_slow_everywhere_are_given_the_time_they_need(self):
-        """A link so thin that no backup confirms within the patience: views followed each other for ever."""
+        """A link so thin that no backup confirms within the election time-out: views followed each other for ever."""
         for seed in range(4):
-            c = Core(seed=seed)
-            c.run(2500)
-            self.assertTrue(c.write(5))
-            c.copy_delay = timedelta(milliseconds=2000)
-            c.kill(c.leader())
-            c.run(15000)
-            self.assertIsNotNone(c.leader())
-            self.assertEqual(c.nodes[c.leader()][0].decided.revision, 5)
-            c.boot(min(c.off))
-            c.run(3000)
-            self.assertTrue(c.write(7, wait=9000) or c.write(8, wait=9000) or c.write(9, wait=9000))
+            core = Core(seed=seed)
+            core.run(2500)
+            self.assertTrue(core.write(5))
+            core.copy_delay = timedelta(milliseconds=2000)
+            core.kill(core.leader())
+            core.run(15000)
+            self.assertIsNotNone(core.leader())
+            self.assertEqual(core.nodes[core.leader()][0].decided.revision, 5)
+            core.boot(min(core.off))
+            core.run(3000)
+            self.assertTrue(core.write(7, wait=9000) or core.write(8, wait=9000) or core.write(9, wait=9000))
 
     def test_stalled_backup_is_replaced_by_the_witness(self):
         for seed in range(6):
-            c = Core(seed=seed)
-            c.run(2500)
-            n = c.leader()
-            back = c.nodes[n][0].leadership.view.backups[0]
-            c.stall(next(k for k, m in c.members.items() if m.id == back))
-            c.write(6, n, 2500)
-            c.run(1500)
-            self.assertNotIn(back, c.view().backups)
-            self.assertEqual(c.nodes[c.leader()][0].data.revision, 6)
-            self.assertTrue(c.write(8))
+            core = Core(seed=seed)
+            core.run(2500)
+            name = core.leader()
+            backup = core.nodes[name][0].leadership.view.backups[0]
+            core.stall(next(other for other, member in core.members.items() if member.id == backup))
+            core.write(6, name, 2500)
+            core.run(1500)
+            self.assertNotIn(backup, core.view().backups)
+            self.assertEqual(core.nodes[core.leader()][0].data.revision, 6)
+            self.assertTrue(core.write(8))
 
     def test_newcomer_takes_a_dead_members_place_in_one_view_change(self):
         for seed in range(6):
-            c = Core(seed=seed)
-            c.run(2500)
-            c.write(5)
-            n = next(k for k in "abc" if k != c.leader())
-            c.kill(n)
-            c.run(2000)
-            before = c.view()
-            c.nodes.pop(n)
-            c.boot("d")
-            c.run(3000)
-            v = c.view()
-            self.assertEqual(len(v.roster), 3)
-            self.assertIn(c.members["d"].id, v.ids)
-            self.assertNotIn(c.members[n].id, v.ids)
-            self.assertIn(c.members[n].id, before.ids)
+            core = Core(seed=seed)
+            core.run(2500)
+            core.write(5)
+            name = next(other for other in "abc" if other != core.leader())
+            core.kill(name)
+            core.run(2000)
+            before = core.view()
+            core.nodes.pop(name)
+            core.boot("d")
+            core.run(3000)
+            view = core.view()
+            self.assertEqual(len(view.roster), 3)
+            self.assertIn(core.members["d"].id, view.ids)
+            self.assertNotIn(core.members[name].id, view.ids)
+            self.assertIn(core.members[name].id, before.ids)
 
     def test_all_seeds_exchanged_in_turn(self):
         for seed in range(4):
-            c = Core(seed=seed)
-            c.run(2500)
-            c.write(5)
+            core = Core(seed=seed)
+            core.run(2500)
+            core.write(5)
             for old, new in zip("abc", "def"):
-                c.boot(new)
-                c.run(1500)
-                c.kill(old)
-                c.run(4000)
-                c.nodes.pop(old)
-            self.assertEqual(c.nodes[c.leader()][0].data.revision, 5)
-            self.assertEqual({m.host for m in c.view().roster}, set("def"))
-            self.assertTrue(c.write(7))
+                core.boot(new)
+                core.run(1500)
+                core.kill(old)
+                core.run(4000)
+                core.nodes.pop(old)
+            self.assertEqual(core.nodes[core.leader()][0].data.revision, 5)
+            self.assertEqual({member.host for member in core.view().roster}, set("def"))
+            self.assertTrue(core.write(7))
 
     def test_wiped_machine_has_no_vote_until_admitted(self):
-        c = Core(seed=3)
-        c.run(2500)
-        c.write(5)
-        n = next(k for k in "abc" if k != c.leader())
-        others = [k for k in "abc" if k != n]
-        c.wipe(n)
-        for k in others:
-            c.kill(k)
-        c.boot(n)
-        c.run(3000)
-        self.assertFalse(c.nodes[n][0].voter)
-        self.assertEqual(c.nodes[n][0].register.views, [])
-        self.assertIsNone(c.leader())
+        core = Core(seed=3)
+        core.run(2500)
+        core.write(5)
+        name = next(other for other in "abc" if other != core.leader())
+        others = [other for other in "abc" if other != name]
+        core.wipe(name)
+        for other in others:
+            core.kill(other)
+        core.boot(name)
+        core.run(3000)
+        self.assertFalse(core.nodes[name][0].voter)
+        self.assertEqual(core.nodes[name][0].register.views, [])
+        self.assertIsNone(core.leader())
 
     def test_leaving_primary_names_a_successor(self):
         for seed in range(6):
-            c = Core(seed=seed)
-            c.run(2500)
-            c.write(5)
-            n = c.leader()
-            back = c.nodes[n][0].leadership.view.backups[0]
-            c.act(n, c.nodes[n][0].transfer_leadership(c.now))
-            c.run(500)
-            self.assertEqual(c.members[c.leader()].id, back)
-            self.assertEqual(c.nodes[c.leader()][0].data.revision, 5)
+            core = Core(seed=seed)
+            core.run(2500)
+            core.write(5)
+            name = core.leader()
+            backup = core.nodes[name][0].leadership.view.backups[0]
+            core.act(name, core.nodes[name][0].transfer_leadership(core.now))
+            core.run(500)
+            self.assertEqual(core.members[core.leader()].id, backup)
+            self.assertEqual(core.nodes[core.leader()][0].data.revision, 5)
 
     def test_five_members_bear_two_losses(self):
         self.play(
@@ -245,151 +242,83 @@
 
     def test_core_machines_beyond_the_seeds_join(self):
         for seed in range(6):
-            c = Core("abcde", replicas=2, seed=seed, seeds="abc")
-            c.run(8000)
-            self.assertEqual({m.host for m in c.view().roster}, set("abcde"))
-            self.assertEqual(len(c.view().backups), 2)
-            self.assertTrue(c.write(5))
+            core = Core("abcde", replicas=2, seed=seed, seeds="abc")
+            core.run(8000)
+            self.assertEqual({member.host for member in core.view().roster}, set("abcde"))
+            self.assertEqual(len(core.view().backups), 2)
+            self.assertTrue(core.write(5))
 
     def test_the_first_roster_is_the_seeds_whoever_calls_first(self):
         for seed in range(6):
-            c = Core("dabce", replicas=1, seed=seed, seeds="abc")
-            c.run(1200)
-            views = [v for n in c.nodes for v in c.nodes[n][0].register.views]
-            first = min(views, key=lambda v: v.epoch)
-            self.assertLessEqual({m.host for m in first.roster} - set("de"), set("abc"))
-            c.run(6000)
-            self.assertIsNotNone(c.leader())
+            core = Core("dabce", replicas=1, seed=seed, seeds="abc")
+            core.run(1200)
+            views = [view for name in core.nodes for view in core.nodes[name][0].register.views]
+            first = min(views, key=lambda view: view.epoch)
+            self.assertLessEqual({member.host for member in first.roster} - set("de"), set("abc"))
+            core.run(6000)
+            self.assertIsNotNone(core.leader())
 
     def test_a_core_of_one(self):
-        c = Core("a", replicas=1)
-        c.run(2500)
-        self.assertTrue(c.write(3))
+        core = Core("a", replicas=1)
+        core.run(2500)
+        self.assertTrue(core.write(3))
 
-    def test_a_primary_that_stood_still_asks_before_it_gives_up(self):
+    def test_a_primary_whose_process_paused_asks_before_it_steps_down(self):
         """A stall of its own process is no silence of the others."""
         for names in ("a", "abc"):
-            c = Core(names, seed=2)
-            c.run(2500)
-            n = c.leader()
-            led = c.nodes[n][0]
-            c.act(n, led.tick(c.now + timedelta(milliseconds=700)))
-            self.assertTrue(led.leading())
-        c.cut(n)
-        c.run(1500)
-        self.assertFalse(led.leading(), "silence after it has asked still ends its duty")
+            core = Core(names, seed=2)
+            core.run(2500)
+            name = core.leader()
+            consensus = core.nodes[name][0]
+            core.act(name, consensus.tick(core.now + timedelta(milliseconds=700)))
+            self.assertTrue(consensus.leading())
+        core.cut(name)
+        core.run(1500)
+        self.assertFalse(consensus.leading(), "silence after it has asked still ends its leadership")
 
     def test_a_core_of_two(self):
-        c = Core("ab", replicas=1)
-        c.run(2500)
-        self.assertTrue(c.write(3))
+        core = Core("ab", replicas=1)
+        core.run(2500)
+        self.assertTrue(core.write(3))
 
 
-class Luck(unittest.TestCase):
-    """Random troubles: what was acknowledged stays, and no epoch has two primaries."""
+class RandomFaults(unittest.TestCase):
+    """Random faults: what was acknowledged stays, and no epoch has two primaries."""
 
-    def storm(self, seed):
-        rng, c = random.Random(seed), Core(seed=seed, loss=0.05)
-        c.run(2500)
+    def play_random_faults(self, seed):
+        rng, core = random.Random(seed), Core(seed=seed, loss=0.05)
+        core.run(2500)
         newest, down = 0, None
-        for rev in range(1, 14):
-            what = rng.choice(("none", "kill", "wipe", "cut", "cut-in", "cut-out", "stall"))
-            n = rng.choice("abc")
-            if down is None and what != "none":
-                down = (what, n)
-                if what in ("kill", "wipe"):
-                    getattr(c, what)(n)
-                elif what == "stall":
-                    c.stall(n)
+        for revision in range(1, 14):
+            fault = rng.choice(("none", "kill", "wipe", "cut", "cut-in", "cut-out", "stall"))
+            name = rng.choice("abc")
+            if down is None and fault != "none":
+                down = (fault, name)
+                if fault in ("kill", "wipe"):
+                    getattr(core, fault)(name)
+                elif fault == "stall":
+                    core.stall(name)
                 else:
-                    c.cut(n, way=what[4:] or "both")
-            c.run(rng.randrange(0, 2500))
-            if c.leader() and c.write(rev * 2):
-                newest = rev * 2
+                    core.cut(name, way=fault[4:] or "both")
+            core.run(rng.randrange(0, 2500))
+            if core.leader() and core.write(revision * 2):
+                newest = revision * 2
             if down and rng.random() < 0.7:
-                c.heal()
-                c.flow()
+                core.heal()
+                core.flow()
                 if down[0] in ("kill", "wipe"):
-                    c.boot(down[1])
+                    core.boot(down[1])
                 down = None
-                c.run(4500)
+                core.run(4500)
                 for _ in range(4):
-                    c.run(0 if c.leader() else 500)
-                lead = c.leader()
-                self.assertIsNotNone(lead, f"seed {seed}: a primary after trouble")
-                self.assertGreaterEqual(c.nodes[lead][0].data.revision, newest, f"seed {seed}")
-            leads = [c.nodes[k][0].leadership.epoch for k in c.nodes if c.nodes[k][0].leading()]
-            self.assertEqual(len(leads), len(set(leads)))
-
-    def test_storms(self):
+                    core.run(0 if core.leader() else 500)
+                leader = core.leader()
+                self.assertIsNotNone(leader, f"seed {seed}: a primary after a fault")
+                self.assertGreaterEqual(core.nodes[leader][0].data.revision, newest, f"seed {seed}")
+            epochs = [core.nodes[other][0].leadership.epoch for other in core.nodes if core.nodes[other][0].leading()]
+            self.assertEqual(len(epochs), len(set(epochs)))
+
+    def test_random_faults(self):
         for seed in range(60):
             with self.subTest(seed=seed):
-                self.storm(seed)
-
-
-class Sums(unittest.TestCase):
-    def view(self, ids, previous=()):
-        members = {i: Member(i, "h", i, "z", "") for i in range(1, 10)}
-        rosters = [Roster([members[i] for i in old]) for old in previous]
-        return View(1, ids[0], [], [members[i] for i in ids], rosters)
-
-    def test_an_unsettled_view_needs_its_older_roster_too(self):
-        v = self.view([1, 2, 4], [[1, 2, 3]])
-        self.assertFalse(quorum({1, 4}, Basis(v, False).rosters))
-        self.assertTrue(quorum({1, 4}, Basis(v, True).rosters))
-        self.assertTrue(quorum({1, 2}, Basis(v, False).rosters))
-
-    def test_rosters_that_were_not_settled_keep_their_say_in_the_next_view(self):
-        v = self.view([1, 2, 4], [[1, 2, 3]])
-        members = [Member(i, "h", i, "z", "") for i in (1, 2, 5)]
-        self.assertEqual(next_view(9, 1, [2], members, Basis(v, False)).rosters, ((1, 2, 5), (1, 2, 3), (1, 2, 4)))
-        self.assertEqual(next_view(9, 1, [2], members, Basis(v, True)).rosters, ((1, 2, 5), (1, 2, 4)))
-
-    def test_backups_lie_in_other_zones_first(self):
-        ros = [Member(1, "h", 1, "x", ""), Member(2, "h", 2, "x", ""), Member(3, "h", 3, "y", "")]
-        self.assertEqual(choose_backups(1, ros, {1, 2, 3}, (), 1), [3])
-        self.assertIsNone(choose_backups(1, ros, {1}, (), 1))
-
-    def roster(self, learners, dead=(), leaving=(), all_near=True, ids=(1, 2, 3)):
-        ready = [ReadyLearner(*learner) for learner in learners]
-        state = RosterState(self.view(list(ids)), ready, frozenset(dead), frozenset(leaving), all_near)
-        found = next_roster(state)
-        return found and [member.id for member in found]
-
-    def test_wiped_member_gets_its_own_place(self):
-        self.assertEqual(self.roster([(Member(9, "h", 2, "z", ""), False)]), [1, 9, 3])
-
-    def test_a_newcomer_takes_a_seat_that_is_free_and_waits_for_one_otherwise(self):
-        new = [(Member(9, "new", 1, "z", ""), False)]
-        self.assertIsNone(self.roster(new))
-        self.assertEqual(self.roster(new, dead=[2]), [1, 9, 3])
-        self.assertEqual(self.roster(new, leaving=[3]), [1, 2, 9])
-        self.assertEqual(self.roster(new, dead=[1], leaving=[3]), [9, 2, 3])
-
-    def test_only_machines_of_the_first_start_make_the_roster_grow_and_only_while_all_are_near(self):
-        new = [(Member(8, "new", 1, "z", ""), True), (Member(9, "newer", 1, "z", ""), True)]
-        self.assertEqual(self.roster(new), [1, 2, 3, 8, 9])
-        self.assertIsNone(self.roster(new, all_near=False))
-        self.assertEqual(self.roster(new, dead=[2]), [1, 8, 3])
-
-    def test_an_even_roster_drops_a_dead_member(self):
-        self.assertEqual(self.roster([], dead=[4], ids=(1, 2, 3, 4)), [1, 2, 3])
-        self.assertIsNone(self.roster([], dead=[3]))
-
-
-class OnDisk(unittest.TestCase):
-    def test_what_was_saved_is_read_again(self):
-        import tempfile
-
-        with tempfile.TemporaryDirectory() as d:
-            s = Store(d)
-            self.assertIsNone(s.load())
-            reg, data = Register(5, True, 7, [], False, 0), Data(7, 1, 3, b"xyz")
-            s.save(reg, data)
-            s.save(Register(5, True, 9, [], False, 0))
-            s.close()
-            s = Store(d)
-            self.assertEqual(s.load(), (Register(5, True, 9, [], False, 0), data))
-            for name, want in (("synchronous", 3), ("journal_mode", "persist"), ("locking_mode", "exclusive")):
-                self.assertEqual(s.db.execute(f"PRAGMA {name}").fetchone()[0], want)
-            s.close()
+                self.play_random_faults(seed)
--- /dev/null
+++ b/tests/consensus/test_store.py
@@ -0,0 +1,27 @@
+"""What a member finds again on its disk."""
+
+import tempfile
+import unittest
+
+from sparloom.consensus import Store
+from sparloom.consensus.records import Data, Register
+
+
+class StoredState(unittest.TestCase):
+    def test_what_was_saved_is_read_again(self):
+        with tempfile.TemporaryDirectory() as folder:
+            store = Store(folder)
+            self.assertIsNone(store.load())
+            register, data = Register(5, True, 7, [], False, 0), Data(7, 1, 3, b"xyz")
+            store.save(register, data)
+            store.save(Register(5, True, 9, [], False, 0))
+            store.close()
+            store = Store(folder)
+            self.assertEqual(store.load(), (Register(5, True, 9, [], False, 0), data))
+            for name, want in (("synchronous", 3), ("journal_mode", "persist"), ("locking_mode", "exclusive")):
+                self.assertEqual(store.db.execute(f"PRAGMA {name}").fetchone()[0], want)
+            store.close()
+
+
+if __name__ == "__main__":
+    unittest.main()
