--- a/sparloom/consensus/store.py
+++ b/sparloom/consensus/store.py
@@ -18,7 +18,7 @@
     "locking_mode=EXCLUSIVE",
     # The journal is invalidated by overwriting its header: no name in the directory changes at a commit.
     "journal_mode=PERSIST",
-    # A commit returns only once it is on disk, the journal's header included.
+    # Journal and file are synced before a commit returns.
     "synchronous=EXTRA",
     "temp_store=MEMORY",
     "cache_size=200",
