--- a/simulator/fleet.py
+++ b/simulator/fleet.py
@@ -167,7 +167,7 @@
 
     listing, page = (), 50
 
-    async def _ask(self, cloud):
+    async def _request_page(self, cloud):
         at = int(self.pages.token or 0)
         more = at + self.page < len(self.listing)
         d = {"instances": self.listing[at : at + self.page], "nextPageToken": str(at + self.page) if more else None}
@@ -214,7 +214,7 @@
         for i in range(self.size.controllers):
             ip = self.size.controller(i)
             ctl = self.controllers[ip] = Controller(self._up(ip, "controller", i, ip), "")
-            ctl.poller = _ListedHere(ctl.up, ctl.core, ctl.shop, ctl.control.routers)
+            ctl.poller = _ListedHere(ctl.settings, ctl.consensus, ctl.feed_server, ctl.control_api.router_count)
             ctl.poller.listing = self.listed()
             await self._on(ip, ctl)
         await asyncio.gather(*(self.boot(i, 2.0 * i / self.size.nodes) for i in range(self.size.nodes)))
@@ -245,7 +245,8 @@
     def leader(self):
         """The primary's controller, or None."""
         return next(
-            (c for ip, c in self.controllers.items() if ip not in self.loop.net.off and c.core.ledger.leading()), None
+            (c for ip, c in self.controllers.items() if ip not in self.loop.net.off and c.consensus.member.leading()),
+            None,
         )
 
     async def change(self, d, method="PATCH"):
@@ -253,7 +254,7 @@
         led = self.leader()
         if led is None:
             return None
-        got = await led.control._change(_Call(method, self.revision, d))
+        got = await led.control_api.change(_Call(method, self.revision, d))
         if got.status != 200:
             return None
         self.revision = d["revision"]
--- a/simulator/growth.py
+++ b/simulator/growth.py
@@ -95,7 +95,7 @@
 
 def most_followers(fleet):
     """How many routers follow the busiest controller."""
-    keys = {controller.core.key for controller in fleet.controllers.values()}
+    keys = {controller.consensus.key for controller in fleet.controllers.values()}
     parents = (router.serve.told()["follows"] for router in fleet.routers.values())
     return max(Counter(key for key in parents if key in keys).values(), default=0)
 
--- a/simulator/isolation.py
+++ b/simulator/isolation.py
@@ -105,7 +105,7 @@
         for i, ip in enumerate(sorted(self.routers)):
             await asyncio.sleep(1.0 / (len(self.routers) + 1))
             if ip in self.routers:
-                self.routers[ip].use(self._settings(ip, i))
+                self.routers[ip].apply_settings(self._settings(ip, i))
 
     # -- runners ----------------------------------------------------------------
     async def start_runner(self, i):
--- a/simulator/site.py
+++ b/simulator/site.py
@@ -150,5 +150,5 @@
 
     def primary(self):
         """The address of the controller that leads, or None; the newest epoch's, if two think so."""
-        leading = [ip for ip in self.running if self.controllers[ip].core.ledger.leading()]
-        return max(leading, key=lambda ip: self.controllers[ip].core.ledger.view.epoch, default=None)
+        leading = [ip for ip in self.running if self.controllers[ip].consensus.member.leading()]
+        return max(leading, key=lambda ip: self.controllers[ip].consensus.member.view.epoch, default=None)
--- a/sparloom/controller/change_requests.py
+++ b/sparloom/controller/change_requests.py
@@ -1,6 +1,9 @@
-"""The operator's orders: read from a request's bytes, and judged against a decided state. No I/O."""
+"""The operator's changes: parsed from a request, and judged against a committed state. No I/O."""
+
+from __future__ import annotations
 
 from enum import Enum
+from typing import TYPE_CHECKING
 
 from attrs import define
 from returns.pipeline import is_successful
@@ -8,126 +11,160 @@
 
 from sparloom.configuration import MOST_REVISION, apply_patch, check, parse
 
-from .control_state import fingerprint
+from .control_state import State, fingerprint
+
+if TYPE_CHECKING:
+    from .control_state import ConfigurationDict
 
-MOST_DIGITS = len(str(MOST_REVISION))
+MAXIMUM_DIGITS = len(str(MOST_REVISION))
 
 
 @define(frozen=True, slots=True)
 class ChangeRequest:
-    """A change that an operator asks for; ``change`` is a whole configuration (PUT) or an edit (PATCH)."""
+    """A change that an operator requests.
+
+    Attributes
+    ----------
+    method : str
+        ``PUT`` for a complete configuration, ``PATCH`` for an edit.
+    base : int
+        The revision that the change builds on; 0 for none.
+    change : dict
+        The request's JSON body.
+    fingerprint : bytes
+        What tells this change from another of the same revision.
+    """
 
     method: str
     base: int
-    change: dict
+    change: ConfigurationDict
     fingerprint: bytes
 
     @property
-    def revision(self):
+    def revision(self) -> int:
         """The number that the operator gave the change.
 
         >>> parse_change_request("PATCH", "1", b'{"revision": 4}').unwrap().revision
         4
         """
-        return self.change["revision"]
+        revision: int = self.change["revision"]
+        return revision
 
-    def same_as(self, other):
-        """Whether this is the other order, sent again.
+    def is_retry_of(self, other: ChangeRequest) -> bool:
+        """Whether this is the other change, sent again.
 
         >>> a, b = (parse_change_request("PATCH", base, b'{"revision": 4}').unwrap() for base in "12")
-        >>> a.same_as(a), a.same_as(b)
+        >>> a.is_retry_of(a), a.is_retry_of(b)
         (True, False)
         """
         return self.fingerprint == other.fingerprint
 
 
 class Verdict(Enum):
-    """What becomes of an order, as far as one decided state tells."""
+    """What becomes of a change, as far as one committed state tells."""
 
     NEW = "it may be written"
-    TAKEN = "it was taken before"
-    FORGOTTEN = "it may have been taken before"
+    ALREADY_COMMITTED = "it was committed before"
+    FORGOTTEN = "it may have been committed before"
     STALE = "another revision than its base is current"
     INVALID = "it is invalid on its base"
 
 
 @define(frozen=True, slots=True)
 class Judgement:
-    """The verdict; for a new order the state to write, for an invalid one what is wrong."""
+    """The verdict on a change.
+
+    Attributes
+    ----------
+    verdict : Verdict
+        What becomes of the change.
+    state : State or None
+        The state to write, for a new change.
+    fault : str
+        What is wrong, for an invalid change.
+    """
 
     verdict: Verdict
-    state: object = None
+    state: State | None = None
     fault: str = ""
 
 
-def _base(text):
+def _parse_base(if_match: str) -> int | None:
     """The revision that ``If-Match`` names, or None."""
-    digits = text.strip().strip('"')
-    return int(digits) if digits.isascii() and digits.isdigit() and len(digits) <= MOST_DIGITS else None
+    digits = if_match.strip().strip('"')
+    # Longer digits name no revision, and int() is slow on a very long text.
+    return int(digits) if digits.isascii() and digits.isdigit() and len(digits) <= MAXIMUM_DIGITS else None
 
 
-def parse_change_request(method, if_match, body) -> Result:
-    """Reads an order. A failure names a fault that lies in the order alone, whatever the state.
+def parse_change_request(method: str, if_match: str, body: bytes) -> Result[ChangeRequest, str]:
+    """Parses a change. A failure names a fault that lies in the request alone, whatever the state.
 
     >>> parse_change_request("PUT", "0", b'{"revision": 1}').unwrap().base
     0
     >>> parse_change_request("PUT", "", b"{}").failure()
     'If-Match must name the revision that this builds on'
     """
-    base = _base(if_match)
+    base = _parse_base(if_match)
     if base is None:
         return Failure("If-Match must name the revision that this builds on")
-    read = parse(body)
-    if not is_successful(read):
-        return read
-    change = read.unwrap()
+    parsed = parse(body)
+    if not is_successful(parsed):
+        return Failure(parsed.failure())
+    change = parsed.unwrap()
     if not isinstance(change, dict):
         return Failure("the body must be an object")
     revision = change.get("revision")
+    # A bool is an int too, so its exact type is compared.
     if type(revision) is not int or not 0 < revision <= MOST_REVISION:
         return Failure(f"revision must be a whole number from 1 to {MOST_REVISION}")
     if method == "PUT":
-        whole = check(change)
-        if not is_successful(whole):
-            return whole
+        checked = check(change)
+        if not is_successful(checked):
+            return Failure(checked.failure())
     try:
         return Success(ChangeRequest(method, base, change, fingerprint(method, base, change)))
     except RecursionError:
         return Failure("the body is nested too deeply")
 
 
-def _was_taken(state, order):
-    whole = order.method == "PUT" and order.change == state.policy
-    return whole or state.history.fingerprint_of(order.revision) == order.fingerprint
+def _was_committed(state: State, request: ChangeRequest) -> bool:
+    if request.method == "PUT" and request.change == state.configuration:
+        return True
+    return state.history.fingerprint_of(request.revision) == request.fingerprint
+
 
+def _new_configuration(state: State, request: ChangeRequest) -> Result[ConfigurationDict, str]:
+    if request.method == "PUT":
+        return Success(request.change)
+    edited: Result[ConfigurationDict, str] = apply_patch(state.configuration, request.change).bind(check)
+    return edited
 
-def _configuration(state, order):
-    if order.method == "PUT":
-        return Success(order.change)
-    return apply_patch(state.policy, order.change).bind(check)
 
+def judge(state: State, request: ChangeRequest, router_count: int = 0) -> Judgement:
+    """What becomes of a change upon a committed state.
 
-def judge(state, order, router_count=0):
-    """What becomes of an order upon a decided state.
+    Parameters
+    ----------
+    router_count
+        The number of routers that are known now; it is stored with the configuration.
 
-    >>> from .control_state import State
-    >>> order = parse_change_request("PUT", "0", b'{"revision": 3}').unwrap()
-    >>> first = judge(State({}), order)
-    >>> first.verdict.name, judge(first.state, order).verdict.name
-    ('NEW', 'TAKEN')
+    >>> request = parse_change_request("PUT", "0", b'{"revision": 3}').unwrap()
+    >>> first = judge(State({}), request)
+    >>> first.verdict.name, judge(first.state, request).verdict.name
+    ('NEW', 'ALREADY_COMMITTED')
     >>> judge(first.state, parse_change_request("PUT", "0", b'{"revision": 4}').unwrap()).verdict.name
     'STALE'
     """
-    if _was_taken(state, order):
-        return Judgement(Verdict.TAKEN)
-    if state.history.forgot(order.revision, order.base):
+    if _was_committed(state, request):
+        return Judgement(Verdict.ALREADY_COMMITTED)
+    if state.history.forgot(request.revision, request.base):
         return Judgement(Verdict.FORGOTTEN)
-    if order.base != state.revision:
+    if request.base != state.revision:
         return Judgement(Verdict.STALE)
-    if order.revision <= state.revision:
-        fault = f"revision {order.revision} is not above the current {state.revision}"
+    if request.revision <= state.revision:
+        fault = f"revision {request.revision} is not above the current {state.revision}"
         return Judgement(Verdict.INVALID, fault=fault)
-    made = _configuration(state, order)
+    made = _new_configuration(state, request)
     if not is_successful(made):
         return Judgement(Verdict.INVALID, fault=made.failure())
-    return Judgement(Verdict.NEW, state.then(made.unwrap(), order.fingerprint, router_count))
+    return Judgement(Verdict.NEW, state.then(made.unwrap(), request.fingerprint, router_count))
--- /dev/null
+++ b/sparloom/controller/configuration_writer.py
@@ -0,0 +1,288 @@
+"""Reads and changes the configuration: one write at a time, and what became of it.
+
+Every answer rests on committed state that a majority confirmed after the
+request came. That assumes what the consensus assumes: a primary serves only
+while it is in contact with a majority of its roster, and a disk keeps what it
+has acknowledged. Whatever can't be confirmed is left open and never a refusal.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from datetime import timedelta
+from typing import TYPE_CHECKING
+
+from absl import logging
+from attrs import define
+
+from sparloom.feed import CONFIGURATION
+from sparloom.membership import ROUTER
+from sparloom.transport import monotonic
+
+from .change_requests import Verdict, judge
+from .control_state import State
+from .offload import is_large, run
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from sparloom.consensus import Data
+
+    from .change_requests import ChangeRequest
+    from .consensus_service import ConsensusService
+    from .feed_server import FeedServer
+
+    Version = tuple[int, int]
+
+# Callers move on after a second of silence; a large body is given more.
+ANSWER_WITHIN = timedelta(milliseconds=800)
+ANSWER_WITHIN_PER_MIB = timedelta(seconds=1)
+MIB = 1 << 20
+
+
+@define(frozen=True, slots=True)
+class Deadline:
+    """The moment by which a request is answered.
+
+    Attributes
+    ----------
+    at : timedelta
+        On the clock of ``sparloom.transport.monotonic``.
+    """
+
+    at: timedelta
+
+    @classmethod
+    def after_body(cls, length: int) -> Deadline:
+        """The deadline of a request whose body of that many bytes was just read."""
+        return cls(monotonic() + ANSWER_WITHIN + ANSWER_WITHIN_PER_MIB * (length / MIB))
+
+    def left(self) -> timedelta:
+        """How much time is left; never less than none."""
+        remaining: timedelta = self.at - monotonic()
+        return max(timedelta(0), remaining)
+
+
+@define(frozen=True, slots=True)
+class Snapshot:
+    """A state and the version of the data that it was unpacked from.
+
+    Attributes
+    ----------
+    version : tuple of int
+        Epoch and number.
+    blob : bytes
+        The packed state.
+    state : State
+        The same, unpacked.
+    """
+
+    version: Version
+    blob: bytes
+    state: State
+
+
+@define(frozen=True, slots=True)
+class PendingWrite:
+    """A change whose write is under way.
+
+    Attributes
+    ----------
+    request : ChangeRequest
+        The change.
+    blob : bytes
+        The packed state that is being written.
+    state : State
+        The same, unpacked.
+    committed : asyncio.Task
+        Gives whether the write is known to be committed.
+    """
+
+    request: ChangeRequest
+    blob: bytes
+    state: State
+    committed: asyncio.Task[bool]
+
+
+@define(frozen=True, slots=True)
+class Acknowledged:
+    """The change is committed."""
+
+    revision: int
+
+
+@define(frozen=True, slots=True)
+class OutcomeUnknown:
+    """The change may be committed, or may yet be; it is to be sent again."""
+
+
+@define(frozen=True, slots=True)
+class NotConfirmed:
+    """This controller is not known to be the primary, so it can't tell."""
+
+
+@define(frozen=True, slots=True)
+class Stale:
+    """The change builds on another revision than the current one."""
+
+    current_revision: int
+
+
+@define(frozen=True, slots=True)
+class Invalid:
+    """The change can't be made on its base."""
+
+    fault: str
+
+
+ChangeOutcome = Acknowledged | OutcomeUnknown | NotConfirmed | Stale | Invalid
+
+
+class ConfigurationWriter:
+    """The committed configuration, and the one write that may be under way.
+
+    Attributes
+    ----------
+    committed : Snapshot or None
+        The newest committed state that the consensus told of.
+    pending : PendingWrite or None
+        The write under way.
+
+    Parameters
+    ----------
+    consensus
+        Confirms reads and carries out writes.
+    feed_server
+        Is given each committed configuration.
+    write_timeout
+        How long a write may take until its outcome counts as unknown.
+    """
+
+    def __init__(
+        self, consensus: ConsensusService, feed_server: FeedServer, write_timeout: Callable[[], timedelta]
+    ) -> None:
+        self.consensus, self.feed_server, self.write_timeout = consensus, feed_server, write_timeout
+        self.committed: Snapshot | None = None
+        self.pending: PendingWrite | None = None
+
+    def cancel(self) -> None:
+        """Waits no longer for the write under way, whose outcome stays unknown."""
+        if self.pending is not None:
+            self.pending.committed.cancel()
+
+    # -- what the consensus tells -----------------------------------------------
+    def on_committed(self, data: Data) -> None:
+        """Takes committed data, and publishes the configuration in it."""
+        self.committed = self._snapshot(data)
+        state = self.committed.state
+        if state.revision:
+            self.feed_server.publish(CONFIGURATION, data.stamp, state.configuration)
+
+    def _snapshot(self, data: Data) -> Snapshot:
+        """The state in some data; the same bytes are unpacked once only."""
+        known = self.committed
+        if known is not None and known.blob == data.blob:
+            return known if known.version == data.stamp else Snapshot(data.stamp, data.blob, known.state)
+        if self.pending is not None and self.pending.blob == data.blob:
+            return Snapshot(data.stamp, data.blob, self.pending.state)
+        return Snapshot(data.stamp, data.blob, State.unpack(data.blob))
+
+    # -- the number of routers ----------------------------------------------------
+    def _visible_routers(self) -> int:
+        """Routers in the membership's table, those that died of late included."""
+        return sum(entry.peer.role == ROUTER for entry in self.consensus.swim.table.values())
+
+    def router_count(self) -> int:
+        """The number of routers that share the endpoints: as committed, or as visible if that is more."""
+        committed = self.committed.state.router_count if self.committed else 0
+        return max(committed, self._visible_routers())
+
+    # -- reading --------------------------------------------------------------------
+    async def confirmed(self, deadline: Deadline) -> Snapshot | None:
+        """Returns committed state that a majority confirmed after this call began, or None."""
+        if not self.consensus.member.leading():
+            return None
+        data = await self.consensus.confirm(deadline.left())
+        # Data newer than any that was reported as committed may still be lost with this primary.
+        if data is None or self.committed is None or data.stamp > self.committed.version:
+            return None
+        return self._snapshot(data)
+
+    def _is_newest(self, snapshot: Snapshot) -> bool:
+        """Whether a confirmed state is still what a write would build on."""
+        if not self.consensus.member.leading():
+            return False
+        return self.committed is not None and self.committed.version == snapshot.version
+
+    # -- changing -------------------------------------------------------------------
+    async def change(
+        self, request: ChangeRequest, deadline: Deadline, is_wanted: Callable[[], bool] = lambda: True
+    ) -> ChangeOutcome:
+        """Carries out a change, and returns its outcome by the deadline.
+
+        A change is never refused while a write is under way, and never without
+        confirmed state: the write could make the reason for the refusal untrue.
+
+        Parameters
+        ----------
+        is_wanted
+            Tells whether somebody still waits for the answer; if not, no write begins.
+        """
+        while deadline.left() and is_wanted():
+            if self.pending is not None:
+                pending = self.pending
+                committed = await self._committed_in_time(pending, deadline)
+                if pending.request.is_retry_of(request):
+                    return Acknowledged(request.revision) if committed else OutcomeUnknown()
+                continue
+            snapshot = await self.confirmed(deadline)
+            if snapshot is None:
+                return NotConfirmed()
+            # Another write may have begun, or ended, while the state was being confirmed.
+            if self.pending is not None or not self._is_newest(snapshot):
+                continue
+            outcome = await self._judge(request, snapshot)
+            if outcome is not None:
+                return outcome
+        return OutcomeUnknown()
+
+    @staticmethod
+    async def _committed_in_time(pending: PendingWrite, deadline: Deadline) -> bool:
+        """Whether a write is known to be committed by the deadline."""
+        task = pending.committed
+        done, _ = await asyncio.wait({task}, timeout=deadline.left().total_seconds())
+        return bool(done) and not task.cancelled() and task.result()
+
+    async def _judge(self, request: ChangeRequest, snapshot: Snapshot) -> ChangeOutcome | None:
+        """The outcome of a change; None when its write has begun, or the state has changed meanwhile."""
+        is_long = is_large(snapshot.state.configuration) or is_large(request.change)
+        judgement = await run(is_long, judge, snapshot.state, request, self._visible_routers())
+        if judgement.verdict is Verdict.ALREADY_COMMITTED:
+            return Acknowledged(request.revision)
+        if judgement.verdict is Verdict.FORGOTTEN:
+            return OutcomeUnknown()
+        if judgement.verdict is Verdict.STALE:
+            return Stale(snapshot.state.revision)
+        if judgement.state is None:
+            return Invalid(judgement.fault)
+        blob = await run(is_long, judgement.state.pack)
+        # The loop ran on while threads judged and packed.
+        if self.pending is None and self._is_newest(snapshot):
+            write = self._write(request, snapshot, blob)
+            task = asyncio.get_running_loop().create_task(write)
+            self.pending = PendingWrite(request, blob, judgement.state, task)
+        return None
+
+    async def _write(self, request: ChangeRequest, snapshot: Snapshot, blob: bytes) -> bool:
+        """Writes a state over the one that it was made from; returns whether it is known to be committed."""
+        try:
+            # The task starts a turn of the event loop after the last check.
+            if not self._is_newest(snapshot):
+                return False
+            data = await self.consensus.write(request.revision, blob, self.write_timeout())
+            if data is None or data.revision != request.revision:
+                return False
+            logging.info("control: revision committed revision=%d", request.revision)
+            return True
+        finally:
+            self.pending = None
--- a/sparloom/controller/control_state.py
+++ b/sparloom/controller/control_state.py
@@ -1,33 +1,44 @@
 """The control state as bytes: the newest configuration, and which changes led to it.
 
-Layout of version 2: a head (version, oldest revision that can't be told any more,
-number of routers, number of records), one record of fixed size for each change
-that was taken, ascending by revision, then the configuration as compressed JSON.
-Version 1 was one compressed JSON list, whose first byte is that of a zlib stream.
+Layout of version 2: a header (version, oldest revision of which nothing is
+known any more, number of routers, number of records), one record of fixed size
+for each committed change, ascending by revision, then the configuration as
+compressed JSON. Version 1 was one compressed JSON list, whose first byte is
+that of a zlib stream.
 """
 
+from __future__ import annotations
+
 import bisect
 import hashlib
 import json
 import struct
 import zlib
+from typing import Any
 
 from attrs import define, field
 
+from sparloom.errors import SparloomError
+
 VERSION = 2
 REMEMBERED = 2048
 FINGERPRINT_BYTES = 12
-_HEAD = struct.Struct(">BQII")
+_HEADER = struct.Struct(">BQII")
 _RECORD = struct.Struct(f">Q{FINGERPRINT_BYTES}s")
 _ZLIB_FIRST_BYTE = 0x78
 _FASTEST = 1
 
-
-_AS_GIVEN = json.JSONEncoder(separators=(",", ":"))
+_COMPACT = json.JSONEncoder(separators=(",", ":"))
 _SORTED = json.JSONEncoder(separators=(",", ":"), sort_keys=True)
 
+ConfigurationDict = dict[str, Any]
+
+
+class ControlStateError(SparloomError, ValueError):
+    """Stored bytes that this version can't read as a control state."""
 
-def json_text(value, encoder=_AS_GIVEN):
+
+def json_text(value: Any, encoder: json.JSONEncoder = _COMPACT) -> str:
     """JSON, made item by item: one call for a large configuration would keep all other threads waiting.
 
     >>> json_text({"b": [1, {"d": 2}], "a": None})
@@ -39,17 +50,17 @@
     return "{" + ",".join(f"{encoder.encode(key)}:{_list_text(value[key], encoder)}" for key in keys) + "}"
 
 
-def _list_text(value, encoder):
+def _list_text(value: Any, encoder: json.JSONEncoder) -> str:
     if not isinstance(value, list):
         return encoder.encode(value)
     return "[" + ",".join(encoder.encode(item) for item in value) + "]"
 
 
-def fingerprint(method, base, change):
+def fingerprint(method: str, base: int, change: ConfigurationDict) -> bytes:
     """What tells one change from another of the same revision.
 
     The base is part of a PATCH: the same edit of another configuration is another
-    change. A PUT says the whole configuration, whatever it was built on.
+    change. A PUT holds the complete configuration, whatever it was built on.
 
     >>> fingerprint("PUT", 1, {"a": 1, "b": 2}) == fingerprint("PUT", 2, {"b": 2, "a": 1})
     True
@@ -63,92 +74,115 @@
 
 @define(frozen=True, slots=True)
 class History:
-    """Which changes were taken: revision and fingerprint of each of the newest ones.
-
-    Of a revision at or below ``forgotten_through`` nothing can be told any more.
+    """Which changes were committed: revision and fingerprint of each of the newest ones.
+
+    Attributes
+    ----------
+    records : bytes
+        The packed records, ascending by revision.
+    forgotten_through : int
+        Of this revision and those below nothing is known any more.
     """
 
     records: bytes = b""
     forgotten_through: int = 0
 
-    def __len__(self):
+    def __len__(self) -> int:
         return len(self.records) // _RECORD.size
 
-    def _record(self, index):
-        return _RECORD.unpack_from(self.records, index * _RECORD.size)
+    def _record(self, index: int) -> tuple[int, bytes]:
+        revision, change_fingerprint = _RECORD.unpack_from(self.records, index * _RECORD.size)
+        return revision, change_fingerprint
 
-    def fingerprint_of(self, revision):
+    def fingerprint_of(self, revision: int) -> bytes | None:
         """The fingerprint of the change that made a revision, or None if none is remembered.
 
         >>> History().add(7, b"123456789012").fingerprint_of(7), History().fingerprint_of(7)
         (b'123456789012', None)
         """
-        at = bisect.bisect_left(range(len(self)), revision, key=lambda i: self._record(i)[0])
-        if at == len(self):
+        index = bisect.bisect_left(range(len(self)), revision, key=lambda i: self._record(i)[0])
+        if index == len(self):
             return None
-        found, mark = self._record(at)
-        return mark if found == revision else None
+        found, change_fingerprint = self._record(index)
+        return change_fingerprint if found == revision else None
 
-    def forgot(self, revision, base):
-        """Whether a change of that revision, built on that base, may have been taken and forgotten.
+    def forgot(self, revision: int, base: int) -> bool:
+        """Whether a change of that revision, built on that base, may have been committed and forgotten.
 
         >>> History(b"", 5).forgot(5, 3), History(b"", 5).forgot(6, 3), History(b"", 5).forgot(4, 9)
         (True, False, False)
         """
         return base < revision <= self.forgotten_through
 
-    def add(self, revision, mark):
-        """The history with one more change; the oldest one gives way when it is full.
+    def add(self, revision: int, change_fingerprint: bytes) -> History:
+        """The history with one more change; the oldest one is dropped when it is full.
 
         >>> len(History().add(1, b"a").add(4, b"b"))
         2
         """
-        records = self.records + _RECORD.pack(revision, mark)
+        records = self.records + _RECORD.pack(revision, change_fingerprint)
         if len(records) <= REMEMBERED * _RECORD.size:
             return History(records, self.forgotten_through)
-        oldest = _RECORD.unpack_from(records)[0]
-        return History(records[_RECORD.size :], oldest)
+        oldest_revision, _ = _RECORD.unpack_from(records)
+        return History(records[_RECORD.size :], oldest_revision)
 
 
 @define(frozen=True, slots=True)
 class State:
-    """The newest configuration, the history behind it, and how many routers there were."""
+    """The newest configuration, and the history behind it.
+
+    Attributes
+    ----------
+    configuration : dict
+        The configuration as operators send it; empty before the first.
+    history : History
+        The changes that led to it.
+    router_count : int
+        The number of routers that were known when it was committed.
+    """
 
-    policy: dict
+    configuration: ConfigurationDict
     history: History = field(factory=History)
     router_count: int = 0
 
     @property
-    def revision(self):
+    def revision(self) -> int:
         """The newest revision; 0 before the first.
 
         >>> State({}).revision, State({"revision": 4}).revision
         (0, 4)
         """
-        return self.policy.get("revision", 0)
+        revision: int = self.configuration.get("revision", 0)
+        return revision
 
-    def then(self, policy, mark, router_count=0):
-        """The state after a change with that fingerprint is taken.
+    def then(self, configuration: ConfigurationDict, change_fingerprint: bytes, router_count: int = 0) -> State:
+        """The state after a change with that fingerprint is committed.
 
         >>> State({}).then({"revision": 2}, b"m" * 12).history.fingerprint_of(2)
         b'mmmmmmmmmmmm'
         """
-        return State(policy, self.history.add(policy["revision"], mark), router_count)
+        history = self.history.add(configuration["revision"], change_fingerprint)
+        return State(configuration, history, router_count)
 
-    def pack(self):
-        """The bytes to keep.
+    def pack(self) -> bytes:
+        """The bytes to store.
 
         >>> State.unpack(State({"revision": 1}, router_count=7).pack())
-        State(policy={'revision': 1}, history=History(records=b'', forgotten_through=0), router_count=7)
+        State(configuration={'revision': 1}, history=History(records=b'', forgotten_through=0), router_count=7)
         """
-        text = json_text(self.policy)
-        past = self.history
-        head = _HEAD.pack(VERSION, past.forgotten_through, self.router_count, len(past))
-        return head + past.records + zlib.compress(text.encode(), _FASTEST)
+        text = json_text(self.configuration)
+        history = self.history
+        header = _HEADER.pack(VERSION, history.forgotten_through, self.router_count, len(history))
+        return header + history.records + zlib.compress(text.encode(), _FASTEST)
 
     @staticmethod
-    def unpack(raw):
-        """The state in some bytes, of this version or of the first.
+    def unpack(raw: bytes) -> State:
+        """The state in some bytes, of this version or of the first; no bytes are the state before any change.
+
+        Raises
+        ------
+        ControlStateError
+            The bytes are of a version that is not known here.
 
         >>> State.unpack(b"").revision
         0
@@ -157,15 +191,15 @@
             return State({})
         if raw[0] == _ZLIB_FIRST_BYTE:
             return _unpack_first_version(raw)
-        version, forgotten_through, router_count, length = _HEAD.unpack_from(raw)
+        version, forgotten_through, router_count, length = _HEADER.unpack_from(raw)
         if version != VERSION:
-            raise ValueError(f"control state of version {version} can't be read here")
-        end = _HEAD.size + length * _RECORD.size
-        history = History(raw[_HEAD.size : end], forgotten_through)
+            raise ControlStateError(f"expected a control state of version 1 or {VERSION}, found version {version}")
+        end = _HEADER.size + length * _RECORD.size
+        history = History(raw[_HEADER.size : end], forgotten_through)
         return State(json.loads(zlib.decompress(raw[end:])), history, router_count)
 
 
-def _unpack_first_version(raw):
-    """Its marks can't be compared with fingerprints, so all that it took counts as forgotten."""
-    policy, _, router_count = json.loads(zlib.decompress(raw))
-    return State(policy, History(b"", policy.get("revision", 0)), router_count)
+def _unpack_first_version(raw: bytes) -> State:
+    """Its marks can't be compared with fingerprints, so all changes that it knew of count as forgotten."""
+    configuration, _, router_count = json.loads(zlib.decompress(raw))
+    return State(configuration, History(b"", configuration.get("revision", 0)), router_count)
--- a/sparloom/controller/endpoint_poller.py
+++ b/sparloom/controller/endpoint_poller.py
@@ -1,6 +1,10 @@
-"""The duty of asking the platform for the runners, done by the primary alone."""
+"""Polls the platform for the endpoint list, a singleton role of the primary."""
+
+from __future__ import annotations
 
 import asyncio
+from http import HTTPStatus
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import aiohttp
 from absl import logging
@@ -11,54 +15,112 @@
 from sparloom.transport import monotonic
 from sparloom.transport.http_client import Connector, open_session
 
-NOT_PRIMARY_PAUSE = 0.05
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from sparloom.discovery import Endpoint
+    from sparloom.settings import Settings
+    from sparloom.settings.checks import CloudApi
+
+    from .consensus_service import ConsensusService
+    from .feed_server import FeedServer
+
+NOT_PRIMARY_PAUSE_S = 0.05
+# So many requests that get no answer fit into the contact bound.
+TIMEOUTS_PER_CONTACT_BOUND = 3
+NO_ANSWER = 0
+
+
+class PollOutcome(NamedTuple):
+    """What one request for a page led to.
+
+    Attributes
+    ----------
+    more_pages : bool
+        Whether the list goes on, so that the next page is to be requested.
+    rate_limited : bool
+        Whether the platform rejected the request as over its rate.
+    """
+
+    more_pages: bool
+    rate_limited: bool
 
 
 class EndpointPoller(Service):
-    """Polls within the rate while this controller is the primary.
+    """Polls within the platform's rate while this controller is the primary.
 
-    Every page belongs to one epoch: that in which it was asked for. When the
+    Every page belongs to one epoch: that in which it was requested. When the
     epoch has changed by the time it arrives, or this controller is no longer
     the primary, the page is dropped with all that came before it. So a list is
     never put together from pages of two epochs, and none is published under an
     epoch other than that of its poller.
+
+    Attributes
+    ----------
+    last : EndpointList or None
+        The list that was published last in this epoch.
+    epoch : int
+        The epoch of the pages at hand.
+    number : int
+        The number of the last list within the epoch; both are its version.
+    pages : PageAssembler
+        The pages of a list that is not complete yet.
+
+    Parameters
+    ----------
+    fleet_size
+        Gives the number of routers that share the endpoints.
     """
 
-    def __init__(self, up, core, shop, crowd=lambda: 0):
+    def __init__(
+        self,
+        settings: Settings,
+        consensus: ConsensusService,
+        feed_server: FeedServer,
+        fleet_size: Callable[[], int] = lambda: 0,
+    ) -> None:
         super().__init__()
-        self.up, self.core, self.shop, self.crowd = up, core, shop, crowd
-        self.last, self.epoch, self.number = None, 0, 0
-        self.pages, self.session, self.grumbled = PageAssembler(), None, False
-
-    async def on_stop(self):
+        self.settings, self.consensus, self.feed_server, self.fleet_size = settings, consensus, feed_server, fleet_size
+        self.last: EndpointList | None = None
+        self.epoch, self.number = 0, 0
+        self.pages = PageAssembler()
+        self.session: aiohttp.ClientSession | None = None
+        self._failure_logged = False
+
+    async def on_stop(self) -> None:
         if self.session:
             await self.session.close()
 
-    def primary_epoch(self):
+    def primary_epoch(self) -> int | None:
         """The epoch in which this controller is the primary at this moment, or None."""
-        ledger = self.core.ledger
-        return ledger.leadership.epoch if ledger.leading() else None
+        member = self.consensus.member
+        leadership = member.leadership if member.leading() else None
+        return leadership.epoch if leadership else None
 
     @Service.task
-    async def _run(self):
-        cloud = self.up.cloud
-        if cloud is None:
+    async def _poll(self) -> None:
+        platform = self.settings.cloud
+        if platform is None:
             return
-        pace = PollSchedule.of(cloud.rate, self.up.bounds.drain)
+        schedule = PollSchedule.of(platform.rate, self.settings.bounds.drain)
         while not self.should_stop:
             epoch = self.primary_epoch()
-            self.enter(epoch)
+            self.enter_epoch(epoch)
             if epoch is None:
-                await asyncio.sleep(NOT_PRIMARY_PAUSE)
+                await asyncio.sleep(NOT_PRIMARY_PAUSE_S)
                 continue
-            await asyncio.sleep(max(0.0, (pace.next - monotonic()).total_seconds()))
+            await asyncio.sleep(max(0.0, (schedule.next - monotonic()).total_seconds()))
             if self.primary_epoch() != epoch:
                 continue
-            pace.begun = max(pace.begun, monotonic()) if self.pages.token is None else pace.begun
-            pace.done(monotonic(), *await self.call(cloud, epoch))
+            if self.pages.token is None:
+                schedule.begun = max(schedule.begun, monotonic())
+            # Taken before the request: the next one is due a period after this one began, not after it ended.
+            now = monotonic()
+            outcome = await self.poll_page(platform, epoch)
+            schedule.done(now, outcome.more_pages, outcome.rate_limited)
 
-    def enter(self, epoch):
-        """Notes the epoch of this controller's duty; None while it has none.
+    def enter_epoch(self, epoch: int | None) -> None:
+        """Notes the epoch in which this controller is the primary; None while it is not.
 
         Numbers go on within an epoch and start anew with the next one.
         """
@@ -67,52 +129,53 @@
         elif epoch != self.epoch:
             self.epoch, self.number, self.last, self.pages = epoch, 0, None, PageAssembler()
 
-    async def call(self, cloud, epoch):
-        """Asks for one page; tells whether more pages follow, and whether the call was over the rate."""
-        status, document = await self._ask(cloud)
+    async def poll_page(self, platform: CloudApi, epoch: int) -> PollOutcome:
+        """Requests one page, and publishes the list if it was the last one."""
+        status, document = await self._request_page(platform)
         if self.primary_epoch() != epoch:
             self.pages = PageAssembler()
-            return False, False
-        if status == 429:
-            return False, True
-        page = read_page(document).value_or(None) if status == 200 else None
+            return PollOutcome(more_pages=False, rate_limited=False)
+        if status == HTTPStatus.TOO_MANY_REQUESTS:
+            return PollOutcome(more_pages=False, rate_limited=True)
+        page = read_page(document).value_or(None) if status == HTTPStatus.OK else None
         if page is None:
-            self._restart(f"status {status}" if status != 200 else "a page can't be read")
-            return False, False
-        self.grumbled = False
-        return self._take(page), False
+            self._restart(f"status {status}" if status != HTTPStatus.OK else "a page can't be read")
+            return PollOutcome(more_pages=False, rate_limited=False)
+        self._failure_logged = False
+        return PollOutcome(more_pages=self._add_page(*page), rate_limited=False)
 
-    async def _ask(self, cloud):
-        """The status and the document of one page; status 0 when there was no answer.
+    async def _request_page(self, platform: CloudApi) -> tuple[int, Any]:
+        """The status and the JSON document of one page; status ``NO_ANSWER`` when none came.
 
-        A call that fails takes its connection with it, so a late answer can't
-        come in the place of the next one.
+        A request that fails takes its connection with it, so a late answer
+        can't be taken for that of the next one.
         """
         if self.session is None:
-            wait = aiohttp.ClientTimeout(total=self.up.bounds.contact.total_seconds() / 3)
-            self.session = open_session(Connector(), timeout=wait)
+            timeout_s = self.settings.bounds.contact.total_seconds() / TIMEOUTS_PER_CONTACT_BOUND
+            self.session = open_session(Connector(), timeout=aiohttp.ClientTimeout(total=timeout_s))
         params = {"pageToken": self.pages.token} if self.pages.token else {}
-        url = f"http://{cloud.address}/instances"
+        url = f"http://{platform.address}/instances"
         try:
-            async with self.session.get(url, params=params, allow_redirects=False) as answer:
-                return answer.status, await answer.json(content_type=None) if answer.status == 200 else None
-        except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as e:
-            logging.debug("platform: %s.", type(e).__name__)
-            return 0, None
-
-    def _restart(self, why):
-        """The round has failed: the next call asks for the first page again."""
-        if not self.grumbled:
-            logging.warning("platform: no list (%s).", why)
-        self.grumbled, self.pages = True, PageAssembler()
-
-    def _take(self, page):
-        """Adds a page; publishes the list after the last one. Whether more pages follow."""
-        whole = self.pages.add(*page)
-        if whole is None:
+            async with self.session.get(url, params=params, allow_redirects=False) as response:
+                document = await response.json(content_type=None) if response.status == HTTPStatus.OK else None
+                return response.status, document
+        except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
+            logging.debug("platform: request failed error=%s", type(error).__name__)
+            return NO_ANSWER, None
+
+    def _restart(self, reason: str) -> None:
+        """Drops the pages of a failed poll: the next request is for the first page again."""
+        if not self._failure_logged:
+            logging.warning("platform: poll failed reason=%r", reason)
+        self._failure_logged, self.pages = True, PageAssembler()
+
+    def _add_page(self, endpoints: list[Endpoint], token: str | None) -> bool:
+        """Adds a page and publishes the list after the last one; returns whether more pages follow."""
+        complete = self.pages.add(endpoints, token)
+        if complete is None:
             return True
-        whole = EndpointList(whole.runners, self.crowd())
-        if whole.news_against(self.last):
-            self.last, self.number = whole, self.number + 1
-            self.shop.renew(ENDPOINTS, (self.epoch, self.number), whole)
+        endpoint_list = EndpointList(complete.runners, self.fleet_size())
+        if endpoint_list.news_against(self.last):
+            self.last, self.number = endpoint_list, self.number + 1
+            self.feed_server.publish(ENDPOINTS, (self.epoch, self.number), endpoint_list)
         return False
--- a/sparloom/controller/feed_server.py
+++ b/sparloom/controller/feed_server.py
@@ -1,6 +1,9 @@
 """The feed's service: follows the primary, and serves those that follow this controller."""
 
+from __future__ import annotations
+
 import asyncio
+from typing import TYPE_CHECKING, Any
 
 from absl import logging
 from mode import Service
@@ -8,6 +11,7 @@
 from sparloom.codec import DecodeError
 from sparloom.feed import (
     CONFIGURATION,
+    NO_VERSION,
     TOPICS,
     UNCONFIRMED,
     Change,
@@ -16,117 +20,173 @@
     Subscribe,
     VersionedStore,
 )
-from sparloom.feed import payload as news
+from sparloom.feed import payload as feed_payload
 from sparloom.feed.serving import MS, ChangeSignal, serve_follower
 from sparloom.transport import DialTimeout, monotonic
 
+if TYPE_CHECKING:
+    from datetime import timedelta
 
-class FeedServer(Service):
-    """The newest states, for all who follow."""
+    from sparloom.codec import Record
+    from sparloom.consensus import Member
+    from sparloom.settings import Settings
+    from sparloom.transport import Frames
 
-    def __init__(self, up):
-        super().__init__()
-        self.up, self.core = up, None
-        self.store = VersionedStore()
-        self.change_signal, self.afresh = ChangeSignal(), set()
-        self.told = news.NO_VERSION
-        con = up.bounds.contact
-        self.pulse, self.write_timeout = con / 10, con / 3
-        self.tracker = SourceTracker(con / 3, con / 3)
-        self.dialing = DialTimeout(con / 40, con / 5)
-
-    def put(self, topic, stamp, blob, step=None):
-        """Takes a newer state and rings."""
-        if self.store.put(topic, stamp, blob, step):
-            self.change_signal.notify()
+    from .consensus_service import ConsensusService
 
-    def held(self, topic):
-        """The state on the shelf, or None."""
-        item = self.store.items.get(topic)
-        return item and news.decode_payload(topic, item.payload)
-
-    def renew(self, topic, stamp, state):
-        """Puts a newer state on the shelf, with the step that leads to it where that is shorter."""
-        if stamp > self.store.version(topic):
-            blob, old = news.encode_state(topic, state), self.held(topic)
-            self.put(topic, stamp, blob, old and news.encode_delta(topic, old, state, len(blob)))
-
-    def sureness(self):
-        """ms since the primary was last confirmed, as known here."""
-        now, led = monotonic(), self.core.ledger
-        age = led.sure_since(now) if led.leading() else self.tracker.last_confirmed_age(now)
-        return UNCONFIRMED if age is None else max(0, min(UNCONFIRMED - 1, int(age / MS)))
+    Version = tuple[int, int]
+
+# A controller that only passes heartbeats on gives them this much longer to come than the primary's interval.
+FORWARDED_INTERVAL_FACTOR = 1.5
+# The primary is looked up, and dialed if it is another member, this many times in a heartbeat interval.
+RETRIES_PER_INTERVAL = 6
 
-    # What ``serve_follower`` asks: pulses of the primary are passed on when they come.
-    confirmation_age_ms = sureness
 
-    def is_open(self):
+class FeedServer(Service):
+    """The newest state of each topic, for all that follow this controller.
+
+    The attributes and methods up to ``serve`` are what ``serve_follower``
+    expects of its source.
+
+    Attributes
+    ----------
+    consensus : ConsensusService
+        Tells who the primary is; set before the start.
+    store : VersionedStore
+        The newest states and the deltas between them.
+    change_signal : ChangeSignal
+        Wakes the tasks that serve followers.
+    announced_version : tuple of int
+        The newest version of the configuration that the primary's heartbeats named.
+    topics_to_resync : set of int
+        Topics whose delta did not fit, and which are requested as complete states.
+    primary_interval : timedelta
+        Time between heartbeats of the primary.
+    write_timeout : timedelta
+        How long a follower may read nothing before its connection is given up.
+    """
+
+    consensus: ConsensusService
+
+    def __init__(self, settings: Settings) -> None:
+        super().__init__()
+        self.settings = settings
+        self.store = VersionedStore()
+        self.change_signal = ChangeSignal()
+        self.topics_to_resync: set[int] = set()
+        self.announced_version: Version = NO_VERSION
+        contact_bound = settings.bounds.contact
+        self.primary_interval, self.write_timeout = contact_bound / 10, contact_bound / 3
+        self.tracker = SourceTracker(contact_bound / 3, contact_bound / 3)
+        self.dialing = DialTimeout(contact_bound / 40, contact_bound / 5)
+
+    # -- the source that followers are served from ----------------------------
+    def is_open(self) -> bool:
         """Whether followers are served."""
         return not self.should_stop
 
-    def heartbeat_interval(self):
-        """How long a follower waits for the next pulse."""
-        return self.pulse if self.core.ledger.leading() else self.pulse * 1.5
+    def heartbeat_interval(self) -> timedelta:
+        """How long a follower waits for the next heartbeat."""
+        if self.consensus.member.leading():
+            return self.primary_interval
+        return self.primary_interval * FORWARDED_INTERVAL_FACTOR
+
+    def confirmation_age_ms(self) -> int:
+        """Milliseconds since the primary was last confirmed, as known here; ``UNCONFIRMED`` if it never was."""
+        now, member = monotonic(), self.consensus.member
+        age = member.sure_since(now) if member.leading() else self.tracker.last_confirmed_age(now)
+        return UNCONFIRMED if age is None else max(0, min(UNCONFIRMED - 1, int(age / MS)))
 
-    def newest_configuration(self):
-        """The stamp of the newest policy that this controller has or has heard of."""
-        return max(self.told, self.store.version(CONFIGURATION))
+    def newest_configuration(self) -> Version:
+        """The version of the newest configuration that this controller has or has been notified of."""
+        stored: Version = self.store.version(CONFIGURATION)
+        return max(self.announced_version, stored)
 
-    async def serve(self, frames, first):
-        """Serves one follower until its pipe ends."""
+    async def serve(self, frames: Frames, first: Record) -> None:
+        """Serves one follower until its connection ends; ``first`` is the first record that it sent."""
         if isinstance(first, Subscribe):
             await serve_follower(frames, first.versions, self)
 
+    # -- publishing -------------------------------------------------------------
+    def state_of(self, topic: int) -> Any:
+        """The newest state of a topic (a configuration's dict, or an ``EndpointList``), or None."""
+        item = self.store.items.get(topic)
+        return item and feed_payload.decode_payload(topic, item.payload)
+
+    def publish(self, topic: int, version: Version, state: Any) -> None:
+        """Stores a state if it is newer, with the delta that leads to it where that is shorter."""
+        if version > self.store.version(topic):
+            blob, old = feed_payload.encode_state(topic, state), self.state_of(topic)
+            self._put(topic, version, blob, old and feed_payload.encode_delta(topic, old, state, len(blob)))
+
+    def _put(self, topic: int, version: Version, blob: bytes, delta: bytes | None = None) -> None:
+        if self.store.put(topic, version, blob, delta):
+            self.change_signal.notify()
+
+    # -- following the primary ----------------------------------------------------
     @Service.task
-    async def _follow(self):
+    async def _follow_primaries(self) -> None:
+        pause_s = self.primary_interval.total_seconds() / RETRIES_PER_INTERVAL
         while not self.should_stop:
-            to = self.core.ledger.primary()
-            if to is None or to.id == self.core.ledger.member.id:
-                await asyncio.sleep(self.pulse.total_seconds() / 6)
-                continue
-            try:
-                await self._from(to)
-            except (OSError, EOFError, DecodeError, TimeoutError):
-                pass
-            await asyncio.sleep(self.pulse.total_seconds() / 6)
-
-    async def _from(self, to):
-        frames = await self.dialing.dial(to.host, to.port)
+            primary = self.consensus.member.primary()
+            if primary is not None and primary.id != self.consensus.member.member.id:
+                try:
+                    await self._follow(primary)
+                except (OSError, EOFError, DecodeError, TimeoutError):
+                    pass
+            await asyncio.sleep(pause_s)
+
+    async def _follow(self, primary: Member) -> None:
+        """Follows a primary until another one is known, it falls silent, or a delta does not fit.
+
+        Raises
+        ------
+        OSError, EOFError, TimeoutError
+            The connection failed, ended, or was silent for too long.
+        DecodeError
+            The primary sent what is no record of the feed.
+        """
+        frames = await self.dialing.dial(primary.host, primary.port)
         try:
-            await frames.write(self.store.subscription(self.up.node, self.afresh))
+            await frames.write(self.store.subscription(self.settings.node, self.topics_to_resync))
             self.tracker.start(monotonic())
-            while self.core.ledger.primary() == to:
+            while self.consensus.member.primary() == primary:
                 async with asyncio.timeout(self.tracker.timeout.total_seconds()):
-                    rec = await frames.read()
-                if isinstance(rec, FeedHeartbeat):
-                    self.tracker.on_heartbeat(monotonic(), rec.confirmation_age_ms, rec.sent_at_ms)
-                    self.told = max(self.told, rec.configuration_version)
-                    self.change_signal.notify()
-                elif not isinstance(rec, Change):
-                    raise DecodeError("a record that is none of the feed")
-                elif not self._take(rec):
+                    record = await frames.read()
+                if not self._receive(record):
                     return
         finally:
             frames.close()
 
-    def _take(self, c):
-        """Whether the change was taken or known; steps are passed on as steps."""
-        if c.topic not in TOPICS:
-            raise DecodeError("a change of no known topic")
-        if c.version <= self.store.version(c.topic):
+    def _receive(self, record: Record) -> bool:
+        """Takes a record of the feed; returns whether the primary can be followed on."""
+        if isinstance(record, FeedHeartbeat):
+            self.tracker.on_heartbeat(monotonic(), record.confirmation_age_ms, record.sent_at_ms)
+            self.announced_version = max(self.announced_version, record.configuration_version)
+            self.change_signal.notify()
+            return True
+        if isinstance(record, Change):
+            return self._apply(record)
+        raise DecodeError(f"expected a record of the feed, found {type(record).__name__}")
+
+    def _apply(self, change: Change) -> bool:
+        """Stores a change; returns False if it does not fit. Deltas are passed on as deltas."""
+        if change.topic not in TOPICS:
+            raise DecodeError(f"expected a topic of {TOPICS}, found {change.topic}")
+        if change.version <= self.store.version(change.topic):
             return True
-        is_whole = c.base == news.NO_VERSION
-        if not is_whole and c.base != self.store.version(c.topic):
+        is_complete = change.base == NO_VERSION
+        if not is_complete and change.base != self.store.version(change.topic):
             return False
         try:
-            state = news.apply_change(c, None if is_whole else self.held(c.topic))
-        except news.PayloadError as e:
-            logging.warning("feed: a change does not fit (%s); the whole is asked for.", e)
-            self.afresh.add(c.topic)
+            state = feed_payload.apply_change(change, None if is_complete else self.state_of(change.topic))
+        except feed_payload.PayloadError as error:
+            logging.warning("feed: change rejected topic=%d error=%r", change.topic, str(error))
+            self.topics_to_resync.add(change.topic)
             return False
-        if is_whole:
-            self.put(c.topic, c.version, c.payload)
-            self.afresh.discard(c.topic)
+        if is_complete:
+            self._put(change.topic, change.version, change.payload)
+            self.topics_to_resync.discard(change.topic)
         else:
-            self.put(c.topic, c.version, news.encode_state(c.topic, state), c.payload)
+            self._put(change.topic, change.version, feed_payload.encode_state(change.topic, state), change.payload)
         return True
--- a/sparloom/controller/prefix_snapshots.py
+++ b/sparloom/controller/prefix_snapshots.py
@@ -1,69 +1,88 @@
-"""Remembers for the routers which runner keeps which long prefix, also over a loss of all power."""
+"""Remembers for the routers which runner has which long prefix cached, also over a loss of all power."""
+
+from __future__ import annotations
 
 import asyncio
 import os
+from typing import TYPE_CHECKING
 
 from absl import logging
 from mode import Service
 
 from sparloom.prefix_cache import PlacementQuery, PlacementTable, PrefixPlacements
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from sparloom.codec import Record
+
 FILE = "prefixes"
 
 
 class PrefixSnapshots(Service):
-    """Takes routers' words, answers those that start, and keeps it all in a file.
+    """Collects the routers' prefix placements, answers routers that start, and saves the table to a file.
 
-    It is a hint only: a file that is late, lost or torn costs some reading.
-    The file is replaced whole by a thread, one at a time, so a slow disk holds
-    up nothing else.
+    The table is a hint only: a file that is late, lost or torn costs some
+    prefill. A thread replaces the whole file, one save at a time, so a slow
+    disk delays nothing else.
+
+    Parameters
+    ----------
+    folder
+        The data directory.
+    send
+        Sends a record by datagram to HOST:PORT.
+    interval_s
+        Seconds between saves.
     """
 
-    def __init__(self, folder, send, pause):
+    def __init__(self, folder: str, send: Callable[[str, Record], None], interval_s: float) -> None:
         super().__init__()
-        self.path, self.send, self.pause = os.path.join(folder, FILE), send, pause
-        self.memory = PlacementTable()
+        self.path, self.send, self.interval_s = os.path.join(folder, FILE), send, interval_s
+        self.placements = PlacementTable()
 
-    def load(self):
-        """What the disk holds."""
+    def load(self) -> None:
+        """Reads the file; without one the table stays empty."""
         try:
-            with open(self.path, "rb") as f:
-                self.memory = PlacementTable.unpack(f.read())
+            with open(self.path, "rb") as file:
+                self.placements = PlacementTable.unpack(file.read())
         except OSError:
             pass
-        logging.info("prefixes: %d are remembered.", len(self.memory.items))
-
-    def arrive(self, src, rec):
-        """Takes a router's record; tells whether it was one for the memory."""
-        if isinstance(rec, PrefixPlacements):
-            self.memory.saw(rec.reads)
-        elif isinstance(rec, PlacementQuery):
-            for a in self.memory.answers():
-                self.send(src, a)
+        logging.info("prefixes: loaded count=%d", len(self.placements.items))
+
+    def receive(self, sender: str, record: Record) -> bool:
+        """Takes a router's record; returns whether it was one about prefixes."""
+        if isinstance(record, PrefixPlacements):
+            self.placements.saw(record.reads)
+        elif isinstance(record, PlacementQuery):
+            for answer in self.placements.answers():
+                self.send(sender, answer)
         else:
             return False
         return True
 
     @Service.task
-    async def _keep(self):
+    async def _save_periodically(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(self.pause)
-            if self.memory.changed:
-                self.memory.changed = False
+            await asyncio.sleep(self.interval_s)
+            if self.placements.changed:
+                # Reset before the save: what comes meanwhile belongs to the next one.
+                self.placements.changed = False
                 try:
-                    await asyncio.to_thread(self._write, self.memory.pack())
-                except OSError as e:
-                    logging.info("prefixes: not kept (%s).", e)
+                    await asyncio.to_thread(self._write, self.placements.pack())
+                except OSError as error:
+                    logging.info("prefixes: save failed error=%r", str(error))
 
-    def _write(self, raw):
+    def _write(self, raw: bytes) -> None:
         new = self.path + ".new"
-        with open(new, "wb") as f:
-            f.write(raw)
-            f.flush()
-            os.fsync(f.fileno())
+        with open(new, "wb") as file:
+            file.write(raw)
+            file.flush()
+            os.fsync(file.fileno())
         os.replace(new, self.path)
-        fd = os.open(os.path.dirname(self.path), os.O_RDONLY)
+        # Without this the rename itself could be lost with the power.
+        folder = os.open(os.path.dirname(self.path), os.O_RDONLY)
         try:
-            os.fsync(fd)
+            os.fsync(folder)
         finally:
-            os.close(fd)
+            os.close(folder)
--- a/sparloom/controller/program.py
+++ b/sparloom/controller/program.py
@@ -1,77 +1,70 @@
 """Starts and stops the controller's services."""
 
-import asyncio
-import signal
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from absl import logging
-from mode import Service
 
-from sparloom.launch.early_listen import hangup_came
-from sparloom.metrics import report_interval
-from sparloom.metrics.reporter import MetricsReporter
-from sparloom.settings import read
-from sparloom.transport import FileWatch
+from sparloom.serving_program import ServingProgram, serve_until_signalled
 
 from .consensus_service import ConsensusService
 from .control_api import ControlApi
 from .endpoint_poller import EndpointPoller
 from .feed_server import FeedServer
 
+if TYPE_CHECKING:
+    from sparloom.consensus import Data
+    from sparloom.settings import Settings
+
 # The part of the grace period that a planned leave may take.
-LEAVE_PART = 0.5
-
-
-class Controller(Service):
-    """All parts of a controller."""
-
-    def __init__(self, up, path):
-        super().__init__()
-        self.up, self.path = up, path
-        self.watch = FileWatch(path)
-        self.shop = self.add_dependency(FeedServer(up))
-        self.core = ConsensusService(up, self.shop.serve, lambda d: self.control.news(d))
-        self.control = ControlApi(up, self.core, self.shop)
-        self.poller = EndpointPoller(up, self.core, self.shop, self.control.routers)
-        self.shop.core = self.core
-        self.done = asyncio.Event()
-
-    async def on_start(self):
-        for s in (self.core, self.control, self.poller):
-            await self.add_runtime_dependency(s)
-        if report_interval():
-            await self.add_runtime_dependency(MetricsReporter(self.up.node, report_interval()))
-
-    def reread(self):
-        """Reads the startup file again; a bad one is logged and changes nothing."""
-        new = read(self.path)
-        if new.value_or(None) is None:
-            logging.warning("startup: %s", new.failure())
-            return
-        self.up = self.core.up = new.unwrap()
-        if self.core.swim is not None:
-            self.core.swim.seeds = self.core.seeds
-        logging.info("startup: the file was read again.")
-
-    @Service.task
-    async def _watch(self):
-        while not self.should_stop:
-            await asyncio.sleep(1.0)
-            if self.watch.changed():
-                self.reread()
-
-
-async def serve(up, path):
+LEAVE_PART_OF_GRACE = 0.5
+
+
+class Controller(ServingProgram):
+    """All parts of a controller.
+
+    Attributes
+    ----------
+    consensus : ConsensusService
+        This controller's member of the consensus: disk, membership and messages.
+    control_api : ControlApi
+        What operators call.
+    feed_server : FeedServer
+        Publishes the configuration and the endpoint list to the routers.
+    poller : EndpointPoller
+        Keeps the endpoint list up to date while this controller is the primary.
+    """
+
+    def __init__(self, settings: Settings, path: str) -> None:
+        super().__init__(settings, path)
+        self.feed_server = FeedServer(settings)
+        self.add_dependency(self.feed_server)
+        self.consensus = ConsensusService(settings, self.feed_server.serve, self._on_committed)
+        self.control_api = ControlApi(settings, self.consensus, self.feed_server)
+        self.poller = EndpointPoller(settings, self.consensus, self.feed_server, self.control_api.router_count)
+        self.feed_server.consensus = self.consensus
+        self._leave_timeout = settings.bounds.grace * LEAVE_PART_OF_GRACE
+
+    def _on_committed(self, data: Data) -> None:
+        self.control_api.on_committed(data)
+
+    async def on_start(self) -> None:
+        for service in (self.consensus, self.control_api, self.poller):
+            await self.add_runtime_dependency(service)
+        await self.start_metrics_reporter()
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Goes by other checked settings from now on."""
+        self.settings = settings
+        self.consensus.apply_settings(settings)
+
+    async def graceful_shutdown(self) -> None:
+        """Leaves the consensus, so that neither data nor votes rest on this controller any more."""
+        logging.info("controller: stopping")
+        await self.consensus.leave(self._leave_timeout)
+
+
+async def serve(settings: Settings, path: str) -> None:
     """Runs a controller until SIGTERM or SIGINT."""
-    loop, end = asyncio.get_running_loop(), asyncio.Event()
-    ctl = Controller(up, path)
-    for sig in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sig, end.set)
-    loop.add_signal_handler(signal.SIGHUP, ctl.reread)
-    await ctl.start()
-    if hangup_came():
-        ctl.reread()
-    await end.wait()
-    logging.info("controller: stops.")
-    await ctl.core.leave(up.bounds.grace * LEAVE_PART)
-    async with asyncio.timeout(2):
-        await ctl.stop()
+    await serve_until_signalled(Controller(settings, path))
--- a/sparloom/router/program.py
+++ b/sparloom/router/program.py
@@ -1,73 +1,46 @@
 """Starts and stops the router's services."""
 
-import asyncio
-import signal
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from absl import logging
-from mode import Service
 
-from sparloom.launch.early_listen import hangup_came
-from sparloom.metrics import report_interval
-from sparloom.metrics.reporter import MetricsReporter
-from sparloom.settings import read
-from sparloom.transport import FileWatch
+from sparloom.serving_program import ServingProgram, serve_until_signalled
 
 from .frontend import Frontend
 from .router_state import RouterState
 
+if TYPE_CHECKING:
+    from sparloom.settings import Settings
+
 
-class Router(Service):
+class Router(ServingProgram):
     """All parts of a router."""
 
-    def __init__(self, up, path):
-        super().__init__()
-        self.up, self.path = up, path
-        self.watch = FileWatch(path)
-        self.know = RouterState(up)
-        self.front = Frontend(up, self.know)
+    def __init__(self, settings: Settings, path: str) -> None:
+        super().__init__(settings, path)
+        self.know = RouterState(settings)
+        self.front = Frontend(settings, self.know)
 
-    async def on_start(self):
+    async def on_start(self) -> None:
         await self.add_runtime_dependency(self.know)
         await self.add_runtime_dependency(self.front)
-        if report_interval():
-            await self.add_runtime_dependency(MetricsReporter(self.up.node, report_interval()))
-
-    def reread(self):
-        """Reads the startup file again; a bad one is logged and changes nothing."""
-        new = read(self.path)
-        if new.value_or(None) is None:
-            logging.warning("startup: %s", new.failure())
-            return
-        self.use(new.unwrap())
-        logging.info("startup: the file was read again.")
+        await self.start_metrics_reporter()
 
-    def use(self, up):
+    def apply_settings(self, settings: Settings) -> None:
         """Goes by other checked settings from now on."""
-        self.know.note_isolation(up.isolation)
-        self.up = self.know.up = self.front.up = up
+        self.know.note_isolation(settings.isolation)
+        self.settings = self.know.up = self.front.up = settings
         if self.know.swim is not None:
             self.know.swim.seeds = self.know.seeds
 
-    @Service.task
-    async def _watch(self):
-        while not self.should_stop:
-            await asyncio.sleep(1.0)
-            if self.watch.changed():
-                self.reread()
+    async def graceful_shutdown(self) -> None:
+        """Lets the requests in flight end."""
+        await self.front.drain()
+        logging.info("router: stopping")
 
 
-async def serve(up, path):
+async def serve(settings: Settings, path: str) -> None:
     """Runs a router until SIGTERM or SIGINT."""
-    loop, end = asyncio.get_running_loop(), asyncio.Event()
-    rt = Router(up, path)
-    for sig in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sig, end.set)
-    loop.add_signal_handler(signal.SIGHUP, rt.reread)
-    await rt.start()
-    if hangup_came():
-        rt.reread()
-    await end.wait()
-    await rt.front.drain()
-    logging.info("router: stops.")
-    async with asyncio.timeout(2):
-        await rt.stop()
+    await serve_until_signalled(Router(settings, path))
--- a/tests/controller/test_control_api.py
+++ b/tests/controller/test_control_api.py
@@ -1,4 +1,4 @@
-"""The handler of orders alone: a ledger that decides, hangs or loses as told; simulated time."""
+"""The handler of changes alone: a consensus that commits, hangs or loses as the test says; simulated time."""
 
 import asyncio
 import json
@@ -11,24 +11,23 @@
 from simulator.virtual import world
 from sparloom.configuration import check, parse
 from sparloom.consensus.records import Data
-from sparloom.controller import control_api as control
-from sparloom.controller import control_state as state
+from sparloom.controller import configuration_writer, control_state
 from sparloom.controller.change_requests import Verdict, judge, parse_change_request
 from sparloom.controller.control_api import ControlApi
-from sparloom.controller.control_state import History, State, fingerprint
+from sparloom.controller.control_state import ControlStateError, History, State, fingerprint
 from sparloom.feed import UNCONFIRMED
 from tests.support.router_fixture import POLICY, route
 
 MS = timedelta(milliseconds=1)
 
 
-class Core:
+class Consensus:
     """A primary whose confirmations come at once and whose writes end when told."""
 
     def __init__(self):
         me = SimpleNamespace(id=1, control="127.0.0.1:1")
         self.named, self.leads = me, True
-        self.ledger = SimpleNamespace(member=me, leading=lambda: self.leads, primary=lambda: self.named)
+        self.member = SimpleNamespace(member=me, leading=lambda: self.leads, primary=lambda: self.named)
         self.swim = SimpleNamespace(table={})
         self.data, self.write_under_way, self.confirms = Data(1, 0, 0, b""), None, True
 
@@ -46,12 +45,12 @@
         self.write_under_way = (new, asyncio.get_running_loop().create_future())
         return await self.write_under_way[1]
 
-    def end_write(self, handler, decided):
+    def end_write(self, handler, committed):
         (new, done), self.write_under_way = self.write_under_way, None
-        if decided:
+        if committed:
             self.data = new
-            handler.news(new)
-        done.set_result(new if decided else None)
+            handler.on_committed(new)
+        done.set_result(new if committed else None)
 
 
 class Request:
@@ -72,17 +71,17 @@
     return {**POLICY, "revision": number, "routes": list(routes)}
 
 
-class Orders(unittest.TestCase):
+class Changes(unittest.TestCase):
     """Each story runs in simulated time; ``self.send`` gives a task whose result is the status."""
 
     def play(self, story):
         async def run():
-            self.core = Core()
+            self.consensus = Consensus()
             bounds = SimpleNamespace(acknowledge=timedelta(seconds=4), contact=timedelta(seconds=3))
-            self.sureness = UNCONFIRMED
-            shop = SimpleNamespace(renew=lambda *args: None, sureness=lambda: self.sureness)
-            self.handler = ControlApi(SimpleNamespace(bounds=bounds), self.core, shop)
-            self.handler.news(self.core.data)
+            self.age_ms = UNCONFIRMED
+            feed_server = SimpleNamespace(publish=lambda *args: None, confirmation_age_ms=lambda: self.age_ms)
+            self.handler = ControlApi(SimpleNamespace(bounds=bounds), self.consensus, feed_server)
+            self.handler.on_committed(self.consensus.data)
             await story()
 
         with world(1) as self.loop:
@@ -90,7 +89,7 @@
 
     def send(self, method, base, change):
         request = Request(method, base, change)
-        call = self.handler._get if method == "GET" else self.handler._change
+        call = self.handler.get if method == "GET" else self.handler.change
 
         async def answered():
             return (await call(request)).status
@@ -100,20 +99,20 @@
         return task
 
     async def take(self, *numbers):
-        for base, number in zip((self.handler.decided.state.revision, *numbers), numbers, strict=False):
+        for base, number in zip((self.handler.writer.committed.state.revision, *numbers), numbers, strict=False):
             task = self.send("PUT", base, revision(number))
             await asyncio.sleep(0.01)
-            self.core.end_write(self.handler, True)
+            self.consensus.end_write(self.handler, True)
             self.assertEqual(await task, 200)
 
     def test_the_same_order_waits_for_its_first_sending(self):
         async def story():
-            for decided, status in ((True, 200), (False, 503)):
-                base = self.handler.decided.state.revision
+            for committed, status in ((True, 200), (False, 503)):
+                base = self.handler.writer.committed.state.revision
                 tasks = [self.send("PUT", base, revision(base + 3)) for _ in range(2)]
                 await asyncio.sleep(0.1)
                 self.assertFalse(any(t.done() for t in tasks))
-                self.core.end_write(self.handler, decided)
+                self.consensus.end_write(self.handler, committed)
                 self.assertEqual([await t for t in tasks], [status, status])
 
         self.play(story)
@@ -125,7 +124,7 @@
             rival = self.send("PUT", 0, revision(3, route("x", "/x/")))
             await asyncio.sleep(0.1)
             self.assertFalse(rival.done())
-            self.core.end_write(self.handler, True)
+            self.consensus.end_write(self.handler, True)
             self.assertEqual([await first, await rival], [200, 412])
 
         self.play(story)
@@ -135,10 +134,10 @@
             first = self.send("PUT", 0, revision(3))
             await asyncio.sleep(0.01)
             rival = self.send("PUT", 0, revision(4))
-            self.core.end_write(self.handler, False)
+            self.consensus.end_write(self.handler, False)
             self.assertEqual(await first, 503)
             await asyncio.sleep(0.01)
-            self.core.end_write(self.handler, True)
+            self.consensus.end_write(self.handler, True)
             self.assertEqual(await rival, 200)
 
         self.play(story)
@@ -149,7 +148,7 @@
             tasks = [self.send("PUT", 0, revision(3 + i % 4)) for i in range(8)]
             self.assertEqual({await t for t in tasks}, {503})
             self.assertLess(self.loop.time() - began, 1.0)
-            self.core.end_write(self.handler, True)
+            self.consensus.end_write(self.handler, True)
             self.assertEqual(await self.send("PUT", 0, revision(3)), 200)
 
         self.play(story)
@@ -161,20 +160,20 @@
             gone = self.send("PUT", 0, revision(4))
             await asyncio.sleep(0.01)
             gone.request.left = True
-            self.core.end_write(self.handler, False)
+            self.consensus.end_write(self.handler, False)
             self.assertEqual([await first, await gone], [503, 503])
-            self.assertIsNone(self.core.write_under_way)
+            self.assertIsNone(self.consensus.write_under_way)
 
         self.play(story)
 
     def test_nothing_rests_on_undecided_or_unconfirmed_state(self):
         async def story():
             await self.take(3)
-            decided = self.core.data
-            self.core.data = Data(1, 9, 7, State(revision(7)).pack())
+            committed = self.consensus.data
+            self.consensus.data = Data(1, 9, 7, State(revision(7)).pack())
             for call in (("GET", 0, {}), ("PUT", 3, revision(9)), ("PUT", 7, revision(9)), ("PUT", 0, revision(7))):
                 self.assertEqual(await self.send(*call), 503, call)
-            self.core.data, self.core.confirms = decided, False
+            self.consensus.data, self.consensus.confirms = committed, False
             for call in (("GET", 0, {}), ("PUT", 0, revision(9)), ("PUT", 3, revision(2)), ("PUT", 0, revision(3))):
                 self.assertEqual(await self.send(*call), 503, call)
 
@@ -182,11 +181,11 @@
 
     def test_redirects_only_to_a_primary_that_was_confirmed_of_late(self):
         async def story():
-            self.core.leads, self.core.named = False, SimpleNamespace(id=2, control="127.0.0.2:1")
+            self.consensus.leads, self.consensus.named = False, SimpleNamespace(id=2, control="127.0.0.2:1")
             self.assertEqual(await self.send("GET", 0, {}), 503)
-            self.sureness = 200
+            self.age_ms = 200
             self.assertEqual(await self.send("GET", 0, {}), 307)
-            self.sureness = 2000
+            self.age_ms = 2000
             self.assertEqual(await self.send("PUT", 0, revision(3)), 503)
             self.assertEqual(await self.send("PUT", 0, b"x".decode()), 400)
 
@@ -194,7 +193,7 @@
 
     def test_old_orders_are_acknowledged_again_or_left_unclear(self):
         async def story():
-            with mock.patch.object(state, "REMEMBERED", 3):
+            with mock.patch.object(control_state, "REMEMBERED", 3):
                 await self.take(2, 4, 6, 8, 10, 12)
                 answers = [await self.send("PUT", n - 2, revision(n)) for n in (2, 4, 6, 8, 10, 12)]
                 self.assertEqual(answers, [503, 503, 503, 200, 200, 200])
@@ -208,9 +207,9 @@
 class States(unittest.TestCase):
     def test_the_memory_is_bounded_in_bytes(self):
         past = History()
-        for number in range(1, state.REMEMBERED + 11):
+        for number in range(1, control_state.REMEMBERED + 11):
             past = past.add(number, b"%012d" % number)
-        self.assertEqual((len(past), past.forgotten_through), (state.REMEMBERED, 10))
+        self.assertEqual((len(past), past.forgotten_through), (control_state.REMEMBERED, 10))
         self.assertLess(len(State({}, past).pack()), 42000)
         self.assertEqual(State.unpack(State({}, past).pack()).history, past)
         self.assertEqual(past.fingerprint_of(11), b"%012d" % 11)
@@ -223,8 +222,8 @@
         verdicts = [
             judge(new, parse_change_request("PUT", b, json.dumps(d).encode()).unwrap()).verdict for b, d in orders
         ]
-        self.assertEqual(verdicts, [Verdict.TAKEN, Verdict.FORGOTTEN, Verdict.NEW])
-        with self.assertRaises(ValueError):
+        self.assertEqual(verdicts, [Verdict.ALREADY_COMMITTED, Verdict.FORGOTTEN, Verdict.NEW])
+        with self.assertRaises(ControlStateError):
             State.unpack(b"\x09" + bytes(40))
 
     def test_an_edit_of_another_base_is_another_order(self):
@@ -241,4 +240,4 @@
             self.assertIsNone(parse(text.encode()).bind(check).value_or(None))
         engine = {**POLICY, "services": [{"name": "s", "engine": {"slots": "many"}}]}
         self.assertIsNone(check(engine).value_or(None))
-        self.assertGreater(control.ANSWER_WITHIN, 100 * MS)
+        self.assertGreater(configuration_writer.ANSWER_WITHIN, 100 * MS)
--- a/tests/controller/test_endpoint_poller.py
+++ b/tests/controller/test_endpoint_poller.py
@@ -9,7 +9,7 @@
 from tests.support.router_fixture import STARTUP
 
 
-class Duty:
+class Member:
     """Stands for the ledger: the primary of ``epoch``, or none."""
 
     def __init__(self):
@@ -25,15 +25,15 @@
         return SimpleNamespace(epoch=self.epoch)
 
 
-class Shop:
+class FeedServer:
     """Stands for the feed: what was published."""
 
     def __init__(self):
         self.published = []
 
-    def renew(self, topic, stamp, state):
+    def publish(self, topic, version, state):
         """Takes a list."""
-        self.published.append((stamp, [r.id for r in state.runners]))
+        self.published.append((version, [r.id for r in state.runners]))
 
 
 class Pages(unittest.IsolatedAsyncioTestCase):
@@ -41,16 +41,16 @@
         entries = [Platform.entry(f"i-{i}", "s", f"10.0.0.{i}:1") for i in range(4)]
         self.platform = await Platform(entries, page=2).start()
         self.addAsyncCleanup(self.platform.stop)
-        self.duty, self.shop = Duty(), Shop()
+        self.member, self.feed_server = Member(), FeedServer()
         self.cloud = SimpleNamespace(address=f"127.0.0.1:{self.platform.port}", rate=40.0)
-        self.poller = EndpointPoller(from_dict(STARTUP).unwrap(), SimpleNamespace(ledger=self.duty), self.shop)
+        self.poller = EndpointPoller(from_dict(STARTUP).unwrap(), SimpleNamespace(member=self.member), self.feed_server)
         self.addAsyncCleanup(self.poller.on_stop)
 
     async def call(self):
         """One call as the duty is now."""
         epoch = self.poller.primary_epoch()
-        self.poller.enter(epoch)
-        return await self.poller.call(self.cloud, epoch)
+        self.poller.enter_epoch(epoch)
+        return await self.poller.poll_page(self.cloud, epoch)
 
     async def whole(self):
         """Calls until no more pages follow."""
@@ -59,40 +59,40 @@
 
     async def test_a_list_carries_the_epoch_in_which_it_was_asked_for(self):
         await self.whole()
-        self.duty.epoch = 3
+        self.member.epoch = 3
         await self.whole()
         ids = ["i-0", "i-1", "i-2", "i-3"]
-        self.assertEqual(self.shop.published, [((1, 1), ids), ((3, 1), ids)])
+        self.assertEqual(self.feed_server.published, [((1, 1), ids), ((3, 1), ids)])
 
     async def test_a_page_that_arrives_in_another_epoch_is_dropped(self):
         for after in (None, 2, 5):
             with self.subTest(after=after):
-                self.duty.epoch, self.shop.published = 1, []
+                self.member.epoch, self.feed_server.published = 1, []
                 await self.call()
-                self.platform.meanwhile = lambda e=after: setattr(self.duty, "epoch", e)
+                self.platform.meanwhile = lambda e=after: setattr(self.member, "epoch", e)
                 self.assertEqual(await self.call(), (False, False))
                 self.platform.meanwhile = lambda: None
-                self.assertEqual(self.shop.published, [])
+                self.assertEqual(self.feed_server.published, [])
                 self.assertIsNone(self.poller.pages.token)
 
     async def test_pages_of_an_earlier_duty_are_not_joined_to_those_of_the_next(self):
         """The primary loses its duty between two pages and wins it back, in the same epoch."""
         await self.call()
-        self.poller.enter(None)
+        self.poller.enter_epoch(None)
         await self.whole()
         self.assertEqual(self.platform.tokens, [None, None, "p2"])
-        self.assertEqual([ids for _, ids in self.shop.published], [["i-0", "i-1", "i-2", "i-3"]])
+        self.assertEqual([ids for _, ids in self.feed_server.published], [["i-0", "i-1", "i-2", "i-3"]])
 
     async def test_numbers_go_on_within_an_epoch(self):
         await self.whole()
-        self.poller.enter(None)
+        self.poller.enter_epoch(None)
         await self.whole()
-        self.assertEqual([stamp for stamp, _ in self.shop.published], [(1, 1), (1, 2)])
+        self.assertEqual([version for version, _ in self.feed_server.published], [(1, 1), (1, 2)])
 
     async def test_a_failed_page_starts_the_round_anew_and_one_over_the_rate_does_not(self):
         for status, next_token, over in ((500, None, False), (410, None, False), (307, None, False), (429, "p2", True)):
             with self.subTest(status=status):
-                self.poller.enter(None)
+                self.poller.enter_epoch(None)
                 await self.call()
                 self.platform.statuses = [status]
                 self.assertEqual(await self.call(), (False, over))
--- a/tests/controller/test_program.py
+++ b/tests/controller/test_program.py
@@ -48,7 +48,7 @@
             "bounds": {"contactMs": 600},
             "cloudApi": {"address": f"127.0.0.1:{self.platform.port}", "ratePerS": 100},
         }
-        self.core = from_dict(
+        self.controller_settings = from_dict(
             {
                 **base,
                 "nodeName": "core-1",
@@ -65,14 +65,14 @@
             f"127.0.0.1:{front}",
             f"http://127.0.0.1:{ready}/-/ready",
         )
-        self.ctl = Controller(self.core, "/nowhere")
-        await self.ctl.start()
+        self.controller = Controller(self.controller_settings, "/nowhere")
+        await self.controller.start()
         self.http = aiohttp.ClientSession()
-        await self.until(lambda: self.ctl.core.ledger.leading())
+        await self.until(lambda: self.controller.consensus.member.leading())
 
     async def asyncTearDown(self):
         await self.http.close()
-        await self.ctl.stop()
+        await self.controller.stop()
         await self.platform.stop()
         await self.runner.stop()
 
@@ -115,34 +115,34 @@
 
     async def test_what_was_acknowledged_is_on_disk(self):
         await self.call("PUT", POLICY, 0)
-        await self.ctl.stop()
-        self.ctl = Controller(self.core, "/nowhere")
-        await self.ctl.start()
-        await self.until(lambda: self.ctl.core.ledger.leading())
+        await self.controller.stop()
+        self.controller = Controller(self.controller_settings, "/nowhere")
+        await self.controller.start()
+        await self.until(lambda: self.controller.consensus.member.leading())
         self.assertEqual((await self.call("GET", b""))[1], POLICY)
 
     async def test_a_router_follows_serves_and_agrees(self):
-        rt = Router(self.edge, "/nowhere")
-        await rt.start()
+        router = Router(self.edge, "/nowhere")
+        await router.start()
         try:
             async with self.http.get(self.ready) as r:
                 self.assertEqual(r.status, 503)
             await self.call("PUT", POLICY, 0)
-            await self.until(rt.know.ready)
+            await self.until(router.know.ready)
             async with self.http.get(self.ready) as r:
                 self.assertEqual(r.status, 200)
             heads = {"Host": "h.example", "X-Sparloom-Attempt-Id": "t1", "X-Sparloom-Deadline-Remaining": "2000"}
             async with self.http.post(f"http://{self.front}/once/x", data=b"hi", headers=heads) as r:
                 self.assertEqual((r.status, (await r.read()).count(b"id:")), (200, 5))
             self.platform.entries[0]["state"] = "draining"
-            await self.until(lambda: not rt.know.fleet.of("s"))
+            await self.until(lambda: not router.know.fleet.of("s"))
             async with self.http.get(self.url.replace("configuration", "beliefs")) as r:
                 mine = await r.json()
-            await self.until(lambda: list(rt.know.shelf.version(1)) == mine["runners"])
-            self.assertEqual([d for d in compare(mine, rt.front.beliefs()) if d.topic != "members"], [])
+            await self.until(lambda: list(router.know.shelf.version(1)) == mine["runners"])
+            self.assertEqual([d for d in compare(mine, router.front.beliefs()) if d.topic != "members"], [])
             await self.call("PUT", {**POLICY, "revision": 7, "routes": []}, 1)
-            await self.until(lambda: rt.know.policy.revision == 7)
+            await self.until(lambda: router.know.policy.revision == 7)
             async with self.http.post(f"http://{self.front}/once/x", data=b"hi", headers=heads) as r:
                 self.assertEqual(r.status, 404)
         finally:
-            await rt.stop()
+            await router.stop()
--- a/tests/golden_names.py
+++ b/tests/golden_names.py
@@ -54,7 +54,7 @@
 HEADER_NAMES = (ask.ID, ask.LEFT, ask.SEAL, ask.EXPECT, ask.NOT_RUN, ask.PARTS, ask.URGENCY, ask.LAST)
 FILE_NAMES = (store.FILE, store.SET_ASIDE, remember.FILE)
 START_PLACES = (checks.VARIABLE, checks.DEFAULT)
-LARGEST_BODY = control.MOST_BODY_BYTES
+LARGEST_BODY = control.MAXIMUM_BODY_BYTES
 RETRY_AFTER = control.RETRY_AFTER
 HOP_HEADERS = ask.HOP
 OUTCOMES = [outcome.value for outcome in Outcome]
@@ -92,25 +92,25 @@
 
 def control_paths() -> dict[str, list[str]]:
     """The paths of the control address and the methods of each."""
-    return {path: sorted(methods) for path, methods in control.ControlApi(None, None, None).tree.paths.items()}
+    return {path: sorted(methods) for path, methods in control.ControlApi(None, None, None).routes.paths.items()}
 
 
 def not_primary(known: bool, sure_ms: int) -> Any:
     """The answer of a controller that is not the primary."""
     primary = SimpleNamespace(id=7, control="10.0.0.7:7300") if known else None
-    ledger = SimpleNamespace(primary=lambda: primary, member=SimpleNamespace(id=8), leading=lambda: False)
+    member = SimpleNamespace(primary=lambda: primary, member=SimpleNamespace(id=8), leading=lambda: False)
     settings = SimpleNamespace(bounds=SimpleNamespace(contact=timedelta(seconds=3)))
-    shop = SimpleNamespace(sureness=lambda: sure_ms)
-    return control.ControlApi(settings, SimpleNamespace(ledger=ledger), shop)._elsewhere()
+    feed_server = SimpleNamespace(confirmation_age_ms=lambda: sure_ms)
+    return control.ControlApi(settings, SimpleNamespace(member=member), feed_server).redirect()
 
 
 def control_answers() -> list[list]:
     """Answers of the control address that are built without a running controller."""
     return [
         answer(control.reply(200, {"a": [1, {"b": None}]}, Location="x")),
-        answer(control.fault(400, "a fault")),
-        answer(control.unclear()),
-        answer(control.taken(SimpleNamespace(revision=7))),
+        answer(control.error(400, "a fault")),
+        answer(control.outcome_unknown()),
+        answer(control.acknowledged(7)),
         answer(not_primary(False, 0)),
         answer(not_primary(True, 1001)),
         answer(not_primary(True, 1000)),
@@ -149,7 +149,7 @@
     service = remember.PrefixSnapshots(folder, None, 1)
     service.load()
     os.remove(os.path.join(folder, remember.FILE))
-    service._write(service.memory.pack())
+    service._write(service.placements.pack())
 
 
 def attempt_headers() -> list[list[str]]:
--- a/tests/relay/test_relay_loopback.py
+++ b/tests/relay/test_relay_loopback.py
@@ -50,7 +50,7 @@
         self.ctl = Controller(core, "/nowhere")
         await self.ctl.start()
         self.knows = []
-        await self.until(lambda: self.ctl.core.ledger.leading())
+        await self.until(lambda: self.ctl.consensus.member.leading())
 
     async def asyncTearDown(self):
         for k in self.knows:
@@ -81,8 +81,10 @@
             )
 
     async def put(self, policy, base=0):
-        st = self.ctl.core.ledger.data
-        done = await self.ctl.core.write(policy["revision"], State.unpack(st.blob).then(policy, b"m").pack(), BOUND)
+        st = self.ctl.consensus.member.data
+        done = await self.ctl.consensus.write(
+            policy["revision"], State.unpack(st.blob).then(policy, b"m").pack(), BOUND
+        )
         self.assertIsNotNone(done)
 
     async def test_news_goes_down_as_steps_and_the_relays_loss_is_mended(self):
@@ -111,10 +113,15 @@
         await self.until(lambda: "front-3" in relay.serve.told()["followers"] and late.ready())
         self.assertEqual(late.policy.revision, 2)
         self.assertEqual(
-            decode_payload(CONFIGURATION, relay.shelf.items[CONFIGURATION].payload), self.ctl.shop.held(CONFIGURATION)
+            decode_payload(CONFIGURATION, relay.shelf.items[CONFIGURATION].payload),
+            self.ctl.feed_server.state_of(CONFIGURATION),
+        )
+        self.assertEqual(
+            decode_payload(ENDPOINTS, relay.shelf.items[ENDPOINTS].payload), self.ctl.feed_server.state_of(ENDPOINTS)
+        )
+        self.assertEqual(
+            encode_state(ENDPOINTS, late.listed), encode_state(ENDPOINTS, self.ctl.feed_server.state_of(ENDPOINTS))
         )
-        self.assertEqual(decode_payload(ENDPOINTS, relay.shelf.items[ENDPOINTS].payload), self.ctl.shop.held(ENDPOINTS))
-        self.assertEqual(encode_state(ENDPOINTS, late.listed), encode_state(ENDPOINTS, self.ctl.shop.held(ENDPOINTS)))
         b.follow.raw = None
         await self.put({**ROUTES, "revision": 3})
         await self.until(lambda: all(k.policy.revision == 3 for k in self.knows))
--- a/tests/router/test_feed_client.py
+++ b/tests/router/test_feed_client.py
@@ -117,26 +117,31 @@
 class Controller(ForeignRecords, Case):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.shop = FeedServer(self.up)
+        self.feed_server = FeedServer(self.up)
         self.primary = SimpleNamespace(id=2, host="127.0.0.1", port=self.port)
-        ledger = SimpleNamespace(primary=lambda: self.primary, leading=lambda: False)
-        self.shop.core = SimpleNamespace(ledger=ledger)
+        member = SimpleNamespace(primary=lambda: self.primary, leading=lambda: False)
+        self.feed_server.consensus = SimpleNamespace(member=member)
 
     async def start(self):
         """Follows the primary that the test plays."""
-        task = asyncio.ensure_future(self.shop._from(self.primary))
+        task = asyncio.ensure_future(self.feed_server._follow(self.primary))
         self.addCleanup(task.cancel)
         return task, *await self.greeted()
 
     async def test_one_that_started_again_passes_on_which_policy_its_followers_must_hold(self):
         _, frames, _ = await self.start()
-        bell = self.shop.change_signal.event
+        bell = self.feed_server.change_signal.event
         await frames.write(self.pulse(4, 7))
         await bell.wait()
-        self.assertEqual((self.shop.newest_configuration(), self.shop.store.version(CONFIGURATION)), ((4, 7), (0, 0)))
+        self.assertEqual(
+            (self.feed_server.newest_configuration(), self.feed_server.store.version(CONFIGURATION)), ((4, 7), (0, 0))
+        )
 
     async def test_a_change_that_can_not_be_read_is_not_taken_nor_passed_on(self):
         task, frames, _ = await self.start()
         await frames.write(Change(CONFIGURATION, 1, 1, 0, 0, b"torn"))
         await task
-        self.assertEqual((self.shop.store.version(CONFIGURATION), self.shop.afresh), ((0, 0), {CONFIGURATION}))
+        self.assertEqual(
+            (self.feed_server.store.version(CONFIGURATION), self.feed_server.topics_to_resync),
+            ((0, 0), {CONFIGURATION}),
+        )
--- a/tests/simulator/test_history.py
+++ b/tests/simulator/test_history.py
@@ -10,7 +10,7 @@
 from simulator.history import Call, Outcome, Sent, broken_rule, fault_in, linearize
 from simulator.operators import Plan, play_history
 from sparloom.controller.change_requests import Judgement, Verdict, judge
-from sparloom.controller.control_api import ControlApi, Snapshot
+from sparloom.controller.configuration_writer import ConfigurationWriter, Snapshot
 from sparloom.controller.control_state import History, State
 from tests.support.paths import ROOT
 
@@ -70,7 +70,7 @@
 
 async def _unconfirmed(self, deadline):
     await asyncio.sleep(0.001)
-    return self.decided
+    return self.committed
 
 
 async def _acknowledged_early(write, deadline):
@@ -79,15 +79,15 @@
 
 
 async def _undecided(self, deadline):
-    data = self.core.ledger.data
-    return Snapshot(data.stamp, data.blob, State.unpack(data.blob)) if self.core.ledger.leading() else None
+    data = self.consensus.member.data
+    return Snapshot(data.stamp, data.blob, State.unpack(data.blob)) if self.consensus.member.leading() else None
 
 
-def _number_only(state, order, router_count=0):
-    """An order counts as taken when its number was."""
-    if state.history.fingerprint_of(order.revision):
-        return Judgement(Verdict.TAKEN)
-    return judge(state, order, router_count)
+def _number_only(state, change, router_count=0):
+    """A change counts as taken when its number was."""
+    if state.history.fingerprint_of(change.revision):
+        return Judgement(Verdict.ALREADY_COMMITTED)
+    return judge(state, change, router_count)
 
 
 class Histories(unittest.TestCase):
@@ -95,7 +95,7 @@
 
     MOST_SEEDS = 12
 
-    def caught(self, name, mutant, target=ControlApi):
+    def caught(self, name, mutant, target=ConfigurationWriter):
         with mock.patch.object(target, name, mutant):
             seeds = range(1, self.MOST_SEEDS + 1)
             return next((s for s in seeds if play_history(s, Plan(seconds=15.0)).fault), None)
@@ -108,18 +108,18 @@
         self.assertIn("4 held, 0 did not", done.stdout)
 
     def test_a_handler_that_acknowledges_before_the_write_is_caught(self):
-        self.assertIsNotNone(self.caught("_outcome", staticmethod(_acknowledged_early)))
+        self.assertIsNotNone(self.caught("_committed_in_time", staticmethod(_acknowledged_early)))
 
     def test_reads_and_refusals_without_confirmation_are_caught(self):
-        self.assertIsNotNone(self.caught("_confirmed", _unconfirmed))
+        self.assertIsNotNone(self.caught("confirmed", _unconfirmed))
 
     def test_reads_and_refusals_on_undecided_state_are_caught(self):
-        self.assertIsNotNone(self.caught("_confirmed", _undecided))
+        self.assertIsNotNone(self.caught("confirmed", _undecided))
 
     def test_a_handler_that_forgets_what_was_taken_is_caught(self):
         self.assertIsNotNone(self.caught("add", lambda self, revision, mark: self, History))
 
     def test_a_handler_that_goes_by_the_number_alone_is_caught(self):
-        with mock.patch("sparloom.controller.control_api.judge", _number_only):
+        with mock.patch("sparloom.controller.configuration_writer.judge", _number_only):
             seeds = range(1, self.MOST_SEEDS + 1)
             self.assertTrue(any(play_history(s, Plan(seconds=15.0)).fault for s in seeds))
--- a/tests/transport/test_dialing.py
+++ b/tests/transport/test_dialing.py
@@ -53,8 +53,8 @@
 
         def follow():
             shop = FeedServer(up)
-            shop.core = SimpleNamespace(ledger=SimpleNamespace(primary=lambda: primary, leading=lambda: False))
-            return lambda: shop._from(primary)
+            shop.consensus = SimpleNamespace(member=SimpleNamespace(primary=lambda: primary, leading=lambda: False))
+            return lambda: shop._follow(primary)
 
         await self.check(up.bounds.contact, follow)
 
