--- a/sparloom/controller/__init__.py
+++ b/sparloom/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: keeps the policy, knows the nodes and the runners, feeds the routers."""
+"""The control plane: keeps the configuration, knows routers and runners, and feeds the routers."""
--- a/sparloom/controller/consensus_service.py
+++ b/sparloom/controller/consensus_service.py
@@ -124,6 +124,7 @@
 
     # -- start and stop -----------------------------------------------------
     async def on_start(self) -> None:
+        """Loads the disk and joins the others; raises OSError if the internal address can't be bound."""
         settings, loop, rng = self.settings, asyncio.get_running_loop(), random.Random()
         self.disk = DurableWriter(self._data_directory, loop, self._saved, self._save_failed)
         stored = await self.disk.load()
@@ -168,6 +169,7 @@
         return int.from_bytes(os.urandom(RANDOM_ID_BYTES)) | 1
 
     async def on_stop(self) -> None:
+        """Tells the others that this process ends, and writes pending saves."""
         for message in self.swim.leave():
             self.datagrams.send(message.to, message.rec)
         self.server.close()
--- a/sparloom/controller/control_api.py
+++ b/sparloom/controller/control_api.py
@@ -172,6 +172,7 @@
         return self.settings.bounds.acknowledge
 
     async def on_start(self) -> None:
+        """Serves the control address; raises OSError if it can't be bound."""
         # A waiting request is cancelled when its client leaves; a write that has begun is not.
         server = web.Server(self._handle, access_log=None, handler_cancellation=True)
         self.runner = web.ServerRunner(server)
@@ -179,6 +180,7 @@
         await web.SockSite(self.runner, bind(self.settings.listen.control)).start()
 
     async def on_stop(self) -> None:
+        """Closes the control address; a write under way is left to the consensus."""
         self.writer.cancel()
         if self.runner is not None:
             await self.runner.cleanup()
--- a/sparloom/controller/endpoint_poller.py
+++ b/sparloom/controller/endpoint_poller.py
@@ -88,6 +88,7 @@
         self._failure_logged = False
 
     async def on_stop(self) -> None:
+        """Closes the connections to the platform."""
         if self.session:
             await self.session.close()
 
--- a/sparloom/controller/feed_server.py
+++ b/sparloom/controller/feed_server.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from contextlib import suppress
 from typing import TYPE_CHECKING, Any
 
 from absl import logging
@@ -130,10 +131,8 @@
         while not self.should_stop:
             primary = self.consensus.member.primary()
             if primary is not None and primary.id != self.consensus.member.member.id:
-                try:
+                with suppress(OSError, EOFError, DecodeError, TimeoutError):
                     await self._follow(primary)
-                except (OSError, EOFError, DecodeError, TimeoutError):
-                    pass
             await asyncio.sleep(pause_s)
 
     async def _follow(self, primary: Member) -> None:
--- a/sparloom/controller/program.py
+++ b/sparloom/controller/program.py
@@ -50,6 +50,7 @@
         self.control_api.on_committed(data)
 
     async def on_start(self) -> None:
+        """Starts the services in the order in which they need each other."""
         for service in (self.consensus, self.control_api, self.poller):
             await self.add_runtime_dependency(service)
         await self.start_metrics_reporter()
--- a/sparloom/router/program.py
+++ b/sparloom/router/program.py
@@ -24,6 +24,7 @@
         self.front = Frontend(settings, self.know)
 
     async def on_start(self) -> None:
+        """Starts the services in the order in which they need each other."""
         await self.add_runtime_dependency(self.know)
         await self.add_runtime_dependency(self.front)
         await self.start_metrics_reporter()
