--- a/sparloom/controller/consensus_service.py
+++ b/sparloom/controller/consensus_service.py
@@ -87,8 +87,13 @@
         Called with data that every holder has on disk.
     """
 
+    # Made by on_start, since a member begins with what its disk holds.
     member: ConsensusMember
     swim: Swim
+    disk: DurableWriter
+    datagrams: Datagrams
+    prefixes: PrefixSnapshots
+    server: asyncio.Server
 
     def __init__(
         self,
