--- a/sparloom/membership/__init__.py
+++ b/sparloom/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is there: probes in turn, indirect probes, suspicion before removal (SWIM)."""
+"""Group membership and failure detection (SWIM): probes, indirect probes, suspicion before removal."""
 
 from .records import (
     ALIVE,
@@ -12,9 +12,11 @@
     Ping,
     PingRequest,
     Role,
+    SwimMessage,
     TableComparison,
 )
-from .swim import Send, Swim
+from .rows import Send
+from .swim import Swim
 from .timing import SwimTiming
 
 __all__ = [
@@ -31,6 +33,7 @@
     "Role",
     "Send",
     "Swim",
+    "SwimMessage",
     "SwimTiming",
     "TableComparison",
 ]
--- a/sparloom/membership/records.py
+++ b/sparloom/membership/records.py
@@ -1,4 +1,4 @@
-"""The records that members exchange by datagram."""
+"""The messages that members exchange by datagram."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Role(IntEnum):
-    """What a process does; a number on the wire."""
+    """Which program a process runs; a number on the wire."""
 
     ROUTER = 0
     CONTROLLER = 1
 
 
 class PeerState(IntEnum):
-    """Whether a process is believed up; of equal incarnations the higher state wins."""
+    """Whether a process is believed up; at equal incarnations the higher state takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -31,8 +31,14 @@
 class Peer(Record):
     """What is believed of one process.
 
-    ``key`` is its internal HOST:PORT, ``instance_id`` tells its restarts apart, and
-    ``incarnation`` is raised by the process itself to refute a suspicion.
+    Attributes:
+        key: Its internal HOST:PORT.
+        role: A ``Role``.
+        zone: Its failure domain.
+        control: A controller's control address, else empty.
+        instance_id: Random for each run of the process, so that a restart is noticed.
+        incarnation: Raised by the process itself to refute a suspicion.
+        state: A ``PeerState``.
     """
 
     key: str
@@ -43,7 +49,7 @@
     incarnation: UInt32
     state: UInt8
 
-    def overrides(self, other):
+    def overrides(self, other: Peer) -> bool:
         """Whether this belief replaces another about the same process.
 
         >>> Peer("a:1", ROUTER, "", "", 1, 2, ALIVE).overrides(Peer("a:1", ROUTER, "", "", 1, 1, DEAD))
@@ -51,8 +57,17 @@
         """
         return (self.incarnation, self.state) > (other.incarnation, other.state)
 
-    def mark(self):
-        """64 bits for this belief, 0 for one that is dead; beliefs are compared by their sum.
+    def with_state(self, state: int, incarnation: int | None = None) -> Peer:
+        """The same process in another state, at another incarnation where one is given.
+
+        >>> Peer("a:1", ROUTER, "", "", 1, 2, ALIVE).with_state(DEAD, 3).state
+        <PeerState.DEAD: 2>
+        """
+        raised = self.incarnation if incarnation is None else incarnation
+        return Peer(self.key, self.role, self.zone, self.control, self.instance_id, raised, state)
+
+    def mark(self) -> int:
+        """A 64-bit hash of this belief, 0 for a dead process; tables are compared by the exclusive or of marks.
 
         >>> Peer("a:1", ROUTER, "", "", 1, 2, DEAD).mark(), Peer("a:1", ROUTER, "", "", 1, 2, ALIVE).mark() > 0
         (0, True)
@@ -65,7 +80,7 @@
 
 @record(2)
 class Ping(Record):
-    """A probe: are you there?  ``digest``: the marks, summed by exclusive or, of all that the sender believes up."""
+    """A probe; ``digest`` is the exclusive or of the marks of all that the sender believes up."""
 
     sequence: UInt32
     peer: Peer
@@ -75,7 +90,7 @@
 
 @record(3)
 class Ack(Record):
-    """The answer to a probe; ``peer`` is the one that answers (or for whom it is passed on, digest 0)."""
+    """The answer to a probe; ``peer`` answers, or is the target of an indirect probe (then the digest is 0)."""
 
     sequence: UInt32
     peer: Peer
@@ -85,7 +100,7 @@
 
 @record(4)
 class PingRequest(Record):
-    """A request for an indirect probe: please ask ``target`` for me."""
+    """A request to probe ``target`` on behalf of the sender (indirect probe)."""
 
     sequence: UInt32
     peer: Peer
@@ -97,7 +112,7 @@
 
 @record(5)
 class TableComparison(Record):
-    """Our beliefs differ: these are the low bits of my marks, for the keys that fall in one part of several."""
+    """The low bits of the sender's marks for the keys of one partition, sent where digests differ."""
 
     peer: Peer
     digest: UInt64
@@ -106,3 +121,6 @@
     marks: list[UInt16]
 
     updates = ()
+
+
+SwimMessage = Ping | Ack | PingRequest | TableComparison
--- a/sparloom/membership/swim.py
+++ b/sparloom/membership/swim.py
@@ -1,102 +1,88 @@
-"""The membership machine: messages and time in, datagrams out; no I/O."""
+"""The SWIM state machine: messages and time in, datagrams to send out; no I/O.
+
+Source: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style
+Process Group Membership Protocol". Added to it: a digest of the whole table in
+each probe, and a table comparison where the digests differ (anti-entropy).
+"""
+
+from __future__ import annotations
 
 from datetime import timedelta
 from functools import singledispatchmethod
 from math import ceil
+from typing import TYPE_CHECKING
 from zlib import crc32
 
-from attrs import define, evolve, field
+from attrs import define, field
 
 from .records import ALIVE, DEAD, SUSPECT, Ack, Peer, Ping, PingRequest, TableComparison
+from .rows import IndirectProbe, Probe, Send, TableEntry
 from .timing import SwimTiming, retransmissions
 
-NEWS_PER_DATAGRAM = 18
-RANDOM_NEWS_PER_DATAGRAM = 2
+if TYPE_CHECKING:
+    from random import Random
+
+    from .records import SwimMessage
+
+UPDATES_PER_DATAGRAM = 18
+RANDOM_UPDATES_PER_DATAGRAM = 2
 INDIRECT_PROBES = 2
 MARKS_PER_DATAGRAM = 200
 MARK_BITS = 0xFFFF
-RECONNECT_EVERY = 4  # periods between probes of seeds and members believed dead
+RECONNECT_PERIODS = 4  # from one probe of an unreachable seed or member to the next
 RECONNECT_PROBES = 2
 LARGEST_FIRST_SEQUENCE = 1 << 31
-UNASKED = 0  # the sequence number of a probe whose answer is not waited for
-
-
-@define(frozen=True, slots=True)
-class Send:
-    """A datagram to send: a record to a HOST:PORT."""
-
-    to: str
-    record: object
-
-
-@define(slots=True)
-class _Entry:
-    """A row of the table: the belief, since when, how often it was passed on, whether a last probe went out."""
-
-    peer: Peer
-    since: timedelta
-    told: int = 0
-    warned: bool = False
-
-
-@define(slots=True)
-class _Probe:
-    """A probe under way, and whether others were asked to probe too."""
-
-    key: str
-    sequence: int
-    sent: timedelta
-    indirect: bool = False
-
-
-@define(frozen=True, slots=True)
-class _IndirectProbe:
-    """A probe made for another member, which awaits its result."""
-
-    requester: str
-    sequence: int
-    sent: timedelta
+UNTRACKED = 0  # the sequence number of a probe whose answer is not awaited
 
 
 @define(slots=True)
 class Swim:
-    """Beliefs about the other processes.
-
-    ``table`` holds a row for each; ``fresh`` those that are still to be passed
-    on, ``pending`` the suspects and the dead. ``version`` rises whenever one
-    comes, dies or restarts. ``digest`` is the exclusive or of all marks.
+    """One member's view of all others.
+
+    Attributes:
+        me: This process.
+        seeds: Internal HOST:PORT addresses to join through.
+        timing: Intervals and time-outs.
+        rng: Source of every random choice, in an order that seeded tests rely on.
+        table: A row for each other process, by its key.
+        outgoing: Rows still to be passed on, by key.
+        pending: Rows of suspects and of the dead, by key.
+        departed: Processes that died or restarted since ``take_departed``.
+        version: Rises whenever a process joins, dies or restarts.
+        digest: The exclusive or of the marks of all that are believed up.
+        digest_differs: Whether the last message came with another digest.
     """
 
     me: Peer
-    seeds: tuple
-    times: SwimTiming
-    rng: object
+    seeds: tuple[str, ...]
+    timing: SwimTiming
+    rng: Random
     now: timedelta = timedelta(0)
     sequence: int = 0
     next_probe: timedelta = timedelta(0)
-    probe_order: list = field(factory=list)
-    table: dict = field(factory=dict)
-    probes: list = field(factory=list)
-    indirect_probes: dict = field(factory=dict)
+    probe_order: list[str] = field(factory=list)
+    table: dict[str, TableEntry] = field(factory=dict)
+    probes: list[Probe] = field(factory=list)
+    indirect_probes: dict[tuple[str, int], IndirectProbe] = field(factory=dict)
     periods: int = 0
     version: int = 0
-    fresh: dict = field(factory=dict)
-    pending: dict = field(factory=dict)
-    departed: list = field(factory=list)
+    outgoing: dict[str, TableEntry] = field(factory=dict)
+    pending: dict[str, TableEntry] = field(factory=dict)
+    departed: list[tuple[str, int | None]] = field(factory=list)
     digest: int = 0
-    differs: bool = False
+    digest_differs: bool = False
     last_tick: timedelta | None = None
-    _alive: tuple | None = None
-    _alive_by_role: dict = field(factory=dict)
+    _alive: tuple[Peer, ...] | None = None
+    _alive_by_role: dict[int, int] = field(factory=dict)
 
-    def __attrs_post_init__(self):
+    def __attrs_post_init__(self) -> None:
         self.digest = self.me.mark()
-        # An answer to a probe of an earlier life at this address must fit none of this one's.
+        # An answer to a probe of an earlier instance at this address must match none of this one's.
         self.sequence = self.me.instance_id % LARGEST_FIRST_SEQUENCE
 
-    # -- what is believed ------------------------------------------------------
-    def alive(self):
-        """The others that are believed up, suspects included, as a tuple; kept until a belief changes.
+    # -- beliefs --------------------------------------------------------------
+    def alive(self) -> tuple[Peer, ...]:
+        """The others that are believed up, suspects included; the tuple is cached until a belief changes.
 
         >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).alive()
         ()
@@ -108,7 +94,7 @@
                 self._alive_by_role[peer.role] = self._alive_by_role.get(peer.role, 0) + 1
         return self._alive
 
-    def count_alive(self, role):
+    def count_alive(self, role: int) -> int:
         """How many others of a role are believed up.
 
         >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).count_alive(0)
@@ -117,8 +103,8 @@
         self.alive()
         return self._alive_by_role.get(role, 0)
 
-    def is_current(self, key, instance_id):
-        """Whether nothing known speaks against this life at an address.
+    def is_current(self, key: str, instance_id: int) -> bool:
+        """Whether the process at an address may still be this instance: it is unknown, or alive as such.
 
         >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).is_current("b:1", 7)
         True
@@ -126,8 +112,11 @@
         entry = self.table.get(key)
         return entry is None or entry.peer.instance_id == instance_id and entry.peer.state != DEAD
 
-    def take_departed(self):
-        """Lives that departed since the last question: keys, each with the life that goes on there or None.
+    def take_departed(self) -> list[tuple[str, int | None]]:
+        """Processes that died or restarted since the last call.
+
+        Returns:
+            Each one's key, with the instance id that runs there now, or None.
 
         >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).take_departed()
         []
@@ -135,60 +124,60 @@
         departed, self.departed = self.departed, []
         return departed
 
-    # -- what is told ------------------------------------------------------------
-    def _news(self):
-        """The least told pieces of news, and some random beliefs besides."""
+    # -- dissemination -----------------------------------------------------------
+    def _updates(self) -> list[Peer]:
+        """The updates that were passed on least, and some random beliefs besides."""
         limit = retransmissions(len(self.table))
-        told = sorted(self.fresh.values(), key=lambda entry: entry.told)[:NEWS_PER_DATAGRAM]
-        for entry in told:
-            entry.told += 1
-            if entry.told >= limit:
-                self.fresh.pop(entry.peer.key, None)
+        chosen = sorted(self.outgoing.values(), key=lambda entry: entry.transmissions)[:UPDATES_PER_DATAGRAM]
+        for entry in chosen:
+            entry.transmissions += 1
+            if entry.transmissions >= limit:
+                self.outgoing.pop(entry.peer.key, None)
         alive = self.alive()
-        news = [entry.peer for entry in told]
-        some = self.rng.sample(alive, min(RANDOM_NEWS_PER_DATAGRAM, len(alive)))
-        return news + [peer for peer in some if peer not in news]
+        updates = [entry.peer for entry in chosen]
+        sampled = self.rng.sample(alive, min(RANDOM_UPDATES_PER_DATAGRAM, len(alive)))
+        return updates + [peer for peer in sampled if peer not in updates]
 
-    def _sample_of_table(self):
-        """For a newcomer: the whole table, or as much as a datagram holds."""
+    def _table_sample(self) -> list[Peer]:
+        """For a member that joins: the whole table, or as much of it as a datagram holds."""
         peers = [entry.peer for entry in self.table.values()]
-        return peers if len(peers) <= NEWS_PER_DATAGRAM else self.rng.sample(peers, NEWS_PER_DATAGRAM)
+        return peers if len(peers) <= UPDATES_PER_DATAGRAM else self.rng.sample(peers, UPDATES_PER_DATAGRAM)
 
-    def _part(self, part, parts):
-        """The beliefs, dead ones left out, whose keys fall in a part."""
-        return [peer for peer in (self.me, *self.alive()) if crc32(peer.key.encode()) % parts == part]
+    def _in_partition(self, partition: int, partitions: int) -> list[Peer]:
+        """This process and those believed up whose keys hash to a partition."""
+        return [peer for peer in (self.me, *self.alive()) if crc32(peer.key.encode()) % partitions == partition]
 
-    def _compare(self):
-        """What a process that believes otherwise needs to tell us what we lack."""
-        parts = ceil((len(self.table) + 1) / MARKS_PER_DATAGRAM)
-        part = self.rng.randrange(parts)
-        marks = [peer.mark() & MARK_BITS for peer in self._part(part, parts)]
-        return TableComparison(self.me, self.digest, part, parts, marks)
+    def _comparison(self) -> TableComparison:
+        """Marks by which a process with another digest finds out what this one lacks."""
+        partitions = ceil((len(self.table) + 1) / MARKS_PER_DATAGRAM)
+        partition = self.rng.randrange(partitions)
+        marks = [peer.mark() & MARK_BITS for peer in self._in_partition(partition, partitions)]
+        return TableComparison(self.me, self.digest, partition, partitions, marks)
 
-    # -- what is learned ---------------------------------------------------------
-    def _learn(self, peer):
+    # -- merging -----------------------------------------------------------------
+    def _learn(self, peer: Peer) -> None:
         if peer.key == self.me.key:
             self._refute(peer)
             return
         entry = self.table.get(peer.key)
         if entry is None or peer.overrides(entry.peer):
-            self._believe(peer, entry and entry.peer)
+            self._believe(peer, entry.peer if entry else None)
         elif entry.peer.state == DEAD and peer.state != DEAD:
-            # Someone still believes up what is dead: the death is told once more.
-            entry.told, self.fresh[peer.key] = 0, entry
+            # Another member still believes it up: the death is passed on once more.
+            entry.transmissions, self.outgoing[peer.key] = 0, entry
 
-    def _refute(self, peer):
-        """Outbids what is said of this process, if it is a suspicion or of a former life."""
+    def _refute(self, peer: Peer) -> None:
+        """Raises the incarnation above a suspicion of this process or a belief in an earlier instance."""
         wrong = peer.instance_id != self.me.instance_id or peer.state != ALIVE
         if wrong and peer.incarnation >= self.me.incarnation:
             self.digest ^= self.me.mark()
-            self.me = evolve(self.me, incarnation=peer.incarnation + 1)
+            self.me = self.me.with_state(self.me.state, peer.incarnation + 1)
             self.digest ^= self.me.mark()
 
-    def _believe(self, peer, old):
-        """Puts a belief in the place of the old one, or of none."""
+    def _believe(self, peer: Peer, old: Peer | None) -> None:
+        """Stores a belief in place of the old one, if any."""
         self.digest ^= peer.mark() ^ (old.mark() if old else 0)
-        entry = self.table[peer.key] = self.fresh[peer.key] = _Entry(peer, self.now)
+        entry = self.table[peer.key] = self.outgoing[peer.key] = TableEntry(peer, self.now)
         if peer.state == ALIVE:
             self.pending.pop(peer.key, None)
         else:
@@ -200,105 +189,109 @@
         self._alive = None
 
     # -- time --------------------------------------------------------------------
-    def tick(self, now):
-        """Moves time on; gives the datagrams that are due.
+    def tick(self, now: timedelta) -> list[Send]:
+        """Advances the time; returns the datagrams that are due.
 
-        >>> s = Swim(Peer("a:1", 0, "", "", 1, 0, 0), ("b:1",), SwimTiming.of(timedelta(seconds=3)), __import__("random").Random(1))
-        >>> [m.to for m in s.tick(timedelta(0))]
+        >>> from random import Random
+        >>> timing = SwimTiming.of(timedelta(seconds=3))
+        >>> swim = Swim(Peer("a:1", 0, "", "", 1, 0, 0), ("b:1",), timing, Random(1))
+        >>> [datagram.to for datagram in swim.tick(timedelta(0))]
         ['b:1']
         """
-        if self.last_tick is not None and now - self.last_tick >= self.times.wait:
-            self._stood_still(now - self.last_tick)
+        if self.last_tick is not None and now - self.last_tick >= self.timing.wait:
+            self._excuse_pause(now - self.last_tick)
         self.now = self.last_tick = now
-        return [*self._check_probes(), *self._check_pending(), *self._probe()]
+        return [*self._check_probes(), *self._check_pending(), *self._probe_next()]
 
-    def _stood_still(self, gap):
-        """This process itself stood still: what it missed in that time accuses nobody."""
+    def _excuse_pause(self, gap: timedelta) -> None:
+        """Extends all waits by a pause of this process itself, in which it could receive no answers."""
         for probe in self.probes:
-            probe.sent += gap
+            probe.sent_at += gap
         for entry in self.pending.values():
             if entry.peer.state == SUSPECT:
                 entry.since += gap
 
-    def _check_probes(self):
-        """Probes without an answer: first others are asked to probe, then the member is suspected."""
-        out, open_probes = [], []
+    def _check_probes(self) -> list[Send]:
+        """Probes without an answer: first indirect probes are requested, then the member is suspected."""
+        out: list[Send] = []
+        open_probes = []
         for probe in self.probes:
             entry = self.table.get(probe.key)
             if entry is None or entry.peer.state == DEAD:
                 continue
-            if self.now - probe.sent >= self.times.period:
+            if self.now - probe.sent_at >= self.timing.period:
                 if entry.peer.state == ALIVE and probe.indirect:
-                    self._learn(evolve(entry.peer, state=SUSPECT))
+                    self._learn(entry.peer.with_state(SUSPECT))
                     out.append(self._warn(self.table[probe.key].peer))
                 continue
-            if not probe.indirect and self.now - probe.sent >= self.times.wait:
+            if not probe.indirect and self.now - probe.sent_at >= self.timing.wait:
                 probe.indirect = True
                 out += self._request_probes(probe)
             open_probes.append(probe)
         self.probes = open_probes
         return out
 
-    def _request_probes(self, probe):
+    def _request_probes(self, probe: Probe) -> list[Send]:
         others = [peer.key for peer in self.alive() if peer.key != probe.key]
         helpers = self.rng.sample(others, min(INDIRECT_PROBES, len(others)))
         return [Send(key, PingRequest(probe.sequence, self.me, probe.key, [])) for key in helpers]
 
-    def _warn(self, peer):
-        """Tells a suspect what is said of it, so that it can answer at once."""
-        return Send(peer.key, Ping(UNASKED, self.me, self.digest, [peer]))
+    def _warn(self, peer: Peer) -> Send:
+        """Notifies a suspect of the suspicion, so that it can refute it at once."""
+        return Send(peer.key, Ping(UNTRACKED, self.me, self.digest, [peer]))
 
-    def _check_pending(self):
-        """Suspects run out of time, and the dead are forgotten.
+    def _check_pending(self) -> list[Send]:
+        """Declares overdue suspects dead and forgets the dead.
 
-        Whoever holds a suspect asks it once more itself: news of its answer may be slower.
+        Each member probes a suspect once more itself: a refutation that it
+        sent to others may arrive later than the time-out.
         """
-        out, times = [], self.times
+        out, timing = list[Send](), self.timing
         for entry in list(self.pending.values()):
             age = self.now - entry.since
             if entry.peer.state == DEAD:
-                if age >= times.forget:
+                if age >= timing.forget:
                     self._forget(entry.peer.key)
-            elif age >= times.suspicion:
-                self._learn(evolve(entry.peer, state=DEAD))
-            elif not entry.warned and age >= times.suspicion - times.wait:
+            elif age >= timing.suspicion:
+                self._learn(entry.peer.with_state(DEAD))
+            elif not entry.warned and age >= timing.suspicion - timing.wait:
                 entry.warned = True
                 out.append(self._warn(entry.peer))
         self.indirect_probes = {
-            place: probe for place, probe in self.indirect_probes.items() if self.now - probe.sent < times.period
+            target: probe for target, probe in self.indirect_probes.items() if self.now - probe.sent_at < timing.period
         }
         return out
 
-    def _forget(self, key):
-        for beliefs in (self.table, self.pending, self.fresh):
-            beliefs.pop(key, None)
+    def _forget(self, key: str) -> None:
+        for rows in (self.table, self.pending, self.outgoing):
+            rows.pop(key, None)
 
-    def _probe(self):
-        """The probe of this period, and now and then one of those that are out of touch."""
+    def _probe_next(self) -> list[Send]:
+        """The probe of this period, and now and then one of an unreachable seed or member."""
         if self.now < self.next_probe:
             return []
-        self.next_probe = self.now + self.times.period
+        self.next_probe = self.now + self.timing.period
         self.periods += 1
         out = []
         key = self._next_key()
         if key:
             self.sequence += 1
-            self.probes.append(_Probe(key, self.sequence, self.now))
-            out.append(Send(key, Ping(self.sequence, self.me, self.digest, self._news())))
-        if not key or self.periods % RECONNECT_EVERY == 0:
-            lost = self._out_of_touch()
-            picks = lost if not key else self.rng.sample(lost, min(RECONNECT_PROBES, len(lost)))
-            out += [Send(key, Ping(UNASKED, self.me, self.digest, self._news())) for key in picks]
+            self.probes.append(Probe(key, self.sequence, self.now))
+            out.append(Send(key, Ping(self.sequence, self.me, self.digest, self._updates())))
+        if not key or self.periods % RECONNECT_PERIODS == 0:
+            lost = self._unreachable()
+            targets = lost if not key else self.rng.sample(lost, min(RECONNECT_PROBES, len(lost)))
+            out += [Send(target, Ping(UNTRACKED, self.me, self.digest, self._updates())) for target in targets]
         return out
 
-    def _out_of_touch(self):
-        """Seeds that are not known, and members believed dead: a cut may have ended."""
+    def _unreachable(self) -> list[str]:
+        """Seeds that are not known and members believed dead: a network partition may have ended."""
         known = {peer.key for peer in self.alive()}
         lost = [seed for seed in self.seeds if seed != self.me.key and seed not in known]
         return lost + [key for key, entry in self.pending.items() if entry.peer.state == DEAD]
 
-    def _next_key(self):
-        """Whom to probe next: all in a random order, then all again in another."""
+    def _next_key(self) -> str | None:
+        """The member to probe next: each once in a random order, then all again in another."""
         while self.probe_order:
             key = self.probe_order.pop()
             if key in self.table and self.table[key].peer.state != DEAD:
@@ -308,66 +301,72 @@
         return self.probe_order.pop() if self.probe_order else None
 
     # -- messages ----------------------------------------------------------------
-    def receive(self, now, src, rec):
-        """Takes a record from ``src``; gives the datagrams that follow from it.
-
-        >>> s = Swim(Peer("a:1", 0, "", "", 1, 0, 0), ("b:1",), SwimTiming.of(timedelta(seconds=3)), __import__("random").Random(1))
-        >>> [type(m.record).__name__ for m in s.receive(timedelta(0), "b:1", Ping(7, Peer("b:1", 0, "", "", 2, 0, 0), 0, []))]
+    def receive(self, now: timedelta, source: str, message: SwimMessage) -> list[Send]:
+        """Handles a message from the HOST:PORT ``source``; returns the datagrams that it leads to.
+
+        >>> from random import Random
+        >>> timing = SwimTiming.of(timedelta(seconds=3))
+        >>> swim = Swim(Peer("a:1", 0, "", "", 1, 0, 0), ("b:1",), timing, Random(1))
+        >>> ping = Ping(7, Peer("b:1", 0, "", "", 2, 0, 0), 0, [])
+        >>> [type(datagram.record).__name__ for datagram in swim.receive(timedelta(0), "b:1", ping)]
         ['Ack']
         """
         self.now = now
-        entry = self.table.get(rec.peer.key)
-        joins = entry is None or entry.peer.state != ALIVE or entry.peer.instance_id != rec.peer.instance_id
+        entry = self.table.get(message.peer.key)
+        joins = entry is None or entry.peer.state != ALIVE or entry.peer.instance_id != message.peer.instance_id
         outdated = [entry.peer] if entry is not None and joins else []
-        for peer in (rec.peer, *rec.updates):
+        for peer in (message.peer, *message.updates):
             self._learn(peer)
-        self.differs = rec.digest not in (0, self.digest)
-        return self._take(rec, src, joins, outdated)
+        self.digest_differs = message.digest not in (0, self.digest)
+        return self._handle(message, source, joins, outdated)
 
     @singledispatchmethod
-    def _take(self, rec, src, joins, outdated):
-        """What follows from a record.
-
-        ``joins``: its sender was not believed up. ``outdated``: what was
-        believed of it, which it must hear of in order to outbid it.
+    def _handle(self, message: SwimMessage, source: str, joins: bool, outdated: list[Peer]) -> list[Send]:
+        """The datagrams that answer a message.
+
+        Args:
+            message: The message, whose updates are merged already.
+            source: The sender's internal HOST:PORT.
+            joins: Whether the sender was not believed up.
+            outdated: What was believed of the sender, which it must learn in order to refute it.
         """
         return []
 
-    @_take.register
-    def _(self, rec: Ping, src, joins, outdated):
-        news = outdated + self._sample_of_table() if joins else self._news()
-        return [Send(src, Ack(rec.sequence, self.me, self.digest, news))]
-
-    @_take.register
-    def _(self, rec: Ack, src, joins, outdated):
-        self.probes = [p for p in self.probes if not (p.sequence == rec.sequence and p.key == rec.peer.key)]
-        made_for = self.indirect_probes.pop((rec.peer.key, rec.sequence), None)
-        if made_for:
-            return [Send(made_for.requester, Ack(made_for.sequence, rec.peer, 0, []))]
-        return [Send(src, self._compare())] if self.differs else []
-
-    @_take.register
-    def _(self, rec: TableComparison, src, joins, outdated):
-        theirs = set(rec.marks)
-        lacking = [
-            peer for peer in self._part(rec.partition, max(1, rec.partitions)) if peer.mark() & MARK_BITS not in theirs
-        ]
-        if not lacking:
+    @_handle.register(Ping)
+    def _on_ping(self, message: Ping, source: str, joins: bool, outdated: list[Peer]) -> list[Send]:
+        updates = outdated + self._table_sample() if joins else self._updates()
+        return [Send(source, Ack(message.sequence, self.me, self.digest, updates))]
+
+    @_handle.register(Ack)
+    def _on_ack(self, message: Ack, source: str, joins: bool, outdated: list[Peer]) -> list[Send]:
+        answered = (message.peer.key, message.sequence)
+        self.probes = [probe for probe in self.probes if (probe.key, probe.sequence) != answered]
+        indirect = self.indirect_probes.pop(answered, None)
+        if indirect:
+            return [Send(indirect.requester, Ack(indirect.sequence, message.peer, 0, []))]
+        return [Send(source, self._comparison())] if self.digest_differs else []
+
+    @_handle.register(TableComparison)
+    def _on_comparison(self, message: TableComparison, source: str, joins: bool, outdated: list[Peer]) -> list[Send]:
+        theirs = set(message.marks)
+        partition = self._in_partition(message.partition, max(1, message.partitions))
+        missing = [peer for peer in partition if peer.mark() & MARK_BITS not in theirs]
+        if not missing:
             return []
-        news = self.rng.sample(lacking, min(NEWS_PER_DATAGRAM, len(lacking)))
-        return [Send(src, Ack(UNASKED, self.me, 0, news))]
+        updates = self.rng.sample(missing, min(UPDATES_PER_DATAGRAM, len(missing)))
+        return [Send(source, Ack(UNTRACKED, self.me, 0, updates))]
 
-    @_take.register
-    def _(self, rec: PingRequest, src, joins, outdated):
+    @_handle.register(PingRequest)
+    def _on_ping_request(self, message: PingRequest, source: str, joins: bool, outdated: list[Peer]) -> list[Send]:
         self.sequence += 1
-        self.indirect_probes[rec.target, self.sequence] = _IndirectProbe(src, rec.sequence, self.now)
-        return [Send(rec.target, Ping(self.sequence, self.me, self.digest, self._news()))]
+        self.indirect_probes[message.target, self.sequence] = IndirectProbe(source, message.sequence, self.now)
+        return [Send(message.target, Ping(self.sequence, self.me, self.digest, self._updates()))]
 
-    def leave(self):
-        """Tells everyone that this process goes.
+    def leave(self) -> list[Send]:
+        """Notifies every member that this process leaves (graceful shutdown).
 
         >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).leave()
         []
         """
-        gone = evolve(self.me, incarnation=self.me.incarnation + 1, state=DEAD)
-        return [Send(peer.key, Ack(UNASKED, gone, 0, [])) for peer in self.alive()]
+        departed = self.me.with_state(DEAD, self.me.incarnation + 1)
+        return [Send(peer.key, Ack(UNTRACKED, departed, 0, [])) for peer in self.alive()]
--- a/sparloom/membership/timing.py
+++ b/sparloom/membership/timing.py
@@ -1,29 +1,33 @@
-"""How often members probe, how long they wait, and how often they pass on news."""
+"""How often members probe, how long they wait, and how often they pass on an update."""
+
+from __future__ import annotations
 
 from datetime import timedelta
 from math import ceil, log10
 
 from attrs import define
 
-LEAST_RETRANSMISSIONS = 6
+MINIMUM_RETRANSMISSIONS = 6
 
 
-def retransmissions(members):
-    """How often each member passes on a piece of news: enough to reach all.
+def retransmissions(members: int) -> int:
+    """How often each of some members passes on an update, so that it reaches all.
 
     >>> retransmissions(8), retransmissions(78), retransmissions(1600)
     (6, 8, 16)
     """
-    return max(LEAST_RETRANSMISSIONS, 4 * ceil(log10(members + 1)))
+    return max(MINIMUM_RETRANSMISSIONS, 4 * ceil(log10(members + 1)))
 
 
 @define(frozen=True, slots=True)
 class SwimTiming:
-    """The protocol's times, all derived from the contact bound.
+    """The protocol's intervals, all derived from the contact bound.
 
-    ``period``: from probe to probe. ``wait``: for an answer, before indirect
-    probes. ``suspicion``: from suspect to dead. ``forget``: from dead to
-    removed from the table.
+    Attributes:
+        period: From one probe to the next.
+        wait: For an answer, before indirect probes are requested.
+        suspicion: From suspect to dead.
+        forget: From dead to removed from the table.
 
     >>> SwimTiming.of(timedelta(seconds=3)).period
     datetime.timedelta(microseconds=500000)
@@ -35,10 +39,12 @@
     forget: timedelta
 
     @classmethod
-    def of(cls, contact):
-        """Times that notice a loss well inside the bound.
+    def of(cls, contact_bound: timedelta) -> SwimTiming:
+        """Intervals by which a loss is noticed well within the contact bound.
 
         >>> SwimTiming.of(timedelta(seconds=6)).suspicion
         datetime.timedelta(seconds=2)
         """
-        return cls(period=contact / 6, wait=contact / 15, suspicion=contact / 3, forget=contact * 20)
+        return cls(
+            period=contact_bound / 6, wait=contact_bound / 15, suspicion=contact_bound / 3, forget=contact_bound * 20
+        )
