--- a/sparloom/dynamic_timeout/__init__.py
+++ b/sparloom/dynamic_timeout/__init__.py
@@ -1,4 +1,9 @@
-"""Timeouts that follow the load: the Faraday dynamic timeout mechanism."""
+"""Timeouts that shrink as the number of concurrent requests at a resource grows.
+
+Source: "Faraday Dynamic Timeout Middleware", README of the Ruby gem
+``faraday_dynamic_timeout``. In place of its Redis server, nodes share their
+counts with each other.
+"""
 
 from .buckets import Bucket, Capacity, Grant, capacity_buckets, pick
 from .counts import (
--- a/sparloom/dynamic_timeout/buckets.py
+++ b/sparloom/dynamic_timeout/buckets.py
@@ -1,14 +1,29 @@
-"""Buckets: a timeout and how many calls may use it."""
+"""Timeout buckets, and their limits from the callers' estimated capacity.
+
+Source: "Faraday Dynamic Timeout Middleware" (README of the Ruby gem
+``faraday_dynamic_timeout``), sections "Usage" and "Capacity Strategy".
+"""
+
+from __future__ import annotations
 
-from datetime import timedelta
 from math import ceil
+from typing import TYPE_CHECKING
 
 from attrs import define
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+    from datetime import timedelta
+
 
 @define(frozen=True, slots=True)
 class Bucket:
-    """A timeout, and the most calls at once for which it holds; below 0: any number."""
+    """A timeout and the number of concurrent requests that may use it.
+
+    Attributes:
+        timeout: The timeout of a request that falls into this bucket.
+        limit: Concurrent requests up to which it applies; below 0: unlimited.
+    """
 
     timeout: timedelta
     limit: int
@@ -16,40 +31,71 @@
 
 @define(frozen=True, slots=True)
 class Grant:
-    """A call that was let through, with its timeout and the count that it joined."""
+    """Permission to send a request.
+
+    Attributes:
+        timeout: The request's timeout.
+        count: Concurrent requests at the resource, this one included.
+    """
 
     timeout: timedelta
     count: int
 
 
-def pick(buckets, count):
-    """The longest timeout with room for one more call, or None when all are full.
+def pick(buckets: Iterable[Bucket] | Callable[[], Iterable[Bucket]], count: int) -> Grant | None:
+    """The longest timeout among the buckets that have a free slot.
 
-    ``buckets`` may also be a function, which is then asked at each call.
+    Args:
+        buckets: The buckets in any order, or a function that is evaluated at each request.
+        count: Concurrent requests at the resource before this one.
 
-    >>> bs = [Bucket(timedelta(seconds=8), 5), Bucket(timedelta(seconds=1), 10)]
-    >>> pick(bs, 4).timeout.total_seconds(), pick(bs, 5).timeout.total_seconds(), pick(bs, 10)
-    (8.0, 1.0, None)
+    Returns:
+        The grant, or None when every bucket is full and the request must not be sent.
+
+    >>> from datetime import timedelta
+    >>> buckets = [Bucket(timedelta(seconds=8), 5), Bucket(timedelta(seconds=1), 10)]
+    >>> [pick(buckets, count).timeout.total_seconds() for count in (4, 5)], pick(buckets, 10)
+    ([8.0, 1.0], None)
     """
-    bs = buckets() if callable(buckets) else buckets
-    best = max((b.timeout for b in bs if b.limit < 0 or count < b.limit), default=None)
-    return None if best is None else Grant(best, count + 1)
+    current = buckets() if callable(buckets) else buckets
+    timeout = max((bucket.timeout for bucket in current if bucket.limit < 0 or count < bucket.limit), default=None)
+    return None if timeout is None else Grant(timeout, count + 1)
 
 
 @define(frozen=True, slots=True)
 class Capacity:
-    """A bucket as a part of what all callers together could send."""
+    """A bucket whose limit is a share of the callers' total capacity.
+
+    Attributes:
+        timeout: As in ``Bucket``.
+        share: Of all concurrent requests that the callers could send, from 0 to 1; 1: unlimited.
+        minimum: The limit is never below this.
+    """
 
     timeout: timedelta
-    part: float
-    floor: int = 0
+    share: float
+    minimum: int = 0
 
 
-def capacity_buckets(caps, per_process, processes):
-    """Buckets from the estimated capacity of the callers; the whole is unlimited.
+def capacity_buckets(capacities: Iterable[Capacity], per_process: int, processes: int) -> list[Bucket]:
+    """Buckets from the estimated capacity of the callers.
 
-    >>> [b.limit for b in capacity_buckets([Capacity(timedelta(1), 0.05, 3), Capacity(timedelta(1), 1.0)], 4, 10)]
+    Args:
+        capacities: The buckets as shares of the capacity.
+        per_process: Concurrent requests that one process can send.
+        processes: The estimated number of processes, see ``InFlightCounts.processes``.
+
+    >>> from datetime import timedelta
+    >>> shares = [Capacity(timedelta(1), 0.05, 3), Capacity(timedelta(1), 1.0)]
+    >>> [bucket.limit for bucket in capacity_buckets(shares, 4, 10)]
     [3, -1]
     """
     total = per_process * processes
-    return [Bucket(c.timeout, -1 if c.part >= 1 else max(c.floor, ceil(round(c.part * total, 9)))) for c in caps]
+    return [Bucket(capacity.timeout, _limit(capacity, total)) for capacity in capacities]
+
+
+def _limit(capacity: Capacity, total: int) -> int:
+    if capacity.share >= 1:
+        return -1
+    # Rounded first, so that a product such as 0.1 * 30 = 3.0000000000000004 is not raised to 4.
+    return max(capacity.minimum, ceil(round(capacity.share * total, 9)))
--- a/sparloom/dynamic_timeout/counts.py
+++ b/sparloom/dynamic_timeout/counts.py
@@ -1,18 +1,22 @@
-"""How many calls are in flight at a resource: this node's own, and what peers tell.
-
-Late or missing words. A peer's counts stand until the peer tells newer ones,
-its life ends (it is believed dead, has left, or started again), or nothing was
-heard from it for ``stale``. Until then the last word counts in full: a peer
-that can't be reached is taken to still hold its slots, so a late count errs
-towards shorter timeouts. After ``stale`` it counts nothing, so that a lost
-peer can't hold a runner's slots for ever. Where words go through a tier of
-relays, ``sparloom.aggregation`` says how the same rule holds.
+"""How many requests are in flight at a resource: this node's own and those its peers report.
+
+Late or missing updates: a peer's counts apply until the peer sends newer ones,
+its instance ends (believed dead, departed or restarted), or nothing was
+received from it for ``stale``. Until then its last update counts in full: a
+peer that can't be reached is assumed to still hold its slots, so a late count
+errs towards shorter timeouts. After ``stale`` it counts nothing, so that a lost
+peer can't hold slots for ever. ``sparloom.aggregation`` applies the same rule
+where updates go through relays.
+
+Source of the counting by slots, the callback and the estimate of processes:
+"Faraday Dynamic Timeout Middleware", README of ``faraday_dynamic_timeout``.
 """
 
 from __future__ import annotations
 
 from datetime import timedelta
 from operator import add
+from typing import TYPE_CHECKING
 
 from attrs import define, field
 
@@ -20,7 +24,15 @@
 
 from .buckets import pick
 
-# What is in flight at one resource; the constants below are its indices.
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Mapping
+
+    from .buckets import Bucket, Grant
+
+# How long a process that sent an update counts as running ("remembered 60 seconds" in the source).
+PROCESS_MEMORY = timedelta(seconds=60)
+
+# The load of one resource: a plain tuple, since adding tuples is the hot path; the constants are its indices.
 ResourceLoad = tuple[int, int, int, int, int, int]
 CALLS, PREFILL_TOKENS, UNRESPONSIVE, SUCCESSES, FAILURES, ACCUSERS = range(6)
 NO_LOAD: ResourceLoad = (0, 0, 0, 0, 0, 0)
@@ -28,10 +40,16 @@
 
 @record(80)
 class InFlightReport(Record):
-    """Calls in flight at one resource, of one holder or summed over several.
-
-    ``unresponsive``: how many holders hear nothing from it. ``successes`` and ``failures``:
-    ends of calls of late. ``accusers``: how many holders saw it fail of late.
+    """What is in flight at one resource, of one node or summed over several.
+
+    Attributes:
+        resource: The resource's number.
+        calls: Requests in flight.
+        prefill_tokens: Prompt tokens sent there whose prefill has not ended.
+        unresponsive: How many nodes get no answer from it.
+        successes: Requests that ended well recently.
+        failures: Requests that failed recently.
+        accusers: How many nodes saw it fail recently.
     """
 
     resource: UInt64
@@ -53,7 +71,13 @@
 
 @record(82)
 class PrefixPlacement(Record):
-    """A long part of a prompt that went to a resource."""
+    """A long prompt prefix that was sent to a resource.
+
+    Attributes:
+        resource: The resource's number.
+        prefix: The prefix's number, see ``sparloom.load_balancing.parse_parts``.
+        tokens: The length of its last part.
+    """
 
     resource: UInt64
     prefix: UInt64
@@ -62,7 +86,16 @@
 
 @record(81)
 class InFlightUpdate(Record):
-    """All that a holder has in flight, and what it sent to be read since its last word."""
+    """All that a node has in flight, and the long prefixes that it sent out since its last update.
+
+    Attributes:
+        node: The node's internal HOST:PORT.
+        instance_id: The node's instance, as in ``sparloom.membership.Peer``.
+        sequence: Rises with each update of the instance.
+        fleet_size: The number of nodes among which the sender divides limits.
+        reports: One for each resource with something in flight.
+        placements: Prefixes sent out since the last update.
+    """
 
     node: str
     instance_id: UInt64
@@ -74,7 +107,14 @@
 
 @define(frozen=True, slots=True)
 class Call:
-    """What the after-call hook is told.
+    """What the callback learns of a request (the source's ``RequestInfo``).
+
+    Attributes:
+        resource: The resource's name.
+        count: Concurrent requests at the resource, this one included unless it was throttled.
+        duration: From acquiring the slot to its release.
+        throttled: Whether no bucket had a free slot, so that nothing was sent.
+        timed_out: Whether the timeout passed.
 
     >>> Call("r", 3, timedelta(seconds=1), False, False).count
     3
@@ -89,18 +129,28 @@
 
 @define(slots=True)
 class Slot:
-    """A call's slot in every bucket of a resource; freed once."""
+    """A request's slot in every bucket of a resource; released once.
+
+    Attributes:
+        counts: Where it was acquired.
+        resource: The resource's name.
+        grant: Its timeout and count.
+        started_at: When it was acquired.
+        prefill_tokens: Prompt tokens whose prefill has not ended.
+        timed_out: Whether the timeout has passed; set by the caller.
+        open: Whether it is not released yet.
+    """
 
-    counts: object
-    resource: object
-    grant: object
+    counts: InFlightCounts
+    resource: str
+    grant: Grant
     started_at: timedelta
     prefill_tokens: int = 0
     timed_out: bool = False
     open: bool = True
 
-    def release(self, now):
-        """Gives the slot back and tells the hook; a second time does nothing.
+    def release(self, now: timedelta) -> None:
+        """Releases the slot and calls the callback; a second call does nothing.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
@@ -115,8 +165,8 @@
             self.open = False
             self.counts.release_slot(self, now)
 
-    def on_prefilled(self, tokens):
-        """The prompt has been read: its tokens no longer wait.
+    def on_prefilled(self, tokens: int) -> None:
+        """Takes tokens whose prefill has ended off the resource's load.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
@@ -131,85 +181,119 @@
 
 
 @define(slots=True)
-class _Peer:
+class _PeerCounts:
+    """The newest update of one peer."""
+
     instance_id: int
     sequence: int
     received_at: timedelta
-    loads: dict
+    loads: dict[str, ResourceLoad]
     fleet_size: int = 0
 
 
 @define(slots=True)
 class InFlightCounts:
-    """The shared in-flight counts, as one node knows them.
-
-    ``shared``: what a tier of relays tells of all others, by resource; None
-    where peers tell each other directly.
+    """The in-flight counts of the whole fleet, as one node knows them.
+
+    Attributes:
+        stale: For how long a peer's last update counts.
+        callback: Called with a ``Call`` after each request, also a throttled one.
+        own: This node's requests in flight, by resource.
+        own_prefill_tokens: This node's prompt tokens awaiting prefill, by resource.
+        peers: The newest update of each peer, by its HOST:PORT.
+        callers: When each other process (HOST:PORT, instance id) last sent an update.
+        shared: The load of all others, by resource, where a relay sums it up;
+            None where peers send their updates directly.
 
-    >>> c = InFlightCounts(timedelta(seconds=3))
     >>> from .buckets import Bucket
-    >>> s = c.acquire("r", [Bucket(timedelta(seconds=1), 1)], timedelta(0))
-    >>> c.count("r", timedelta(0)), c.acquire("r", [Bucket(timedelta(seconds=1), 1)], timedelta(0))
+    >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
+    >>> counts = InFlightCounts(timedelta(seconds=3))
+    >>> slot = counts.acquire("r", buckets, start)
+    >>> counts.count("r", start), counts.acquire("r", buckets, start)
     (1, None)
-    >>> s.release(timedelta(0)); c.count("r", timedelta(0))
+    >>> slot.release(start)
+    >>> counts.count("r", start)
     0
     """
 
     stale: timedelta
-    hook: object = None
-    own: dict = field(factory=dict)
-    own_prefill_tokens: dict = field(factory=dict)
-    peers: dict = field(factory=dict)
-    callers: dict = field(factory=dict)
-    shared: dict | None = None
-    _sum: dict = field(factory=dict)
-    _until: timedelta | None = None
-
-    def _told(self, resource, now, part):
+    callback: Callable[[Call], None] | None = None
+    own: dict[str, int] = field(factory=dict)
+    own_prefill_tokens: dict[str, int] = field(factory=dict)
+    peers: dict[str, _PeerCounts] = field(factory=dict)
+    callers: dict[tuple[str, int], timedelta] = field(factory=dict)
+    shared: dict[str, ResourceLoad] | None = None
+    _sum: dict[str, ResourceLoad] = field(factory=dict)
+    _sum_valid_until: timedelta | None = None
+
+    def _others(self, resource: str, now: timedelta) -> ResourceLoad:
+        """The load of all other nodes at a resource."""
         if self.shared is not None:
-            return self.shared.get(resource, NO_LOAD)[part]
-        if self._until is None or now > self._until:
-            fresh = [p for p in self.peers.values() if now - p.received_at <= self.stale]
-            self._until, self._sum = min((p.received_at for p in fresh), default=now) + self.stale, {}
-            for p in fresh:
-                for r, v in p.loads.items():
-                    self._sum[r] = tuple(map(add, self._sum.get(r, NO_LOAD), v))
-        return self._sum.get(resource, NO_LOAD)[part]
-
-    def count(self, resource, now):
-        """Calls in flight at a resource across all nodes.
+            return self.shared.get(resource, NO_LOAD)
+        # The sum is cached until an update arrives or the oldest one in it becomes stale.
+        if self._sum_valid_until is None or now > self._sum_valid_until:
+            self._sum_up(now)
+        return self._sum.get(resource, NO_LOAD)
+
+    def _sum_up(self, now: timedelta) -> None:
+        fresh = [peer for peer in self.peers.values() if now - peer.received_at <= self.stale]
+        self._sum_valid_until = min((peer.received_at for peer in fresh), default=now) + self.stale
+        total: dict[str, ResourceLoad] = {}
+        for peer in fresh:
+            for resource, load in peer.loads.items():
+                total[resource] = tuple(map(add, total.get(resource, NO_LOAD), load))
+        self._sum = total
+
+    def count(self, resource: str, now: timedelta) -> int:
+        """Requests in flight at a resource across all nodes.
 
         >>> InFlightCounts(timedelta(1)).count("r", timedelta(0))
         0
         """
-        return self.own.get(resource, 0) + self._told(resource, now, 0)
+        return self.own.get(resource, 0) + self._others(resource, now)[CALLS]
 
-    def prefill_tokens(self, resource, now):
-        """Prompt tokens on their way to a resource and not yet read, across all nodes.
+    def prefill_tokens(self, resource: str, now: timedelta) -> int:
+        """Prompt tokens at a resource that await prefill, across all nodes.
 
         >>> InFlightCounts(timedelta(1)).prefill_tokens("r", timedelta(0))
         0
         """
-        return self.own_prefill_tokens.get(resource, 0) + self._told(resource, now, 1)
+        return self.own_prefill_tokens.get(resource, 0) + self._others(resource, now)[PREFILL_TOKENS]
 
-    def unresponsive(self, resource, now):
-        """How many peers hear nothing from a resource.
+    def unresponsive(self, resource: str, now: timedelta) -> int:
+        """How many peers get no answer from a resource.
 
         >>> InFlightCounts(timedelta(1)).unresponsive("r", timedelta(0))
         0
         """
-        return self._told(resource, now, 2)
+        return self._others(resource, now)[UNRESPONSIVE]
 
-    def outcomes(self, resource, now):
-        """What peers saw of late at a resource: good ends, bad ends, how many saw bad ones.
+    def outcomes(self, resource: str, now: timedelta) -> tuple[int, int, int]:
+        """What peers saw recently at a resource: successes, failures, and how many saw failures.
 
         >>> InFlightCounts(timedelta(1)).outcomes("r", timedelta(0))
         (0, 0, 0)
         """
-        return tuple(self._told(resource, now, part) for part in (3, 4, 5))
-
-    def acquire(self, resource, buckets, now, tokens=0):
-        """Takes a slot in every bucket, or tells the hook of a refusal and gives None.
+        load = self._others(resource, now)
+        return load[SUCCESSES], load[FAILURES], load[ACCUSERS]
+
+    def acquire(
+        self,
+        resource: str,
+        buckets: Iterable[Bucket] | Callable[[], Iterable[Bucket]],
+        now: timedelta,
+        tokens: int = 0,
+    ) -> Slot | None:
+        """Acquires a slot in every bucket.
+
+        Args:
+            resource: The resource's name.
+            buckets: The resource's buckets, see ``pick``.
+            now: The current monotonic time.
+            tokens: Prompt tokens that await prefill there.
+
+        Returns:
+            The slot, or None when the request is throttled; the callback is called then.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
@@ -219,17 +303,17 @@
         >>> counts.acquire("r", buckets, start) is None
         True
         """
-        n = self.count(resource, now)
-        grant = pick(buckets, n)
+        count = self.count(resource, now)
+        grant = pick(buckets, count)
         if grant is None:
-            self._tell(Call(resource, n, timedelta(0), True, False))
+            self._report(Call(resource, count, timedelta(0), True, False))
             return None
         self.own[resource] = self.own.get(resource, 0) + 1
         self.own_prefill_tokens[resource] = self.own_prefill_tokens.get(resource, 0) + tokens
         return Slot(self, resource, grant, now, tokens)
 
-    def release_tokens(self, slot, tokens):
-        """Takes read tokens off a resource.
+    def release_tokens(self, slot: Slot, tokens: int) -> None:
+        """Takes tokens whose prefill has ended off a resource's load.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
@@ -241,13 +325,13 @@
         slot.prefill_tokens -= tokens
         self.own_prefill_tokens[slot.resource] = max(0, self.own_prefill_tokens.get(slot.resource, 0) - tokens)
 
-    def release_slot(self, slot, now):
-        """Ends a slot; called by the slot itself.
+    def release_slot(self, slot: Slot, now: timedelta) -> None:
+        """Takes a slot off a resource's load; called by ``Slot.release``.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
         >>> counts = InFlightCounts(timedelta(seconds=3))
-        >>> counts.hook = lambda call: print(call.resource, call.duration)
+        >>> counts.callback = lambda call: print(call.resource, call.duration)
         >>> counts.release_slot(counts.acquire("r", buckets, start), start + timedelta(seconds=2))
         r 0:00:02
         """
@@ -258,50 +342,58 @@
         else:
             self.own.pop(slot.resource, None)
             self.own_prefill_tokens.pop(slot.resource, None)
-        self._tell(Call(slot.resource, slot.grant.count, now - slot.started_at, False, slot.timed_out))
+        self._report(Call(slot.resource, slot.grant.count, now - slot.started_at, False, slot.timed_out))
+
+    def _report(self, call: Call) -> None:
+        if self.callback:
+            self.callback(call)
 
-    def _tell(self, call):
-        if self.hook:
-            self.hook(call)
+    def on_update(self, update: InFlightUpdate, now: timedelta, names: Mapping[int, str]) -> None:
+        """Stores a peer's update, unless a newer one of the same instance is known.
 
-    def on_update(self, rec, now, names):
-        """Takes a peer's word; ``names`` turns a wire number into a resource.
+        Args:
+            update: The update.
+            now: When it was received.
+            names: Resource names by number; reports of other resources are dropped.
 
-        >>> c = InFlightCounts(timedelta(seconds=3)); c.on_update(InFlightUpdate("p", 1, 1, 1, [InFlightReport(7, 2, 0, 0, 0, 0, 0)], []), timedelta(0), {7: "r"})
-        >>> c.count("r", timedelta(0))
+        >>> counts = InFlightCounts(timedelta(seconds=3))
+        >>> reports = [InFlightReport(7, 2, 0, 0, 0, 0, 0)]
+        >>> counts.on_update(InFlightUpdate("p", 1, 1, 1, reports, []), timedelta(0), {7: "r"})
+        >>> counts.count("r", timedelta(0))
         2
         """
-        old = self.peers.get(rec.node)
-        if old and old.instance_id == rec.instance_id and rec.sequence <= old.sequence:
+        old = self.peers.get(update.node)
+        if old and old.instance_id == update.instance_id and update.sequence <= old.sequence:
             return
-        self.callers[rec.node, rec.instance_id] = now
-        held = {names[h.resource]: h.load() for h in rec.reports if h.resource in names}
-        self.peers[rec.node] = _Peer(rec.instance_id, rec.sequence, now, held, rec.fleet_size)
-        self._until = None
+        self.callers[update.node, update.instance_id] = now
+        loads = {names[report.resource]: report.load() for report in update.reports if report.resource in names}
+        self.peers[update.node] = _PeerCounts(update.instance_id, update.sequence, now, loads, update.fleet_size)
+        self._sum_valid_until = None
 
-    def note_callers(self, holders, now):
-        """Notes holders (key, life) that work though their words come only in sums.
+    def note_callers(self, callers: Iterable[tuple[str, int]], now: timedelta) -> None:
+        """Notes processes (HOST:PORT, instance id) that run though their counts arrive only in sums.
 
-        >>> c = InFlightCounts(timedelta(1)); c.note_callers([("p", 1)], timedelta(0)); c.processes(timedelta(0))
+        >>> counts = InFlightCounts(timedelta(1)); counts.note_callers([("p", 1)], timedelta(0))
+        >>> counts.processes(timedelta(0))
         2
         """
-        for h in holders:
-            self.callers[h] = now
+        for caller in callers:
+            self.callers[caller] = now
 
-    def drop_node(self, node, instance_id=None):
-        """A holder is known gone: its slots are free.
+    def drop_node(self, node: str, instance_id: int | None = None) -> None:
+        """Releases all slots of a node that has ended, unless it runs now as the instance given.
 
         >>> InFlightCounts(timedelta(1)).drop_node("p")
         """
         if node in self.peers and (instance_id is None or self.peers[node].instance_id != instance_id):
             del self.peers[node]
-            self._until = None
+            self._sum_valid_until = None
 
-    def processes(self, now, span=timedelta(seconds=60)):
-        """How many processes have called within a span, this one included.
+    def processes(self, now: timedelta, memory: timedelta = PROCESS_MEMORY) -> int:
+        """How many processes were active within ``memory``, this one included.
 
         >>> InFlightCounts(timedelta(1)).processes(timedelta(0))
         1
         """
-        self.callers = {k: t for k, t in self.callers.items() if now - t <= span}
+        self.callers = {caller: active_at for caller, active_at in self.callers.items() if now - active_at <= memory}
         return 1 + len(self.callers)
--- a/tests/router/test_frontend.py
+++ b/tests/router/test_frontend.py
@@ -278,7 +278,7 @@
 
     async def test_every_attempt_goes_through_the_buckets(self):
         seen = []
-        self.rig.know.counts.hook = seen.append
+        self.rig.know.counts.callback = seen.append
         self.script("shed", "ok")
         await self.rig.send("/once/x")
         self.assertEqual([c.throttled for c in seen], [False, False])
