--- a/sparloom/dynamic_timeout/counts.py
+++ b/sparloom/dynamic_timeout/counts.py
@@ -223,26 +223,26 @@
     peers: dict[str, _PeerCounts] = field(factory=dict)
     callers: dict[tuple[str, int], timedelta] = field(factory=dict)
     shared: dict[str, ResourceLoad] | None = None
-    _sum: dict[str, ResourceLoad] = field(factory=dict)
-    _sum_valid_until: timedelta | None = None
+    _total: dict[str, ResourceLoad] = field(factory=dict)
+    _total_valid_until: timedelta | None = None
 
     def _others(self, resource: str, now: timedelta) -> ResourceLoad:
         """The load of all other nodes at a resource."""
         if self.shared is not None:
             return self.shared.get(resource, NO_LOAD)
         # The sum is cached until an update arrives or the oldest one in it becomes stale.
-        if self._sum_valid_until is None or now > self._sum_valid_until:
-            self._sum_up(now)
-        return self._sum.get(resource, NO_LOAD)
+        if self._total_valid_until is None or now > self._total_valid_until:
+            self._aggregate_peers(now)
+        return self._total.get(resource, NO_LOAD)
 
-    def _sum_up(self, now: timedelta) -> None:
+    def _aggregate_peers(self, now: timedelta) -> None:
         fresh = [peer for peer in self.peers.values() if now - peer.received_at <= self.stale]
-        self._sum_valid_until = min((peer.received_at for peer in fresh), default=now) + self.stale
+        self._total_valid_until = min((peer.received_at for peer in fresh), default=now) + self.stale
         total: dict[str, ResourceLoad] = {}
         for peer in fresh:
             for resource, load in peer.loads.items():
                 total[resource] = tuple(map(add, total.get(resource, NO_LOAD), load))
-        self._sum = total
+        self._total = total
 
     def count(self, resource: str, now: timedelta) -> int:
         """Requests in flight at a resource across all nodes.
@@ -368,7 +368,7 @@
         self.callers[update.node, update.instance_id] = now
         loads = {names[report.resource]: report.load() for report in update.reports if report.resource in names}
         self.peers[update.node] = _PeerCounts(update.instance_id, update.sequence, now, loads, update.fleet_size)
-        self._sum_valid_until = None
+        self._total_valid_until = None
 
     def note_callers(self, callers: Iterable[tuple[str, int]], now: timedelta) -> None:
         """Notes processes (HOST:PORT, instance id) that run though their counts arrive only in sums.
@@ -387,7 +387,7 @@
         """
         if node in self.peers and (instance_id is None or self.peers[node].instance_id != instance_id):
             del self.peers[node]
-            self._sum_valid_until = None
+            self._total_valid_until = None
 
     def processes(self, now: timedelta, memory: timedelta = PROCESS_MEMORY) -> int:
         """How many processes were active within ``memory``, this one included.
