--- a/sparloom/discovery/endpoints.py
+++ b/sparloom/discovery/endpoints.py
@@ -1,20 +1,36 @@
-"""Reads the platform's pages and paces the calls."""
+"""Reads the platform's pages of runners and schedules the calls."""
 
 from __future__ import annotations
 
 from datetime import timedelta
+from typing import TYPE_CHECKING, Any
 
-from attrs import define, evolve, field
-from returns.result import Failure, Success
+from attrs import define, field
+from returns.result import Failure, Result, Success
 
 from sparloom.codec import Record, UInt16, UInt32, record
 
-READY, DRAINING = 0, 1
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+PERIODS_PER_DRAIN = 4
+# Calls are made at half the rate that the platform allows.
+RATE_MARGIN = 2
 
 
 @record(70)
 class Endpoint(Record):
-    """One life of a runner as the platform lists it."""
+    """A runner instance as the platform lists it.
+
+    Attributes:
+        id: Names this instance; a restarted runner has another one.
+        service: The service that it belongs to.
+        address: HOST:PORT for requests.
+        zone: Its failure domain, or empty.
+        slots: Requests that it runs at once; 0 where unknown.
+        draining: Whether it takes no new requests.
+        cold: For how many milliseconds it is still warming up; 0 when warm.
+    """
 
     id: str
     service: str
@@ -27,73 +43,94 @@
 
 @record(71)
 class EndpointList(Record):
-    """All runners, ordered by id; ``fleet_size``: how many routers share them."""
+    """All runners, ordered by id, and the number of routers that share them."""
 
     runners: list[Endpoint]
     fleet_size: UInt16
 
-    def differs_from(self, old):
-        """Whether anything but the passing of time has changed.
+    def differs_from(self, old: EndpointList | None) -> bool:
+        """Whether anything but the remaining warm-up times has changed.
 
         >>> EndpointList([], 1).differs_from(EndpointList([], 1))
         False
         """
-        return (
-            old is None
-            or self.fleet_size != old.fleet_size
-            or [*map(_plain, self.runners)] != [*map(_plain, old.runners)]
-        )
+        if old is None or self.fleet_size != old.fleet_size:
+            return True
+        return [*map(_comparable, self.runners)] != [*map(_comparable, old.runners)]
 
 
 @record(72)
 class EndpointDelta(Record):
-    """What makes one list of the next: lives that came or changed, and ids that went."""
+    """The change from one list to the next: runners added or changed, and ids of those removed."""
 
     fleet_size: UInt16
     updated: list[Endpoint]
     removed: list[str]
 
 
-def _plain(r):
-    return evolve(r, cold=int(bool(r.cold)))
+def _comparable(runner: Endpoint) -> Endpoint:
+    """The runner without its remaining warm-up time, which changes with every poll."""
+    if runner.cold <= 1:
+        return runner
+    return Endpoint(
+        runner.id, runner.service, runner.address, runner.zone, runner.slots, runner.draining, int(bool(runner.cold))
+    )
 
 
-def delta(old, new):
-    """The change from one list to the next; the passing of time is none.
+def delta(old: EndpointList, new: EndpointList) -> EndpointDelta:
+    """The change from one list to the next; a shorter remaining warm-up time alone is none.
 
-    >>> a = Endpoint("a", "s", "h:1", "z", 4, False, 0)
-    >>> delta(EndpointList([a], 1), EndpointList([], 2))
+    >>> runner = Endpoint("a", "s", "h:1", "z", 4, False, 0)
+    >>> delta(EndpointList([runner], 1), EndpointList([], 2))
     EndpointDelta(fleet_size=2, updated=[], removed=['a'])
     """
-    was, now = {r.id: r for r in old.runners}, {r.id: r for r in new.runners}
-    put = [r for r in new.runners if r.id not in was or _plain(was[r.id]) != _plain(r)]
-    return EndpointDelta(new.fleet_size, put, [i for i in was if i not in now])
+    before, now = _by_id(old.runners), _by_id(new.runners)
+    updated = [
+        runner
+        for runner in new.runners
+        if runner.id not in before or _comparable(before[runner.id]) != _comparable(runner)
+    ]
+    return EndpointDelta(new.fleet_size, updated, [id for id in before if id not in now])
 
 
-def apply_delta(old, change):
-    """The list that a change makes of another.
+def apply_delta(old: EndpointList, change: EndpointDelta) -> EndpointList:
+    """The list that results from applying a change to another.
 
     >>> apply_delta(EndpointList([], 1), EndpointDelta(2, [], ["a"]))
     EndpointList(runners=[], fleet_size=2)
     """
-    rows = {r.id: r for r in old.runners if r.id not in change.removed} | {r.id: r for r in change.updated}
-    return EndpointList([rows[k] for k in sorted(rows)], change.fleet_size)
+    kept = {runner.id: runner for runner in old.runners if runner.id not in change.removed}
+    return EndpointList(_ordered(kept | _by_id(change.updated)), change.fleet_size)
+
+
+def _by_id(runners: Iterable[Endpoint]) -> dict[str, Endpoint]:
+    return {runner.id: runner for runner in runners}
 
 
-def _runner(d):
+def _ordered(runners: dict[str, Endpoint]) -> list[Endpoint]:
+    return [runners[id] for id in sorted(runners)]
+
+
+def _endpoint(instance: dict[str, Any]) -> Endpoint:
+    """A runner from its JSON object; raises ``KeyError``, ``TypeError`` or ``ValueError``."""
     return Endpoint(
-        d["runnerId"],
-        d["service"],
-        d["address"],
-        d.get("zone", ""),
-        int(d.get("slots", 0)),
-        d.get("state") != "ready",
-        max(0, int(d.get("coldRemainingMs", 0))),
+        instance["runnerId"],
+        instance["service"],
+        instance["address"],
+        instance.get("zone", ""),
+        int(instance.get("slots", 0)),
+        instance.get("state") != "ready",
+        max(0, int(instance.get("coldRemainingMs", 0))),
     )
 
 
-def read_page(d):
-    """The runners of a page and the token of the next one, which must be named: null on the last.
+def read_page(document: Any) -> Result[tuple[list[Endpoint], str | None], str]:
+    """Reads a page of the platform's list.
+
+    Returns:
+        The runners and the token of the next page, None on the last one. The
+        token must be present, so that a truncated list isn't taken for a
+        complete one. A failure says what can't be read.
 
     >>> read_page({"instances": [], "nextPageToken": None}).unwrap()
     ([], None)
@@ -103,40 +140,49 @@
     "the platform's page can't be read: 'nextPageToken'"
     """
     try:
-        return Success(([_runner(i) for i in d["instances"]], d["nextPageToken"]))
-    except (KeyError, TypeError, ValueError) as e:
-        return Failure(f"the platform's page can't be read: {e}")
+        return Success(([_endpoint(instance) for instance in document["instances"]], document["nextPageToken"]))
+    except (KeyError, TypeError, ValueError) as error:
+        return Failure(f"the platform's page can't be read: {error}")
 
 
 @define(slots=True)
 class PageAssembler:
-    """Puts a list together from its pages.
+    """Assembles a list from its pages.
 
-    >>> p = PageAssembler(); p.add([], "t"), p.add([], None)
+    Attributes:
+        runners: Runners of the pages so far.
+        token: Names the page to request next; None: the first.
+
+    >>> pages = PageAssembler(); pages.add([], "t"), pages.add([], None)
     (None, EndpointList(runners=[], fleet_size=0))
     """
 
-    got: list = field(factory=list)
+    runners: list[Endpoint] = field(factory=list)
     token: str | None = None
 
-    def add(self, runners, token):
-        """Adds a page; gives the whole list after the last one.
+    def add(self, runners: list[Endpoint], token: str | None) -> EndpointList | None:
+        """Adds a page; returns the complete list after the last one.
 
         >>> PageAssembler().add([], None)
         EndpointList(runners=[], fleet_size=0)
         """
-        self.got += runners
+        self.runners += runners
         self.token = token
         if token is not None:
             return None
-        whole = {r.id: r for r in self.got}
-        self.got = []
-        return EndpointList([whole[k] for k in sorted(whole)], 0)
+        complete, self.runners = _by_id(self.runners), []
+        return EndpointList(_ordered(complete), 0)
 
 
 @define(slots=True)
 class PollSchedule:
-    """When the next call may be made: within the rate, and often enough for draining.
+    """When the next call may be made: within the rate limit, and often enough to notice draining.
+
+    Attributes:
+        period: From the first page of one list to that of the next.
+        minimum_interval: From one call to the next.
+        next_call: When the next call may be made.
+        round_started_at: When the first page of the current list was requested.
 
     >>> PollSchedule.of(40.0, timedelta(seconds=3)).period
     datetime.timedelta(microseconds=750000)
@@ -148,25 +194,31 @@
     round_started_at: timedelta = timedelta(0)
 
     @classmethod
-    def of(cls, rate, drain):
-        """A pace from the platform's rate and the time that draining may take.
+    def of(cls, rate: float, drain: timedelta) -> PollSchedule:
+        """A schedule from the platform's rate limit (calls per second) and the time that draining may take.
 
         >>> PollSchedule.of(1.0, timedelta(seconds=1)).period
         datetime.timedelta(seconds=2)
         """
-        least = timedelta(seconds=2 / rate)
-        return cls(max(drain / 4, least), least)
+        minimum = timedelta(seconds=RATE_MARGIN / rate)
+        return cls(max(drain / PERIODS_PER_DRAIN, minimum), minimum)
+
+    def on_response(self, now: timedelta, more_pages: bool, throttled: bool = False) -> None:
+        """Schedules the next call after one has ended.
 
-    def on_response(self, now, more, hard=False):
-        """A call ended: ``more`` pages follow, or it was turned away (``hard``).
+        Args:
+            now: When it ended.
+            more_pages: Whether more pages of the list follow.
+            throttled: Whether the platform rejected the call as over its rate limit.
 
-        >>> p = PollSchedule.of(40.0, timedelta(seconds=3)); p.on_response(timedelta(0), True); p.next_call
+        >>> schedule = PollSchedule.of(40.0, timedelta(seconds=3))
+        >>> schedule.on_response(timedelta(0), True)
+        >>> schedule.next_call
         datetime.timedelta(microseconds=50000)
         """
-        if more:
+        if more_pages:
             self.next_call = now + self.minimum_interval
             return
-        self.next_call = max(self.round_started_at + self.period, now + self.minimum_interval) + (
-            self.period if hard else timedelta(0)
-        )
+        backoff = self.period if throttled else timedelta(0)
+        self.next_call = max(self.round_started_at + self.period, now + self.minimum_interval) + backoff
         self.round_started_at = self.next_call
