--- a/sparloom/event_stream/__init__.py
+++ b/sparloom/event_stream/__init__.py
@@ -1,4 +1,4 @@
-"""Event streams: split into whole events, and taken up again without a gap or a double."""
+"""Server-sent events: splitting, and resuming a stream at another runner."""
 
 from .events import EventSplitter, ResumableStream, event_id
 
--- a/sparloom/event_stream/events.py
+++ b/sparloom/event_stream/events.py
@@ -1,76 +1,88 @@
-"""Splits a byte stream into events and keeps their thread across runners."""
+"""Splits server-sent events from bytes, and joins streams that are resumed at another runner."""
+
+from __future__ import annotations
 
 import re
 
 from attrs import define
 
-_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
+_END_OF_EVENT = re.compile(rb"\r\n\r\n|\n\n|\r\r")
 _ID = re.compile(rb"(?:^|[\r\n])id: ?([^\r\n]*)")
 
 
-def event_id(ev):
-    """The id of an event as text, or None.
+def event_id(event: bytes) -> str | None:
+    """The id of an event, or None.
 
     >>> event_id(b"id: 7\\ndata: x\\n\\n")
     '7'
     """
-    m = _ID.search(ev)
-    return m.group(1).decode("latin-1") if m else None
+    found = _ID.search(event)
+    return found.group(1).decode("latin-1") if found else None
 
 
 @define(slots=True)
 class EventSplitter:
-    """Cuts a stream at blank lines.
+    """Splits a byte stream at blank lines.
+
+    Attributes:
+        rest: Bytes of an event that is not complete yet.
 
-    >>> s = EventSplitter(); s.feed(b"id: 1\\n\\nid:"), s.rest
+    >>> splitter = EventSplitter()
+    >>> splitter.feed(b"id: 1\\n\\nid:"), splitter.rest
     ([b'id: 1\\n\\n'], b'id:')
     """
 
     rest: bytes = b""
 
-    def feed(self, raw):
-        """Takes bytes; gives the events that are now whole.
+    def feed(self, raw: bytes) -> list[bytes]:
+        """Adds bytes; returns the events that are complete now.
 
         >>> EventSplitter().feed(b"a\\n\\nb\\n\\n")
         [b'a\\n\\n', b'b\\n\\n']
         """
-        raw, out, at = self.rest + raw, [], 0
-        for m in _END.finditer(raw):
-            out.append(raw[at : m.end()])
-            at = m.end()
-        self.rest = raw[at:]
-        return out
+        raw, events, start = self.rest + raw, [], 0
+        for end in _END_OF_EVENT.finditer(raw):
+            events.append(raw[start : end.end()])
+            start = end.end()
+        self.rest = raw[start:]
+        return events
 
 
 @define(slots=True)
 class ResumableStream:
-    """Which events have gone to the requester; a later runner's are joined on.
+    """Which events the client has received, so that a later runner's stream continues after them.
+
+    Attributes:
+        last_event_id: The id of the last event forwarded.
+        has_gap: Whether an event is missing, so that the stream can't be continued.
+        step: The difference between successive numeric ids, once known.
 
-    >>> t = ResumableStream(); t.accept(b"id: 1\\n\\n"), t.last_event_id
+    >>> stream = ResumableStream()
+    >>> stream.accept(b"id: 1\\n\\n"), stream.last_event_id
     (True, '1')
-    >>> t.accept(b"id: 1\\n\\n"), t.accept(b"id: 2\\n\\n"), t.accept(b"id: 4\\n\\n"), t.has_gap
-    (False, True, False, True)
+    >>> [stream.accept(b"id: %d\\n\\n" % id) for id in (1, 2, 4)], stream.has_gap
+    ([False, True, False], True)
     """
 
     last_event_id: str | None = None
     has_gap: bool = False
     step: int | None = None
 
-    def accept(self, ev):
-        """Whether to pass an event on; sets ``has_gap`` when one is missing.
+    def accept(self, event: bytes) -> bool:
+        """Whether to forward an event; sets ``has_gap`` when one before it is missing.
 
         >>> ResumableStream().accept(b": note\\n\\n")
         True
         """
-        id = event_id(ev)
+        id = event_id(event)
         if id is None:
             return True
         if self.last_event_id is not None and id.isdigit() and self.last_event_id.isdigit():
-            gap = int(id) - int(self.last_event_id)
-            if gap <= 0:
+            difference = int(id) - int(self.last_event_id)
+            if difference <= 0:
                 return False
-            self.step = self.step or gap
-            if gap != self.step:
+            self.step = self.step or difference
+            if difference != self.step:
                 self.has_gap = True
                 return False
         elif id == self.last_event_id:
--- a/tests/event_stream/test_events.py
+++ b/tests/event_stream/test_events.py
@@ -1,4 +1,4 @@
-"""Events: whole, in order, once."""
+"""Server-sent events are split completely and forwarded in order, once each."""
 
 import random
 import unittest
@@ -6,36 +6,36 @@
 from sparloom.event_stream import EventSplitter, ResumableStream, event_id
 
 
-def stream(a, b):
-    return [b"id: %d\ndata: x%d\n\n" % (i, i) for i in range(a, b)]
+def stream(start, stop):
+    return [b"id: %d\ndata: x%d\n\n" % (i, i) for i in range(start, stop)]
 
 
 class Events(unittest.TestCase):
-    def test_any_cutting_of_the_bytes_gives_the_same_events(self):
-        evs = stream(1, 20)
-        raw = b"".join(evs)
+    def test_any_chunking_of_the_bytes_yields_the_same_events(self):
+        events = stream(1, 20)
+        raw = b"".join(events)
         for seed in range(50):
-            rng, s, out, at = random.Random(seed), EventSplitter(), [], 0
-            while at < len(raw):
-                n = rng.randrange(1, 30)
-                out += s.feed(raw[at : at + n])
-                at += n
-            self.assertEqual((out, s.rest), (evs, b""))
+            rng, splitter, received, start = random.Random(seed), EventSplitter(), [], 0
+            while start < len(raw):
+                size = rng.randrange(1, 30)
+                received += splitter.feed(raw[start : start + size])
+                start += size
+            self.assertEqual((received, splitter.rest), (events, b""))
 
     def test_line_ends_of_all_kinds(self):
         self.assertEqual(EventSplitter().feed(b"id:1\r\n\r\nid:2\n\n"), [b"id:1\r\n\r\n", b"id:2\n\n"])
         self.assertEqual(event_id(b"event: a\r\nid:9\r\n\r\n"), "9")
 
-    def test_a_resumed_stream_has_no_gap_and_no_double(self):
-        t = ResumableStream()
-        first = [e for e in stream(1, 6) if t.accept(e)]
-        again = [e for e in stream(4, 11) if t.accept(e)]
+    def test_a_resumed_stream_has_no_gap_and_no_duplicate(self):
+        resumable = ResumableStream()
+        first = [event for event in stream(1, 6) if resumable.accept(event)]
+        again = [event for event in stream(4, 11) if resumable.accept(event)]
         self.assertEqual(first + again, stream(1, 11))
-        self.assertFalse(t.has_gap)
-
-    def test_a_missing_event_breaks_the_thread(self):
-        t = ResumableStream()
-        [t.accept(e) for e in stream(1, 4)]
-        t.accept(stream(6, 7)[0])
-        self.assertTrue(t.has_gap)
-        self.assertEqual(t.last_event_id, "3")
+        self.assertFalse(resumable.has_gap)
+
+    def test_a_missing_event_is_a_gap(self):
+        resumable = ResumableStream()
+        [resumable.accept(event) for event in stream(1, 4)]
+        resumable.accept(stream(6, 7)[0])
+        self.assertTrue(resumable.has_gap)
+        self.assertEqual(resumable.last_event_id, "3")
