--- a/sparloom/retry/__init__.py
+++ b/sparloom/retry/__init__.py
@@ -1,4 +1,4 @@
-"""Further tries: what an ending proves, whether another attempt is allowed, the budget."""
+"""Retries: what the end of an attempt proves, whether a retry is allowed, and the retry budget."""
 
 from .budget import RetryBudget
 from .decision import GiveUp, Retry, RetryContext, next_step
--- a/sparloom/retry/budget.py
+++ b/sparloom/retry/budget.py
@@ -1,80 +1,116 @@
-"""This node's sure share of the fleet's budget for further arrivals."""
+"""This node's part of the fleet's retry budget."""
+
+from __future__ import annotations
 
 from collections import deque
 from datetime import timedelta
 
 from attrs import define, field
 
+TICKS_PER_WINDOW = 40
+# Fleet sizes are remembered over two windows, so that a node that joins doesn't stretch the sum.
+FLEET_SIZE_WINDOWS = 2
+
+
+@define(slots=True)
+class _Tick:
+    """Requests received within one tick, the resolution of the window."""
+
+    started_at: timedelta
+    count: int
+
 
 @define(slots=True)
 class RetryBudget:
-    """Further arrivals of one service within a sliding window.
+    """Retries of one service within a sliding window.
 
-    A node spends a part of ``ratio`` times the asks that it took itself, which
-    adds up over all nodes whoever they are, and an equal part of the slack.
-    A node that starts doesn't know what its former lives spent. So within its
-    first window it has only what the margin leaves of its part of the slack,
-    building up from nothing; then nothing of a former life is in the window
-    any more. The slack is shared among the most nodes told within two windows,
-    so one that joins doesn't stretch the sum.
+    A node spends ``margin`` of ``ratio`` times the requests that it received
+    itself, which adds up over all nodes whoever they are, and of an equal share
+    of the slack. A node that starts doesn't know what its earlier instances
+    spent: within its first window its share of the slack is only what the
+    margin leaves free, building up from nothing; after it nothing of an earlier
+    instance is in the window any more. The slack is shared among the largest
+    number of nodes seen within two windows, so that nodes that learn of a new
+    one at different times don't spend more than the whole.
 
-    >>> b = RetryBudget(timedelta(seconds=10), 0.2, 0, timedelta(0)); b.allows(timedelta(0), 1)
+    Attributes:
+        window: Length of the sliding window.
+        ratio: Retries per request received.
+        slack: Retries of the whole fleet beyond the ratio.
+        started_at: When this node's instance started.
+        margin: Part of the budget that is spent.
+        requests: Requests received within the window by tick, oldest first.
+        total: Requests within the window.
+        spent: When each retry within the window was sent, oldest first.
+        fleet_sizes: (when, number of nodes), oldest first.
+
+    >>> budget = RetryBudget(timedelta(seconds=10), 0.2, 0, timedelta(0))
+    >>> budget.allows(timedelta(0), 1)
     False
-    >>> b.on_request(timedelta(0), 20); b.allows(timedelta(0), 1)
+    >>> budget.on_request(timedelta(0), 20)
+    >>> budget.allows(timedelta(0), 1)
     True
     """
 
     window: timedelta
     ratio: float
     slack: float
-    born: timedelta
+    started_at: timedelta
     margin: float = 0.7
-    asks: deque = field(factory=deque)
+    requests: deque[_Tick] = field(factory=deque)
     total: int = 0
-    spent: deque = field(factory=deque)
-    crowd: deque = field(factory=deque)
+    spent: deque[timedelta] = field(factory=deque)
+    fleet_sizes: deque[tuple[timedelta, int]] = field(factory=deque)
 
-    def _trim(self, now):
-        while self.asks and now - self.asks[0][0] > self.window:
-            self.total -= self.asks.popleft()[1]
+    def _expire(self, now: timedelta) -> None:
+        while self.requests and now - self.requests[0].started_at > self.window:
+            self.total -= self.requests.popleft().count
         while self.spent and now - self.spent[0] > self.window:
             self.spent.popleft()
-        while self.crowd and now - self.crowd[0][0] > 2 * self.window:
-            self.crowd.popleft()
+        while self.fleet_sizes and now - self.fleet_sizes[0][0] > FLEET_SIZE_WINDOWS * self.window:
+            self.fleet_sizes.popleft()
 
-    def on_request(self, now, n=1):
-        """Counts asks taken from requesters.
+    def on_request(self, now: timedelta, count: int = 1) -> None:
+        """Counts requests received from clients.
 
-        >>> b = RetryBudget(timedelta(seconds=1), 0.2, 0, timedelta(0)); b.on_request(timedelta(0)); b.total
+        >>> budget = RetryBudget(timedelta(seconds=1), 0.2, 0, timedelta(0))
+        >>> budget.on_request(timedelta(0))
+        >>> budget.total
         1
         """
-        tick = self.window / 40
-        if self.asks and now - self.asks[-1][0] < tick:
-            self.asks[-1][1] += n
+        if self.requests and now - self.requests[-1].started_at < self.window / TICKS_PER_WINDOW:
+            self.requests[-1].count += count
         else:
-            self.asks.append([now, n])
-        self.total += n
+            self.requests.append(_Tick(now, count))
+        self.total += count
+
+    def _slack_share(self, now: timedelta, nodes: int) -> float:
+        newest = self.fleet_sizes[-1] if self.fleet_sizes else None
+        if newest is None or newest[1] != nodes or now - newest[0] > self.window / 10:
+            self.fleet_sizes.append((now, nodes))
+        largest = max(size for _, size in self.fleet_sizes)
+        age = (now - self.started_at) / self.window
+        return self.slack / (largest + 1) * (1.0 if age > 1 else age * (1 / self.margin - 1))
 
-    def _share(self, now, nodes):
-        if not self.crowd or self.crowd[-1][1] != nodes or now - self.crowd[-1][0] > self.window / 10:
-            self.crowd.append((now, nodes))
-        most = max(n for _, n in self.crowd)
-        age = (now - self.born) / self.window
-        return self.slack / (most + 1) * (1.0 if age > 1 else age * (1 / self.margin - 1))
+    def allows(self, now: timedelta, nodes: int) -> bool:
+        """Whether one more retry fits into the budget.
 
-    def allows(self, now, nodes):
-        """Whether one more arrival fits, with that many nodes about.
+        Args:
+            now: The current monotonic time.
+            nodes: The number of nodes among which the slack is divided, besides one in reserve.
 
         >>> RetryBudget(timedelta(seconds=10), 0.0, 40, timedelta(0)).allows(timedelta(seconds=10), 1)
         True
         """
-        self._trim(now)
-        return len(self.spent) + 1 <= self.margin * (self.ratio * self.total + self._share(now, nodes))
+        self._expire(now)
+        return len(self.spent) + 1 <= self.margin * (self.ratio * self.total + self._slack_share(now, nodes))
 
-    def spend(self, now):
-        """Counts a further arrival.
+    def spend(self, now: timedelta) -> None:
+        """Counts a retry that is being sent.
 
-        >>> b = RetryBudget(timedelta(seconds=1), 0.2, 0, timedelta(0)); b.spend(timedelta(0)); len(b.spent)
+        >>> budget = RetryBudget(timedelta(seconds=1), 0.2, 0, timedelta(0))
+        >>> budget.spend(timedelta(0))
+        >>> len(budget.spent)
         1
         """
         self.spent.append(now)
--- a/sparloom/retry/verdict.py
+++ b/sparloom/retry/verdict.py
@@ -1,4 +1,6 @@
-"""The verdict: whether a request may have run."""
+"""The verdict: whether a request may have run at a runner."""
+
+from __future__ import annotations
 
 from enum import Enum
 
@@ -6,31 +8,27 @@
 
 
 class Verdict(Enum):
-    """What is known of an attempt at a runner.
-
-    >>> Verdict.NOT_RUN.sure
-    True
-    """
+    """What is known of an attempt at a runner."""
 
     NOT_RUN = 0
     MAY_HAVE_RUN = 1
     RAN = 2
 
-    @property
-    def sure(self):
-        """Whether the request is known not to have run."""
-        return self is Verdict.NOT_RUN
-
 
 NOT_RUN, MAY_HAVE_RUN, RAN = Verdict
 
 
 @define(frozen=True, slots=True)
 class ResponseHead:
-    """The parts of a runner's answer that judge it.
-
-    ``attempt_id_matches``: it bears the attempt id of the request. ``without_attempt_id``: neither
-    the request nor the answer bears one.
+    """What is judged of the head of a runner's response.
+
+    Attributes:
+        status: The status code.
+        not_run: Whether it carries the header that promises that the request did not run.
+        sealed: Whether it carries the runner's seal.
+        attempt_id_matches: Whether it carries the attempt id of the request.
+        framed: Whether its body's end is marked by a length or by chunks.
+        without_attempt_id: Whether neither the request nor the response carries an id.
     """
 
     status: int
@@ -41,29 +39,35 @@
     without_attempt_id: bool = False
 
     @property
-    def belongs(self):
-        """Whether this is the answer to the request, and not one left over from another.
+    def belongs(self) -> bool:
+        """Whether this responds to the request, and not to an earlier one on the connection.
 
-        Only a 400 that turns away a request without an id may lack it.
+        Only a 400 that rejects a request without an id may lack it.
 
-        >>> ResponseHead(503, True, False, False, True).belongs, ResponseHead(400, True, False, False, True, without_attempt_id=True).belongs
-        (False, True)
+        >>> ResponseHead(503, True, False, False, True).belongs
+        False
+        >>> ResponseHead(400, True, False, False, True, without_attempt_id=True).belongs
+        True
         """
         return self.attempt_id_matches or self.without_attempt_id and self.status == 400 and self.not_run
 
 
-def judge_head(head):
-    """A verdict on the head of a runner's answer, and whether the answer may be passed on.
+def judge_head(head: ResponseHead) -> tuple[Verdict, bool]:
+    """The verdict on a runner's response, and whether the response may be forwarded.
 
-    An answer that doesn't belong to the request proves nothing of it, a
-    refusal no more than a success.
+    A response that doesn't belong to the request proves nothing about it, a
+    rejection no more than a success.
 
     >>> judge_head(ResponseHead(200, False, True, True, True))
     (<Verdict.RAN: 2>, True)
-    >>> judge_head(ResponseHead(503, True, False, True, True))[0], judge_head(ResponseHead(503, False, False, True, True))
-    (<Verdict.NOT_RUN: 0>, (<Verdict.MAY_HAVE_RUN: 1>, False))
-    >>> judge_head(ResponseHead(503, True, False, False, True)), judge_head(ResponseHead(421, False, False, False, True))
-    ((<Verdict.MAY_HAVE_RUN: 1>, False), (<Verdict.MAY_HAVE_RUN: 1>, False))
+    >>> judge_head(ResponseHead(503, True, False, True, True))
+    (<Verdict.NOT_RUN: 0>, False)
+    >>> judge_head(ResponseHead(503, False, False, True, True))
+    (<Verdict.MAY_HAVE_RUN: 1>, False)
+    >>> judge_head(ResponseHead(503, True, False, False, True))
+    (<Verdict.MAY_HAVE_RUN: 1>, False)
+    >>> judge_head(ResponseHead(421, False, False, False, True))
+    (<Verdict.MAY_HAVE_RUN: 1>, False)
     """
     if not head.belongs:
         return MAY_HAVE_RUN, False
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -235,7 +235,7 @@
         return refusal
 
     def _give_up(self, step, back=ZERO):
-        if self.out is not None or step.cut:
+        if self.out is not None or step.truncate:
             return self._cut()
         status = 502 if step.status == 503 and self.worst is not NOT_RUN else step.status
         self.outcome = Outcome.REFUSED if status == 503 else Outcome.FAILED
--- a/tests/retry/test_retry.py
+++ b/tests/retry/test_retry.py
@@ -1,4 +1,4 @@
-"""Verdicts, plans and the budget."""
+"""Verdicts, the decision to retry, and the retry budget."""
 
 import random
 import unittest
@@ -44,9 +44,9 @@
             self.assertEqual(judge_head(ResponseHead(status, False, False, True, True)), (MAY_HAVE_RUN, False))
 
 
-class Plans(unittest.TestCase):
-    def every(self):
-        for rep, mx, n, v, began, left, fits, others in product(
+class Decisions(unittest.TestCase):
+    def contexts(self):
+        for values in product(
             (True, False),
             (1, 2, 3),
             (0, 1, 2, 3),
@@ -56,25 +56,27 @@
             (True, False),
             (True, False),
         ):
-            yield RetryContext(rep, mx, n, v, began, left, fits, others)
+            yield RetryContext(*values)
 
-    def test_an_unsafe_ask_that_may_have_run_is_never_sent_again_nor_promised(self):
-        for p in self.every():
-            if not p.idempotent and p.verdict is not NOT_RUN:
-                step = next_step(p)
+    def test_a_request_that_is_not_idempotent_and_may_have_run_is_never_retried(self):
+        for context in self.contexts():
+            if not context.idempotent and context.verdict is not NOT_RUN:
+                step = next_step(context)
                 self.assertNotIsInstance(step, Retry)
                 self.assertNotIn(step.status, (408, 421, 429, 503))
 
     def test_caps_hold(self):
-        for p in self.every():
-            if isinstance(next_step(p), Retry):
-                self.assertTrue(p.attempts < p.max_attempts and p.within_budget and p.time_left > 0 * S)
+        for context in self.contexts():
+            if isinstance(next_step(context), Retry):
+                self.assertTrue(
+                    context.attempts < context.max_attempts and context.within_budget and context.time_left > 0 * S
+                )
 
-    def test_what_has_begun_is_cut_not_ended(self):
-        for p in self.every():
-            step = next_step(p)
-            if p.response_started and isinstance(step, GiveUp):
-                self.assertTrue(step.cut)
+    def test_a_started_response_is_truncated_not_ended(self):
+        for context in self.contexts():
+            step = next_step(context)
+            if context.response_started and isinstance(step, GiveUp):
+                self.assertTrue(step.truncate)
 
 
 class Fleet(unittest.TestCase):
@@ -109,7 +111,7 @@
             with self.subTest(seed=seed):
                 self.assertLessEqual(self.worst(seed), 0)
 
-    def test_lives_that_follow_each_other_do_not_add_up(self):
+    def test_successive_instances_do_not_add_up(self):
         """All are killed together at seconds 20, and again as told; each life spends all it may at its end."""
         for ends in ((20, 29.9), (20, 24, 29.9), (20, 22, 23, 25, 28, 29.9)):
             spent, born = 0, 0 * S
@@ -121,5 +123,5 @@
                 born = end * S
             self.assertLessEqual(spent, 56, ends)
 
-    def test_a_new_life_starts_without_slack(self):
+    def test_a_new_instance_starts_without_slack(self):
         self.assertFalse(RetryBudget(10 * S, 0.2, 52, 5 * S).allows(5 * S, 1))
