--- a/sparloom/load_balancing/__init__.py
+++ b/sparloom/load_balancing/__init__.py
@@ -1,4 +1,4 @@
-"""Which runner gets a request: where the prompt's parts are likely kept, within bounds of load."""
+"""Load balancing: prefers runners that probably cache the prompt's prefix, within bounds of load."""
 
 from .cached_prefixes import CachedPrefixes, parse_parts
 from .rank import Candidate, Weights, choose, is_heavy_prefill, rendezvous_weight
--- a/sparloom/load_balancing/cached_prefixes.py
+++ b/sparloom/load_balancing/cached_prefixes.py
@@ -1,77 +1,112 @@
-"""What a runner probably keeps, as told by what went to it."""
+"""An estimate of the prompt prefixes that a runner caches, from the prompts sent to it."""
+
+from __future__ import annotations
 
 from collections import OrderedDict
 from hashlib import blake2b
+from typing import TYPE_CHECKING
 
 from attrs import define, field
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Sequence
+
+PREFIX_BYTES = 8
+
+# A part of a prompt: the number of the prefix that ends with it, and its own length in tokens.
+Part = tuple[int, int]
+
 
-def parse_parts(text, key=b""):
-    """The parts of a prompt: (chain number, tokens) pairs; a part is kept only behind those before it.
+def parse_parts(text: str | None, key: bytes = b"") -> tuple[Part, ...]:
+    """The parts of a prompt, from the header that names them.
 
-    ``key``: numbers under different keys tell nothing of each other.
+    A part is cached only behind those before it, so each is identified by the
+    hash of the whole prefix that ends with it.
 
-    >>> [n for _, n in parse_parts("a:3,b:4")], parse_parts("a:3")[0] == parse_parts("a:3,b:4")[0]
+    Args:
+        text: ``ID:TOKENS`` items, separated by commas; None without the header.
+        key: Keys the hash; numbers under different keys can't be related.
+
+    Returns:
+        (prefix number, tokens) pairs; none where the text can't be parsed.
+
+    >>> [tokens for _, tokens in parse_parts("a:3,b:4")], parse_parts("a:3")[0] == parse_parts("a:3,b:4")[0]
     ([3, 4], True)
     >>> parse_parts("junk")
     ()
     """
-    out, chain = [], ""
+    parts, prefix = [], ""
     for item in (text or "").split(","):
-        id, _, n = item.strip().partition(":")
-        if not id or not n.isdigit():
+        id, _, tokens = item.strip().partition(":")
+        if not id or not tokens.isdigit():
             return ()
-        chain = f"{chain},{id}" if chain else id
-        out.append((int.from_bytes(blake2b(chain.encode(), digest_size=8, key=key).digest()), int(n)))
-    return tuple(out)
+        prefix = f"{prefix},{id}" if prefix else id
+        digest = blake2b(prefix.encode(), digest_size=PREFIX_BYTES, key=key).digest()
+        parts.append((int.from_bytes(digest), int(tokens)))
+    return tuple(parts)
 
 
 @define(slots=True)
 class CachedPrefixes:
-    """An estimate of one runner's kept parts, the longest unused given up first.
+    """An estimate of one runner's prefix cache, in which the least recently used part is evicted first.
+
+    Attributes:
+        capacity: Tokens that the runner can cache.
+        used: Tokens that it caches by this estimate.
+        prefixes: The length in tokens of each cached part, by prefix number,
+            the least recently used first.
 
-    >>> k = CachedPrefixes(10); k.add((("a", 6),)); k.prefill_tokens((("a", 6), ("a,b", 5)))
+    >>> cached = CachedPrefixes(10)
+    >>> cached.add((("a", 6),))
+    >>> cached.prefill_tokens((("a", 6), ("a,b", 5)))
     5
-    >>> k.add((("c", 9),)); k.prefill_tokens((("a", 6),))
+    >>> cached.add((("c", 9),))
+    >>> cached.prefill_tokens((("a", 6),))
     6
     """
 
     capacity: int
     used: int = 0
-    prefixes: OrderedDict = field(factory=OrderedDict)
+    prefixes: OrderedDict[int, int] = field(factory=OrderedDict)
 
-    def add(self, parts):
-        """Notes that a prompt went to the runner.
+    def add(self, parts: Iterable[Part]) -> None:
+        """Notes that a prompt was sent to the runner.
 
-        >>> k = CachedPrefixes(10); k.add((("a", 6),)); k.used
+        >>> cached = CachedPrefixes(10)
+        >>> cached.add((("a", 6),))
+        >>> cached.used
         6
         """
-        for key, n in parts:
-            self.used += n - self.prefixes.pop(key, 0)
-            self.prefixes[key] = n
+        for prefix, tokens in parts:
+            self.used += tokens - self.prefixes.pop(prefix, 0)
+            self.prefixes[prefix] = tokens
         while self.used > self.capacity and len(self.prefixes) > 1:
             self.used -= self.prefixes.popitem(last=False)[1]
 
-    def add_recalled(self, key, n):
-        """Notes a part that went to the runner before all that is known here.
+    def add_recalled(self, prefix: int, tokens: int) -> None:
+        """Notes a part that was sent to the runner before all that is known here, if there is capacity left.
 
-        >>> k = CachedPrefixes(10); k.add((("a", 6),)); k.add_recalled("b", 3); k.add_recalled("c", 3); list(k.prefixes)
+        >>> cached = CachedPrefixes(10)
+        >>> cached.add((("a", 6),))
+        >>> cached.add_recalled("b", 3)
+        >>> cached.add_recalled("c", 3)
+        >>> list(cached.prefixes)
         ['b', 'a']
         """
-        if key not in self.prefixes and self.used + n <= self.capacity:
-            self.used += n
-            self.prefixes[key] = n
-            self.prefixes.move_to_end(key, last=False)
+        if prefix not in self.prefixes and self.used + tokens <= self.capacity:
+            self.used += tokens
+            self.prefixes[prefix] = tokens
+            self.prefixes.move_to_end(prefix, last=False)
 
-    def prefill_tokens(self, parts):
-        """The tokens of a prompt that the runner would have to read.
+    def prefill_tokens(self, parts: Sequence[Part]) -> int:
+        """The tokens of a prompt that the runner would have to prefill.
 
         >>> CachedPrefixes(10).prefill_tokens((("a", 6),))
         6
         """
-        left = sum(n for _, n in parts)
-        for key, n in parts:
-            if key not in self.prefixes:
+        left = sum(tokens for _, tokens in parts)
+        for prefix, tokens in parts:
+            if prefix not in self.prefixes:
                 break
-            left -= n
+            left -= tokens
         return left
--- a/sparloom/load_balancing/rank.py
+++ b/sparloom/load_balancing/rank.py
@@ -1,20 +1,34 @@
-"""Orders the runners for one request."""
+"""Ranks the runners for one request."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from attrs import define
 
-MASK = (1 << 64) - 1
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+
+MASK_64 = (1 << 64) - 1
+# Odd multipliers that mix all bits, as in splitmix64.
+GOLDEN_GAMMA, MIX = 0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9
+MIX_SHIFT = 29
 
 
 @define(frozen=True, slots=True)
 class Weights:
-    """What the choice weighs, in prompt tokens where nothing else is said.
-
-    ``call``: one more call beside a request. ``even`` and ``spare``: a runner
-    with more calls than ``even`` times the mean and ``spare`` more counts them
-    twice. ``again``: how much more a token costs that another runner keeps
-    already. ``home``: how much a prefix that nobody is known to keep leans to
-    its home, in its own lengths. ``near``: a runner of the own zone. ``warm``:
-    an open idle connection.
+    """What the ranking weighs, in prompt tokens unless said otherwise.
+
+    Attributes:
+        call: The cost of one more request beside this one.
+        even: A runner with more requests than ``even`` times the mean, and
+            ``spare`` more, counts them twice.
+        spare: See ``even``; a number of requests.
+        recompute: How much more a token costs that another runner caches already; a factor.
+        home: How much a prefix that no runner is known to cache prefers its home; a
+            factor of its own length.
+        same_zone: The bonus of a runner in the router's zone.
+        warm: The bonus of a runner with an idle open connection.
 
     >>> Weights().call
     96
@@ -23,17 +37,27 @@
     call: int = 96
     even: float = 1.25
     spare: int = 4
-    again: float = 6.0
+    recompute: float = 6.0
     home: float = 1.5
-    near: int = 384
+    same_zone: int = 384
     warm: int = 384
 
 
 @define(slots=True)
 class Candidate:
-    """A runner as one request sees it; tokens measure work.
-
-    ``affinity_weight`` is the rendezvous weight of the prefix there.
+    """A runner as one request sees it.
+
+    Attributes:
+        id: The runner's instance id.
+        prefill_tokens: Tokens of this request that it would have to prefill.
+        queued_tokens: Tokens of other requests that await prefill there.
+        calls: Requests in flight there.
+        slots: Requests that it runs at once; 0 where unknown.
+        cold: Whether it is warming up.
+        suspicion: How strongly it is suspected to be unhealthy; 0: not at all.
+        same_zone: Whether it is in the router's zone.
+        warm: Whether a connection to it is open and idle.
+        affinity_weight: The rendezvous weight of the request's prefix there.
 
     >>> Candidate("a", 100).calls
     0
@@ -51,69 +75,86 @@
     affinity_weight: int = 0
 
 
-def rendezvous_weight(key, number):
+def rendezvous_weight(key: int, number: int) -> int:
     """The rendezvous weight of a prefix at a runner: the same on every router.
 
-    Both are spread evenly already (hashes); the product mixes them.
+    Source: Thaler, Ravishankar, "A Name-Based Mapping Scheme for Rendezvous".
+    Both arguments are 64-bit hashes already; the products mix them.
 
     >>> rendezvous_weight(1, 2) == rendezvous_weight(1, 2), rendezvous_weight(1, 2) == rendezvous_weight(1, 3)
     (True, False)
     """
-    x = ((key ^ number) * 0x9E3779B97F4A7C15) & MASK
-    return ((x ^ (x >> 29)) * 0xBF58476D1CE4E5B9) & MASK
+    mixed = ((key ^ number) * GOLDEN_GAMMA) & MASK_64
+    return ((mixed ^ (mixed >> MIX_SHIFT)) * MIX) & MASK_64
 
 
-def is_heavy_prefill(unread, room, slots):
-    """Whether a prompt has more to be read than a slot's share of the runner's memory.
+def is_heavy_prefill(prefill_tokens: int, capacity: int, slots: int) -> bool:
+    """Whether a prompt has more to prefill than one slot's share of the runner's cache.
 
-    Such a prompt is late whatever its place in the order, and everything that
-    waits behind it is late with it; so it lets the others go first.
+    Such a prompt misses its latency target wherever it is queued, and delays
+    everything behind it; so it gets a lower priority.
 
     >>> is_heavy_prefill(30000, 378959, 16), is_heavy_prefill(3000, 378959, 16), is_heavy_prefill(3000, 0, 16)
     (True, False, False)
     """
-    return room > 0 and unread * max(1, slots) > room
+    return capacity > 0 and prefill_tokens * max(1, slots) > capacity
 
 
 WEIGHTS = Weights()
 
+# Suspicion, full, cold, work in tokens, negative affinity: compared in this order.
+Cost = tuple[int, bool, bool, float, int]
+
+
+def choose(candidates: Sequence[Candidate], shared: int = 0, weights: Weights = WEIGHTS) -> list[Candidate]:
+    """The candidates in the order in which to try them.
 
-def choose(stands, shared=0, weights=WEIGHTS):
-    """The runners in the order in which to try them.
+    Work counts in tokens: those to prefill for this request, those queued
+    there, and a little for each request in flight. Prefilling again what
+    another runner caches costs extra, so a request waits a while at the runner
+    that caches its prefix before it is prefilled elsewhere. A prefix that no
+    runner is known to cache prefers its home, the runner with the greatest
+    rendezvous weight, on which all routers agree without communication.
 
-    Work counts in tokens: those to read for this request, those already waiting
-    there, and a little for each call that runs beside it. Reading again what
-    another runner keeps costs extra, so a request waits a while at the runner
-    that keeps its prefix before it is read anew elsewhere. A prefix that nobody
-    is known to keep leans to its home, the runner with the greatest rendezvous
-    weight: every router leans the same way without a word between them.
+    Suspected runners come last, before them full ones, and before these cold
+    ones. Among runners of similar work, those of the router's zone and those
+    with an open connection win.
 
-    Doubted and cold runners come last, and so do full ones. Among runners of
-    about the same work, near ones and those with an open connection win.
+    Args:
+        candidates: The runners, in any order.
+        shared: Length in tokens of the prompt's parts that other prompts may share.
+        weights: What the ranking weighs.
 
-    >>> [s.id for s in choose([Candidate("a", 100, queued_tokens=5000), Candidate("b", 100)])]
+    >>> [candidate.id for candidate in choose([Candidate("a", 100, queued_tokens=5000), Candidate("b", 100)])]
     ['b', 'a']
-    >>> [s.id for s in choose([Candidate("a", 100), Candidate("b", 100, same_zone=True)])]
+    >>> [candidate.id for candidate in choose([Candidate("a", 100), Candidate("b", 100, same_zone=True)])]
     ['b', 'a']
     """
-    if not stands:
-        return []
-    w = weights
-    most = w.even * sum(s.calls for s in stands) / len(stands) + w.spare
-    unread = [s.prefill_tokens for s in stands]
-    least = min(unread)
-    home = max(stands, key=lambda s: s.affinity_weight) if least == max(unread) else None
-
-    def cost(s):
-        work = s.prefill_tokens + s.queued_tokens + w.call * s.calls + w.again * (s.prefill_tokens - least)
-        if s is home:
-            work -= w.home * shared
-        if s.calls > most:
-            work += w.call * s.calls
-        if s.same_zone:
-            work -= w.near
-        if s.warm:
-            work -= w.warm
-        return s.suspicion, s.slots and s.calls >= s.slots, s.cold, work, -s.affinity_weight
-
-    return sorted(stands, key=cost)
+    return sorted(candidates, key=_cost(candidates, shared, weights)) if candidates else []
+
+
+def _cost(candidates: Sequence[Candidate], shared: int, weights: Weights) -> Callable[[Candidate], Cost]:
+    """The cost function by which some candidates are compared."""
+    calls_in_total = sum(candidate.calls for candidate in candidates)
+    overloaded_above = weights.even * calls_in_total / len(candidates) + weights.spare
+    prefills = [candidate.prefill_tokens for candidate in candidates]
+    minimum = min(prefills)
+    cached_nowhere = minimum == max(prefills)
+    home = max(candidates, key=lambda candidate: candidate.affinity_weight) if cached_nowhere else None
+
+    def cost(candidate: Candidate) -> Cost:
+        calls = candidate.calls
+        work: float = candidate.prefill_tokens + candidate.queued_tokens + weights.call * calls
+        work += weights.recompute * (candidate.prefill_tokens - minimum)
+        if candidate is home:
+            work -= weights.home * shared
+        if calls > overloaded_above:
+            work += weights.call * calls
+        if candidate.same_zone:
+            work -= weights.same_zone
+        if candidate.warm:
+            work -= weights.warm
+        full = candidate.slots > 0 and calls >= candidate.slots
+        return candidate.suspicion, full, candidate.cold, work, -candidate.affinity_weight
+
+    return cost
--- a/tests/load_balancing/test_rank.py
+++ b/tests/load_balancing/test_rank.py
@@ -8,15 +8,15 @@
 from tests.support.load_balancing_fleet import Fleet
 from tests.support.router_fixture import Rig
 
-PLAIN = Weights(again=0.6, home=1.0, near=48, warm=0)
+PLAIN = Weights(recompute=0.6, home=1.0, same_zone=48, warm=0)
 
 
-def order(*stands, shared=0):
-    return [s.id for s in choose(stands, shared)]
+def order(*candidates, shared=0):
+    return [candidate.id for candidate in choose(candidates, shared)]
 
 
 class Order(unittest.TestCase):
-    def test_a_prefix_waits_where_it_is_kept(self):
+    def test_a_prefix_waits_where_it_is_cached(self):
         self.assertEqual(
             order(Candidate("a", 3000, queued_tokens=40_000), Candidate("b", 16_000), shared=13_000), ["a", "b"]
         )
@@ -34,7 +34,7 @@
             ["b", "a"],
         )
 
-    def test_near_and_warm_runners_win_among_equals_only(self):
+    def test_runners_of_the_zone_and_warm_ones_win_among_equals_only(self):
         self.assertEqual(
             order(Candidate("a", 300), Candidate("b", 300, warm=True), Candidate("c", 300, same_zone=True, warm=True)),
             ["c", "b", "a"],
@@ -43,7 +43,7 @@
             order(Candidate("a", 300), Candidate("b", 300, queued_tokens=2000, same_zone=True, warm=True)), ["a", "b"]
         )
 
-    def test_full_cold_and_doubted_runners_come_last(self):
+    def test_full_cold_and_suspected_runners_come_last(self):
         self.assertEqual(
             order(
                 Candidate("a", 0, suspicion=1),
@@ -72,7 +72,7 @@
         cls.before = [Fleet(PLAIN, seed, yields=False).run() for seed in (1, 2)]
         cls.after = [Fleet(seed=seed).run() for seed in (1, 2)]
 
-    def test_shared_parts_are_seldom_read_again(self):
+    def test_shared_parts_are_seldom_prefilled_again(self):
         self.assertLess(sum(f.again for f in self.after), 0.6 * sum(f.again for f in self.before))
 
     def test_no_more_requests_are_late(self):
@@ -87,20 +87,20 @@
         for f in self.after:
             self.assertLess(f.spread(), 1.4)
 
-    def test_late_news_costs_little(self):
+    def test_late_updates_cost_little(self):
         f = Fleet(seed=1, late=0.5).run()
         self.assertLess(f.again, self.before[0].again)
         self.assertLess(f.late_share(True, 0.8), 0.15)
 
 
 class Sending(unittest.IsolatedAsyncioTestCase):
-    async def test_heavy_prompts_yield(self):
+    async def test_heavy_prompts_get_a_lower_priority(self):
         async with Rig(1) as rig:
             for n, want in ((1200, "0"), (1300, "1")):
                 await rig.send("/once/x", heads=[f"X-Sparloom-Prompt-Prefix: {n:x}:{n}"])
                 self.assertEqual(rig.runners[0].got[-1].head("X-Sparloom-Request-Urgency"), want)
 
-    async def test_a_runner_is_warm_while_a_connection_rests(self):
+    async def test_a_runner_is_warm_while_a_connection_is_idle(self):
         async with Rig(1) as rig:
             post = next(iter(rig.know.fleet.posts.values()))
             self.assertFalse(post.warm())
