--- a/sparloom/prefix_cache/__init__.py
+++ b/sparloom/prefix_cache/__init__.py
@@ -1,4 +1,4 @@
-"""Which runner keeps which long prefix, remembered for routers that start."""
+"""Which runner probably caches which long prefix, remembered for routers that start."""
 
 from .memory import PlacementQuery, PlacementTable, PrefixPlacements
 
