--- a/sparloom/isolation/__init__.py
+++ b/sparloom/isolation/__init__.py
@@ -1,4 +1,4 @@
-"""Keeps the prompts of members apart: which lives of runners may serve which member's prompt."""
+"""Tenant isolation: which runner instances may serve which member's prompt."""
 
 from .generation import COMMON, Generation, Isolation, part_ids
 from .settings import parse_isolation
--- a/sparloom/isolation/settings.py
+++ b/sparloom/isolation/settings.py
@@ -1,74 +1,107 @@
-"""Checks the section ``isolation`` of the startup file."""
+"""Parses the section ``isolation`` of the settings file."""
 
-from returns.result import Failure, Success
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from returns.result import Failure, Result, Success
+
+from sparloom.errors import SparloomError
 
 from .generation import COMMON, Generation, Isolation, part_ids
 
-LEAST_KEY_BYTES, MOST_KEY_BYTES = 16, 64
+if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence
+    from typing import Protocol
+
+    class DeclaredMember(Protocol):
+        """A member as the settings declare it."""
+
+        @property
+        def name(self) -> str:
+            """Its name."""
+            ...
 
+        @property
+        def reserve(self) -> float:
+            """Its reserved share of the capacity, from 0 to 1."""
+            ...
 
-class _Fault(Exception):
-    """Settings that can't be used; its text is the sentence to print."""
 
+MINIMUM_KEY_BYTES, MAXIMUM_KEY_BYTES = 16, 64
 
-def _key(value, where):
+
+class IsolationSettingsError(SparloomError):
+    """Isolation settings that can't be used; its text is the sentence to print."""
+
+
+def _key(value: Any, path: str) -> bytes:
     try:
         key = bytes.fromhex(value)
     except (TypeError, ValueError):
         key = b""
-    if not LEAST_KEY_BYTES <= len(key) <= MOST_KEY_BYTES:
-        raise _Fault(f"{where}.key must be {2 * LEAST_KEY_BYTES} to {2 * MOST_KEY_BYTES} hexadecimal digits.")
+    if not MINIMUM_KEY_BYTES <= len(key) <= MAXIMUM_KEY_BYTES:
+        raise IsolationSettingsError(
+            f"{path}.key must be {2 * MINIMUM_KEY_BYTES} to {2 * MAXIMUM_KEY_BYTES} hexadecimal digits."
+        )
     return key
 
 
-def _public(value, where):
+def _public(value: Any, path: str) -> frozenset[str]:
     if not isinstance(value, list):
-        raise _Fault(f"{where}.public must be a list of ids of parts.")
+        raise IsolationSettingsError(f"{path}.public must be a list of ids of parts.")
     ids = [part_ids(f"{id}:0") for id in value]
     if any(len(one) != 1 or one[0].endswith(":0") for one in ids):
-        raise _Fault(f"{where}.public must hold ids of parts, in hexadecimal digits.")
+        raise IsolationSettingsError(f"{path}.public must hold ids of parts, in hexadecimal digits.")
     return frozenset(one[0] for one in ids)
 
 
-def _weights(reserves, where):
-    """Each member's weight: its reserve, and an equal part of what is not reserved; the same part for the common rest."""
+def _weights(reserves: Mapping[str, float], path: str) -> tuple[tuple[str, float], ...]:
+    """Each member's weight: its reserve and an equal share of what is not reserved; that share alone for ``COMMON``."""
     spare = (1 - sum(reserves.values())) / (len(reserves) + 1)
     weights = {**{name: reserve + spare for name, reserve in reserves.items()}, COMMON: spare}
     without = [name or "no member" for name, weight in weights.items() if weight <= 0]
     if without:
-        raise _Fault(f"{where}: the reserves leave no runner to prompts of {', '.join(without)}.")
+        raise IsolationSettingsError(f"{path}: the reserves leave no runner to prompts of {', '.join(without)}.")
     return tuple(sorted(weights.items()))
 
 
-def _reserves(value, where):
+def _reserves(value: Any, path: str) -> dict[str, float]:
     if not isinstance(value, dict) or not value:
-        raise _Fault(f"{where}.members must be a table of the members' reserves as they were.")
+        raise IsolationSettingsError(f"{path}.members must be a table of the members' reserves as they were.")
     for name, reserve in value.items():
         if type(reserve) not in (int, float) or not 0 <= reserve <= 1:
-            raise _Fault(f"{where}.members.{name} must be a number from 0 to 1.")
+            raise IsolationSettingsError(f"{path}.members.{name} must be a number from 0 to 1.")
     return {name: float(reserve) for name, reserve in value.items()}
 
 
-def _generation(table, reserves, where):
-    key, public = _key(table.get("key"), where), _public(table.get("public", []), where)
+def _generation(table: Mapping[str, Any], reserves: Mapping[str, float], path: str) -> Generation:
+    key, public = _key(table.get("key"), path), _public(table.get("public", []), path)
     division = table.get("division", "")
     if not isinstance(division, str):
-        raise _Fault(f"{where}.division must be a text.")
-    return Generation(key, _weights(reserves, where), public, division)
+        raise IsolationSettingsError(f"{path}.division must be a text.")
+    return Generation(key, _weights(reserves, path), public, division)
 
 
-def _earlier(tables):
+def _earlier(tables: Any) -> list[Generation]:
     if not isinstance(tables, list) or not all(isinstance(table, dict) for table in tables):
-        raise _Fault("isolation.before must be a list of tables.")
-    places = [f"isolation.before[{number}]" for number in range(len(tables))]
+        raise IsolationSettingsError("isolation.before must be a list of tables.")
+    paths = [f"isolation.before[{number}]" for number in range(len(tables))]
     return [
-        _generation(table, _reserves(table.get("members"), where), where)
-        for table, where in zip(tables, places, strict=True)
+        _generation(table, _reserves(table.get("members"), path), path)
+        for table, path in zip(tables, paths, strict=True)
     ]
 
 
-def parse_isolation(table, members):
-    """Checks the optional section ``isolation``; ``members`` are the declared ones. Success of None where there is no section.
+def parse_isolation(table: Any, members: Sequence[DeclaredMember]) -> Result[Isolation | None, str]:
+    """Parses the optional section ``isolation``.
+
+    Args:
+        table: The section, or None where there is none.
+        members: The declared members.
+
+    Returns:
+        The isolation settings, None without a section, or a failure with the sentence to print.
 
     >>> from types import SimpleNamespace
     >>> one = SimpleNamespace(name="a", reserve=0.5)
@@ -88,5 +121,5 @@
     try:
         newest = _generation(table, {member.name: member.reserve for member in members}, "isolation")
         return Success(Isolation((newest, *_earlier(table.get("before", [])))))
-    except _Fault as fault:
-        return Failure(str(fault))
+    except IsolationSettingsError as error:
+        return Failure(str(error))
--- a/tests/isolation/test_isolation.py
+++ b/tests/isolation/test_isolation.py
@@ -34,16 +34,16 @@
     return Generation(draw(st.binary(min_size=16, max_size=64)), weights, frozenset(), draw(ids))
 
 
-def lives(numbers):
-    """Lives of runners, as far as ownership is concerned."""
+def instances(numbers):
+    """Runner instances, as far as ownership is concerned."""
     return [SimpleNamespace(id=f"i-{number}") for number in numbers]
 
 
 class Ownership(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(generations(), ids, st.sets(st.integers(0, 99), min_size=1))
-    def test_each_life_is_allowed_to_exactly_one_member(self, generation, part, numbers):
-        runners = lives(numbers)
+    def test_each_runner_instance_is_allowed_to_exactly_one_member(self, generation, part, numbers):
+        runners = instances(numbers)
         allowed = [r.id for member, _ in generation.weights for r in generation.allowed(member, (part,), runners)]
         self.assertEqual(sorted(allowed), sorted(r.id for r in runners))
 
@@ -51,15 +51,15 @@
     @given(generations(), ids, st.sets(st.integers(0, 99), min_size=1), st.sets(st.integers(0, 99)))
     def test_runners_that_come_and_go_move_nobody_elses_owner(self, generation, part, some, others):
         for member, _ in generation.weights:
-            here = {r.id for r in generation.allowed(member, (part,), lives(some))}
-            there = {r.id for r in generation.allowed(member, (part,), lives(some | others))}
-            self.assertEqual(here, there & {r.id for r in lives(some)})
+            here = {r.id for r in generation.allowed(member, (part,), instances(some))}
+            there = {r.id for r in generation.allowed(member, (part,), instances(some | others))}
+            self.assertEqual(here, there & {r.id for r in instances(some)})
 
     @settings(derandomize=True, deadline=None)
     @given(generations(), generations(), ids)
-    def test_routers_one_step_apart_never_send_two_members_to_one_life(self, old, new, part):
+    def test_routers_one_step_apart_never_send_two_members_to_one_instance(self, old, new, part):
         steps = [Isolation((old,)), Isolation((new, old)), Isolation((new,))]
-        runners = lives(range(40))
+        runners = instances(range(40))
         members = {member for member, _ in (*old.weights, *new.weights)}
         for one, two in ((0, 0), (0, 1), (1, 1), (1, 2), (2, 2)):
             owners = {}
@@ -72,7 +72,7 @@
     @given(generations(), st.binary(min_size=16, max_size=64), ids)
     def test_another_key_moves_no_owner(self, generation, key, part):
         other = Generation(key, generation.weights, generation.public, generation.division)
-        ids = [r.id for r in lives(range(40))]
+        ids = [r.id for r in instances(range(40))]
         self.assertEqual(generation.owners(part, ids), other.owners(part, ids))
 
     def test_members_get_their_weight_of_the_runners(self):
@@ -84,20 +84,21 @@
     def test_a_further_member_takes_runners_from_all_and_moves_none_between_the_others(self):
         old = Generation(b"k" * 32, (("", 0.2), ("a", 0.4), ("b", 0.4)))
         new = Generation(b"k" * 32, (("", 0.15), ("a", 0.3), ("b", 0.3), ("c", 0.25)))
-        lives = [f"i-{n}" for n in range(1000)]
-        moved = [(o, n) for o, n in zip(old.owners("5c", lives), new.owners("5c", lives), strict=True) if o != n]
-        self.assertEqual({n for _, n in moved}, {"c"})
-        self.assertEqual({o for o, _ in moved}, {"", "a", "b"})
+        runner_ids = [f"i-{number}" for number in range(1000)]
+        owners = zip(old.owners("5c", runner_ids), new.owners("5c", runner_ids), strict=True)
+        moved = [(before, after) for before, after in owners if before != after]
+        self.assertEqual({after for _, after in moved}, {"c"})
+        self.assertEqual({before for before, _ in moved}, {"", "a", "b"})
 
     def test_public_parts_and_prompts_without_parts_bind_to_no_runner(self):
         generation = Generation(b"k" * 32, (("", 0.5), ("a", 0.5)), frozenset(["aa"]))
-        runners = tuple(lives(range(9)))
+        runners = tuple(instances(range(9)))
         for prompt in (None, "", "AA:3", "0aa:3"):
             self.assertEqual(generation.allowed("a", part_ids(prompt), runners), runners)
         for prompt in ("aa:3,b:4", "b:4", "what is no prompt"):
             self.assertLess(len(generation.allowed("a", part_ids(prompt), runners)), len(runners))
 
-    def test_parts_are_told_under_another_number_for_each_member_and_key(self):
+    def test_parts_have_another_number_for_each_member_and_key(self):
         told = {
             parse_parts("5c1e:800", generation.part_key(member))[0][0]
             for generation in (Generation(b"k" * 32, ()), Generation(b"l" * 32, ()))
@@ -185,7 +186,7 @@
             self.assertGreater(min(len(a), len(b)), 20)
             self.assertEqual(a & b, set())
 
-    async def test_nothing_allowed_is_refused_at_once_with_a_time_to_come_back(self):
+    async def test_nothing_allowed_is_rejected_at_once_with_a_retry_after(self):
         async with Rig(1, ROUTES, APART) as rig:
             owner = rig.up.isolation.newest.owners("5c", ["i-0"])[0]
             rival = "a" if owner != "a" else "b"
@@ -193,7 +194,7 @@
             self.assertEqual((answer.status, rig.runners[0].got), (503, []))
             self.assertGreater(float(answer.heads["retry-after"]), 0)
 
-    async def test_a_second_try_stays_among_the_allowed_runners(self):
+    async def test_a_retry_stays_among_the_allowed_runners(self):
         async with Rig(8, ROUTES, APART) as rig:
             for number in range(30):
                 allowed = {
@@ -205,7 +206,7 @@
                 await self.ask(rig, "a", f"{number:x}:2000", "/resume/x", id=f"r{number}")
                 self.assertLessEqual({r.id for r in rig.runners if r.got}, allowed)
 
-    async def test_no_id_of_a_part_is_told_in_the_clear(self):
+    async def test_no_id_of_a_part_is_sent_in_the_clear(self):
         async with Rig(3, ROUTES, APART) as rig:
             with mock.patch.object(rig.know.tell, "sent") as told, mock.patch.object(rig.know.prefixes, "sent") as left:
                 for number in range(8):
