--- a/tests/load_balancing/test_rank.py
+++ b/tests/load_balancing/test_rank.py
@@ -76,8 +76,8 @@
         self.assertLess(sum(f.again for f in self.after), 0.6 * sum(f.again for f in self.before))
 
     def test_no_more_requests_are_late(self):
-        for long, aim in ((True, 0.8), (False, 0.4)):
-            now, then = (sum(f.late_share(long, aim) for f in fs) for fs in (self.after, self.before))
+        for long, target in ((True, 0.8), (False, 0.4)):
+            now, then = (sum(f.late_share(long, target) for f in fs) for fs in (self.after, self.before))
             self.assertLessEqual(now, then)
 
     def test_fewer_connections_are_opened(self):
--- a/tests/prefix_cache/test_memory.py
+++ b/tests/prefix_cache/test_memory.py
@@ -46,7 +46,7 @@
         self.assertTrue(know.known.is_set())
         self.assertEqual(know.fleet.posts["i7"].kept.prefill_tokens(((1, 2000),)), 0)
 
-    async def test_one_that_is_silent_is_asked_again_and_waited_for_a_moment_only(self):
+    async def test_an_unresponsive_controller_is_queried_again_and_awaited_briefly(self):
         p, know, out = router()
         know.up.bounds.contact = timedelta(milliseconds=30)
         p.ask()
@@ -56,7 +56,7 @@
         self.assertEqual([to for to, _ in out], [B])
         await asyncio.wait_for(know.known.wait(), 1)
 
-    async def test_what_is_told_counts_as_older_and_never_fills_more_than_the_room(self):
+    async def test_recalled_placements_count_as_older_and_never_exceed_the_capacity(self):
         p, know, _ = router()
         kept = know.fleet.posts["i7"].kept
         kept.add(((1, 4000),))
@@ -81,7 +81,7 @@
             p.beat(turn)
         self.assertEqual(out, [(A, PrefixPlacements([PrefixPlacement(7, 1, 2000)]))])
 
-    async def test_with_no_controller_about_the_batch_is_kept(self):
+    async def test_without_a_controller_the_batch_is_retained(self):
         p, know, out = router(())
         p.sent(know.fleet.posts["i7"], ((1, 2000),))
         p.beat(TURNS)
@@ -89,7 +89,7 @@
 
 
 class Disk(unittest.TestCase):
-    def test_all_that_was_told_is_there_after_a_start_and_torn_files_are_empty(self):
+    def test_placements_survive_a_restart_and_torn_files_are_empty(self):
         with tempfile.TemporaryDirectory() as d:
             sent = []
             one = PrefixSnapshots(d, lambda to, rec: sent.append(rec), 1.0)
--- a/tests/support/load_balancing_fleet.py
+++ b/tests/support/load_balancing_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet in simulated time: many routers choose over many runners, each knowing the others' calls late.
+"""A fleet in simulated time: many routers balance over many runners and learn each other's requests late.
 
-Runners are simple: a batch, a step that grows with what is read in it, prompts
-read in pieces by urgency, parts kept by last use. Figures are of no real
-engine; only the ways of choosing are compared by them.
+Runners are simple: continuous batching, a step that grows with its prefill,
+chunked prefill by priority, an LRU prefix cache. The figures are of no real
+engine; they only compare ways of load balancing.
 """
 
 import heapq
@@ -15,12 +15,12 @@
 from sparloom.load_balancing import CachedPrefixes, Candidate, choose, is_heavy_prefill, rendezvous_weight
 from sparloom.load_balancing.rank import WEIGHTS as DEFAULT_WEIGHTS
 
-SLOTS, CHUNK, SPEED, ROOM = 16, 1024, 50.0, 380_000
+SLOTS, CHUNK, PREFILL_TOKENS_PER_MS, CACHE_TOKENS = 16, 1024, 50.0, 380_000
 
 
 @define(eq=False)
 class Request:
-    """One request on its way; times in seconds, parts in tokens."""
+    """One request in flight; times in seconds, lengths in tokens."""
 
     at: float
     router: int
@@ -28,7 +28,7 @@
     parts: tuple
     out: int
     runner: int = -1
-    unread: int = 0
+    prefill_tokens: int = 0
     left: int = 0
     urgency: int = 0
     made: int = 0
@@ -42,36 +42,36 @@
 
 @define(eq=False)
 class Runner:
-    """An engine that reads and writes in steps."""
+    """An engine that prefills and decodes in steps."""
 
     number: int
     zone: int
-    kept: OrderedDict = field(factory=OrderedDict)
+    cached: OrderedDict = field(factory=OrderedDict)
     used: int = 0
     waits: list = field(factory=list)
     runs: list = field(factory=list)
     busy: bool = False
     calls: int = 0
 
-    def take(self, r):
-        """Takes a request; gives the shared parts that it has to read."""
-        unread, missed = [], False
+    def enqueue(self, r):
+        """Queues a request; returns the shared parts that need prefill."""
+        uncached, missed = [], False
         for part, n in r.parts:
-            missed = missed or part not in self.kept
+            missed = missed or part not in self.cached
             if missed:
-                unread.append((part, n))
-            self.used += n - self.kept.pop(part, 0)
-            self.kept[part] = n
-        while self.used > ROOM:
-            self.used -= self.kept.popitem(last=False)[1]
-        r.left = sum(n for _, n in unread)
+                uncached.append((part, n))
+            self.used += n - self.cached.pop(part, 0)
+            self.cached[part] = n
+        while self.used > CACHE_TOKENS:
+            self.used -= self.cached.popitem(last=False)[1]
+        r.left = sum(n for _, n in uncached)
         self.calls += 1
         self.waits.append(r)
-        return [p for p in unread if p[0] != r.parts[-1][0]]
+        return [p for p in uncached if p[0] != r.parts[-1][0]]
 
 
 class Fleet:
-    """The day: Poisson arrivals, uneven routers, counts told every 0.2 s, long parts after ``late`` s."""
+    """A day: Poisson arrivals, uneven routers, counts gossiped every 0.2 s, long parts after ``late`` s."""
 
     def __init__(
         self,
@@ -93,10 +93,10 @@
         self.zones, self.routers, self.span = zones, routers, span
         self.runners = [Runner(self.rng.getrandbits(64), i % zones) for i in range(runners)]
         grid = lambda: [[0] * runners for _ in range(routers)]
-        self.own, self.told, self.tokens, self.told_tokens = grid(), grid(), grid(), grid()
+        self.own, self.gossiped, self.tokens, self.gossiped_tokens = grid(), grid(), grid(), grid()
         self.sum, self.sum_tokens = [0] * runners, [0] * runners
-        self.heard = [CachedPrefixes(ROOM) for _ in range(runners)]
-        self.mine = [[CachedPrefixes(ROOM) for _ in range(runners)] for _ in range(routers)]
+        self.heard = [CachedPrefixes(CACHE_TOKENS) for _ in range(runners)]
+        self.mine = [[CachedPrefixes(CACHE_TOKENS) for _ in range(runners)] for _ in range(routers)]
         self.idle, self.opened, self.pairs = defaultdict(list), 0, set()
         self.read, self.again, self.done, self.events, self.turn = set(), 0, [], [], 0
         self._arrivals(prefixes, subjects, quick, long)
@@ -133,15 +133,18 @@
             ev[2](*ev[3])
         return self
 
-    def _tell(self, i):
-        for now, told, total in ((self.own, self.told, self.sum), (self.tokens, self.told_tokens, self.sum_tokens)):
-            for j, (n, old) in enumerate(zip(now[i], told[i])):
+    def _gossip(self, i):
+        for now, gossiped, total in (
+            (self.own, self.gossiped, self.sum),
+            (self.tokens, self.gossiped_tokens, self.sum_tokens),
+        ):
+            for j, (n, old) in enumerate(zip(now[i], gossiped[i])):
                 if n != old:
                     total[j] += n - old
-            told[i][:] = now[i]
+            gossiped[i][:] = now[i]
 
     def _beat(self, i):
-        self._tell(i)
+        self._gossip(i)
         self._at(self.now + 0.2, self._beat, i)
 
     def _warm(self, i, j):
@@ -149,12 +152,12 @@
 
     def _send(self, r):
         i = r.router
-        stands = [
+        candidates = [
             Candidate(
                 j,
                 min(self.mine[i][j].prefill_tokens(r.parts), self.heard[j].prefill_tokens(r.parts)),
-                self.sum_tokens[j] - self.told_tokens[i][j] + self.tokens[i][j],
-                self.sum[j] - self.told[i][j] + self.own[i][j],
+                self.sum_tokens[j] - self.gossiped_tokens[i][j] + self.tokens[i][j],
+                self.sum[j] - self.gossiped[i][j] + self.own[i][j],
                 SLOTS,
                 same_zone=u.zone == i % self.zones,
                 warm=self._warm(i, j),
@@ -162,12 +165,12 @@
             )
             for j, u in enumerate(self.runners)
         ]
-        best = choose(stands, sum(n for _, n in r.parts[:-1]), self.weights)[0]
-        r.runner, r.unread = best.id, best.prefill_tokens
+        best = choose(candidates, sum(n for _, n in r.parts[:-1]), self.weights)[0]
+        r.runner, r.prefill_tokens = best.id, best.prefill_tokens
         j = r.runner
-        r.urgency += self.yields and is_heavy_prefill(r.unread, ROOM, SLOTS)
+        r.urgency += self.yields and is_heavy_prefill(r.prefill_tokens, CACHE_TOKENS, SLOTS)
         self.own[i][j] += 1
-        self.tokens[i][j] += r.unread
+        self.tokens[i][j] += r.prefill_tokens
         self.mine[i][j].add(r.parts)
         if r.long:
             self._at(self.now + self.late, self.heard[j].add, r.parts[:1])
@@ -180,7 +183,7 @@
 
     def _arrive(self, r):
         u = self.runners[r.runner]
-        for part, n in u.take(r):
+        for part, n in u.enqueue(r):
             self.again += n * (part in self.read)
             self.read.add(part)
         if not u.busy:
@@ -194,16 +197,16 @@
         u.busy = bool(u.runs)
         if not u.runs:
             return
-        room, writing = CHUNK, [r for r in u.runs if not r.left]
+        budget, decoding = CHUNK, [r for r in u.runs if not r.left]
         for r in sorted(u.runs, key=lambda r: (r.urgency, r.at)):
-            n = min(room, r.left)
-            r.left, room = r.left - n, room - n
-        end = self.now + (5 + (CHUNK - room) / SPEED) / 1000
-        for r in writing:
+            n = min(budget, r.left)
+            r.left, budget = r.left - n, budget - n
+        end = self.now + (5 + (CHUNK - budget) / PREFILL_TOKENS_PER_MS) / 1000
+        for r in decoding:
             r.made += 1
             if r.made == 6:
                 r.first = end
-                self.tokens[r.router][r.runner] -= r.unread
+                self.tokens[r.router][r.runner] -= r.prefill_tokens
             if r.made == r.out:
                 u.runs.remove(r)
                 self._at(end, self._end, r)
@@ -215,13 +218,13 @@
         self.done.append(r)
 
     # -- what is measured ------------------------------------------------------
-    def late_share(self, long, aim):
-        """The share of requests of a kind whose first event came after the aim (s)."""
+    def late_share(self, long, target):
+        """The share of requests of a kind whose first event came after the latency target (s)."""
         some = [r for r in self.done if r.long is long]
-        return sum(r.first - r.at > aim for r in some) / len(some)
+        return sum(r.first - r.at > target for r in some) / len(some)
 
     def spread(self):
-        """Most calls at a runner over the mean."""
+        """Most requests at a runner over the mean."""
         return max(u.calls for u in self.runners) * len(self.runners) / sum(u.calls for u in self.runners)
 
     def opened_share(self):
