--- a/sparloom/feed/payload.py
+++ b/sparloom/feed/payload.py
@@ -69,7 +69,8 @@
     """The delta from one state to the next; None where no delta gives exactly the new state."""
     if topic == CONFIGURATION:
         return configuration.delta(cast("ConfigurationDocument", old), cast("ConfigurationDocument", new))
-    return cast("EndpointDelta", discovery.delta(cast("EndpointList", old), cast("EndpointList", new)))
+    delta: EndpointDelta = discovery.delta(cast("EndpointList", old), cast("EndpointList", new))
+    return delta
 
 
 def decode_payload(topic: int, payload: bytes) -> Any:
@@ -120,7 +121,8 @@
         return _patched(cast("ConfigurationDocument", old), content)
     if not isinstance(content, discovery.EndpointDelta):
         raise PayloadError(f"found {type(content).__name__}, expected EndpointDelta")
-    return cast("EndpointList", discovery.apply_delta(cast("EndpointList", old), content))
+    new: EndpointList = discovery.apply_delta(cast("EndpointList", old), content)
+    return new
 
 
 def _snapshot(content: object, expected: type[Any]) -> State:
--- a/sparloom/transport/sockets.py
+++ b/sparloom/transport/sockets.py
@@ -69,7 +69,7 @@
     True
     >>> sock.close()
     """
-    sock = cast("socket.socket", take(address.host, address.port))
+    sock: socket.socket = take(address.host, address.port)
     tune(sock)
     return sock
 
