--- a/sparloom/cli.py
+++ b/sparloom/cli.py
@@ -11,7 +11,7 @@
 from sparloom import __version__
 from sparloom import metrics as meter
 from sparloom.launch.bytecode_archive import release
-from sparloom.settings import read, where
+from sparloom.settings import read, startup_path
 
 
 def _log():
@@ -38,7 +38,7 @@
 
 def run(name, config=None):
     """Reads the startup file and serves; gives the exit status."""
-    path = config or where()
+    path = config or startup_path()
     up = read(path)
     if up.value_or(None) is None:
         _say(f"{name}: {up.failure()}")
--- a/sparloom/controller/consensus_service.py
+++ b/sparloom/controller/consensus_service.py
@@ -64,7 +64,7 @@
         control = str(up.listen.control or "")
         me = Member(id, up.ip, self.port, up.zone, control)
         spans = ConsensusTiming.of(up.bounds.contact)
-        copies = up.tolerated.copies
+        copies = up.tolerated.backups
         self.ledger = ConsensusMember.start(me, kept, first_start, spans, rng, copies, genesis, monotonic())
         peer = Peer(self.key, CONTROLLER, up.zone, control, int.from_bytes(os.urandom(7)), 0, 0)
         self.swim = Swim(peer, self.seeds, SwimTiming.of(up.bounds.contact), rng)
--- a/sparloom/settings/__init__.py
+++ b/sparloom/settings/__init__.py
@@ -1,18 +1,7 @@
-"""The startup (settings) file of a process: read, checked, reread."""
+"""The settings of a process: its startup file, read and checked."""
 
-from .checks import (
-    Address,
-    Bounds,
-    CloudApi,
-    Limits,
-    ListenAddresses,
-    Settings,
-    ToleratedLosses,
-    from_dict,
-    read,
-    read_toml,
-    where,
-)
+from .checks import SettingsError, from_dict, read, read_toml, startup_path
+from .model import Address, Bounds, CloudApi, Limits, ListenAddresses, Settings, ToleratedLosses
 
 __all__ = [
     "Address",
@@ -21,9 +10,10 @@
     "Limits",
     "ListenAddresses",
     "Settings",
+    "SettingsError",
     "ToleratedLosses",
     "from_dict",
     "read",
     "read_toml",
-    "where",
+    "startup_path",
 ]
--- a/sparloom/settings/checks.py
+++ b/sparloom/settings/checks.py
@@ -1,135 +1,41 @@
-"""Reads the startup file and says in one sentence what is wrong with it."""
+"""Reads the startup file; what is wrong with it is said in one sentence."""
+
+from __future__ import annotations
 
 import os
 import tomllib
 from datetime import timedelta
 from math import ceil, floor, isfinite
+from typing import TYPE_CHECKING, Any, TypeVar
 
-from attrs import define, field
 from returns.result import Failure, Result, Success
 
 from sparloom import isolation
 from sparloom.admission.member import parse_members
-from sparloom.isolation import Isolation
-
-VARIABLE = "SPARLOOM_CONFIG"
-DEFAULT = "/etc/sparloom/node.toml"
-HIGHEST_PORT = 65535
-
-
-@define(frozen=True, slots=True)
-class Address:
-    """A host and a port.
-
-    >>> str(Address("10.0.0.1", 80))
-    '10.0.0.1:80'
-    """
-
-    host: str
-    port: int
-
-    def __str__(self):
-        return f"{self.host}:{self.port}"
-
-
-@define(frozen=True, slots=True)
-class ListenAddresses:
-    """Where the process serves; a part that it does not serve is None."""
-
-    front: Address | None = None
-    readiness: Address | None = None
-    control: Address | None = None
-
-
-@define(frozen=True, slots=True)
-class Limits:
-    """What the machine grants to this process."""
-
-    memory_mb: int = 256
-    descriptors: int = 1024
-
-
-@define(frozen=True, slots=True)
-class ToleratedLosses:
-    """What may be lost at once while every promise still holds."""
-
-    machines: int = 0
-    zones: int = 0
-    regions: int = 0
-
-    @property
-    def copies(self):
-        """How many backups a write needs besides its primary.
-
-        >>> ToleratedLosses(machines=1).copies
-        1
-        """
-        return max(self.machines, self.zones, self.regions)
-
-
-@define(frozen=True, slots=True)
-class Bounds:
-    """The figures in force; defaults stand where the file names none."""
+from sparloom.errors import SparloomError
 
-    contact: timedelta = timedelta(milliseconds=3000)
-    acknowledge: timedelta = timedelta(milliseconds=4000)
-    drain: timedelta = timedelta(milliseconds=3000)
-    grace: timedelta = timedelta(seconds=8)
-    config_apply: timedelta = timedelta(milliseconds=2000)
-    budget_window: timedelta = timedelta(seconds=10)
-    budget_ratio: float = 0.2
-    budget_slack: float = 10
-    pass_time: timedelta = timedelta(milliseconds=120)
-    recovery: timedelta = timedelta(seconds=12)
+from .model import Address, Bounds, CloudApi, Limits, ListenAddresses, Settings, ToleratedLosses
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
-@define(frozen=True, slots=True)
-class CloudApi:
-    """Where the platform lists its runners, and how often it may be asked."""
+    from sparloom.admission.member import Member
+    from sparloom.isolation import Isolation
 
-    address: Address
-    rate: float = 1.0
-    lag: timedelta = timedelta(0)
+    Table = dict[str, Any]
 
+VARIABLE = "SPARLOOM_CONFIG"
+DEFAULT = "/etc/sparloom/node.toml"
+HIGHEST_PORT = 65535
 
-@define(frozen=True, slots=True)
-class Settings:
-    """All that a process is told when it starts."""
-
-    node: str
-    role: str
-    ip: str
-    zone: str
-    ports: tuple
-    seeds: tuple
-    listen: ListenAddresses
-    zones: dict = field(factory=dict)
-    first_start: bool = False
-    counted: bool = False
-    data: str | None = None
-    limits: Limits = field(factory=Limits)
-    tolerated: ToleratedLosses = field(factory=ToleratedLosses)
-    bounds: Bounds = field(factory=Bounds)
-    cloud: CloudApi | None = None
-    members: tuple = ()
-    isolation: Isolation | None = None
-
-    @property
-    def controller_port(self):
-        """The internal port of controllers: the first of the range."""
-        return self.ports[0]
-
-    @property
-    def router_port(self):
-        """The internal port of routers: the second of the range."""
-        return self.ports[0] + 1
+_Value = TypeVar("_Value")
 
 
-class SettingsError(Exception):
-    """A startup file that can't be used; its text is the sentence to print."""
+class SettingsError(SparloomError):
+    """A startup file that cannot be used; the text is the sentence to print."""
 
 
-_KINDS = {
+_KINDS: dict[type, str] = {
     str: "a text",
     int: "a whole number",
     float: "a number",
@@ -139,17 +45,26 @@
 }
 
 
-def _get(table, path, kind, default=None, needed=False):
-    """The value at a dotted path, of exactly this kind; whole numbers also serve as fractions."""
-    keys, value = path.split("."), table
-    for key in keys:
+def _find(table: Table, path: str) -> Any:
+    """The value at a dotted path; None where there is none."""
+    value: Any = table
+    for key in path.split("."):
         if not isinstance(value, dict):
-            raise SettingsError(f"{path} can't be read: {keys[0]} must be a table.")
+            raise SettingsError(f"{path} can't be read: {path.split('.')[0]} must be a table.")
         value = value.get(key)
         if value is None:
-            if needed:
-                raise SettingsError(f"{path} is missing.")
-            return default
+            return None
+    return value
+
+
+def _optional(table: Table, path: str, kind: type[_Value]) -> _Value | None:
+    """The value at a dotted path, of exactly this kind; None where there is none.
+
+    A whole number also serves as a fraction.
+    """
+    value = _find(table, path)
+    if value is None:
+        return None
     if kind is float and type(value) is int:
         value = float(value)
     if type(value) is not kind:
@@ -157,19 +72,31 @@
     return value
 
 
-def _is_port(value):
+def _get(table: Table, path: str, kind: type[_Value], default: _Value) -> _Value:
+    value = _optional(table, path, kind)
+    return default if value is None else value
+
+
+def _required(table: Table, path: str, kind: type[_Value]) -> _Value:
+    value = _optional(table, path, kind)
+    if value is None:
+        raise SettingsError(f"{path} is missing.")
+    return value
+
+
+def _is_port(value: Any) -> bool:
     return type(value) is int and 0 < value <= HIGHEST_PORT
 
 
-def _address(value, path):
+def _address(value: Any, path: str) -> Address:
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not host or not port.isdigit() or not _is_port(int(port)):
         raise SettingsError(f"{path} must be HOST:PORT.")
     return Address(host, int(port))
 
 
-def _figure(table, path, default):
-    """A whole number or a fraction, as it stands; the operators write either."""
+def _number(table: Table, path: str, default: float) -> float:
+    """A finite number from 0 on, whole or a fraction: the operators write either."""
     value = _get(table, path, float, default)
     if value < 0:
         raise SettingsError(f"{path} must not be negative.")
@@ -178,106 +105,117 @@
     return value
 
 
-def _span(table, path, unit, default):
-    given = _get(table, path, float) is not None
-    return timedelta(**{unit: _figure(table, path, 0.0)}) if given else default
+def _milliseconds(table: Table, path: str, default: timedelta) -> timedelta:
+    is_given = _optional(table, path, float) is not None
+    return timedelta(milliseconds=_number(table, path, 0.0)) if is_given else default
+
 
+def _seconds(table: Table, path: str, default: timedelta) -> timedelta:
+    is_given = _optional(table, path, float) is not None
+    return timedelta(seconds=_number(table, path, 0.0)) if is_given else default
 
-def _count(table, path, default=0, whole=floor):
-    """A figure that counts things: a fraction of one is rounded to the safe side."""
-    return whole(_figure(table, path, default))
 
+def _count(table: Table, path: str, rounded: Callable[[float], int], default: int = 0) -> int:
+    """A number of things; ``rounded`` takes a fraction to the safe side."""
+    return rounded(_number(table, path, default))
 
-def _ports(table):
-    ports = _get(table, "internalPortRange", list, needed=True)
+
+def _ports(table: Table) -> tuple[int, int]:
+    ports = _required(table, "internalPortRange", list)
     if len(ports) != 2 or not all(map(_is_port, ports)) or ports[1] <= ports[0]:
         raise SettingsError("internalPortRange must be two rising port numbers.")
-    return tuple(ports)
+    first, last = ports
+    return first, last
 
 
-def _seeds(table):
-    return tuple(_address(seed, "seedNodes") for seed in _get(table, "seedNodes", list, needed=True))
+def _seeds(table: Table) -> tuple[Address, ...]:
+    return tuple(_address(seed, "seedNodes") for seed in _required(table, "seedNodes", list))
 
 
-def _listen(table):
-    given = _get(table, "listenAddresses", dict, {})
+def _listen(table: Table) -> ListenAddresses:
+    given: Table = _get(table, "listenAddresses", dict, {})
     names = [name for name in ("front", "readiness", "control") if name in given]
     return ListenAddresses(**{name: _address(given[name], f"listenAddresses.{name}") for name in names})
 
 
-def _limits(table):
+def _limits(table: Table) -> Limits:
+    default = Limits()
     return Limits(
-        memory_mb=_count(table, "limits.memoryMb", Limits().memory_mb),
-        descriptors=_count(table, "limits.fileDescriptors", Limits().descriptors),
+        memory_mb=_count(table, "limits.memoryMb", floor, default.memory_mb),
+        descriptors=_count(table, "limits.fileDescriptors", floor, default.descriptors),
     )
 
 
-def _tolerated(table):
+def _tolerated(table: Table) -> ToleratedLosses:
     return ToleratedLosses(
-        machines=_count(table, "toleratedLosses.machines", whole=ceil),
-        zones=_count(table, "toleratedLosses.zones", whole=ceil),
-        regions=_count(table, "toleratedLosses.regions", whole=ceil),
+        machines=_count(table, "toleratedLosses.machines", ceil),
+        zones=_count(table, "toleratedLosses.zones", ceil),
+        regions=_count(table, "toleratedLosses.regions", ceil),
     )
 
 
-def _bounds(table):
-    std = Bounds()
+def _bounds(table: Table) -> Bounds:
+    default = Bounds()
     return Bounds(
-        contact=_span(table, "bounds.contactMs", "milliseconds", std.contact),
-        acknowledge=_span(table, "bounds.acknowledgeMs", "milliseconds", std.acknowledge),
-        drain=_span(table, "bounds.drainMs", "milliseconds", std.drain),
-        grace=_span(table, "bounds.graceS", "seconds", std.grace),
-        config_apply=_span(table, "bounds.configApplyMs", "milliseconds", std.config_apply),
-        budget_window=_span(table, "bounds.budgetWindowS", "seconds", std.budget_window),
-        budget_ratio=_figure(table, "bounds.retryBudgetRatio", std.budget_ratio),
-        budget_slack=_figure(table, "bounds.retryBudgetSlack", std.budget_slack),
-        pass_time=_span(table, "bounds.passMs", "milliseconds", std.pass_time),
-        recovery=_span(table, "bounds.recoveryS", "seconds", std.recovery),
+        contact=_milliseconds(table, "bounds.contactMs", default.contact),
+        acknowledge=_milliseconds(table, "bounds.acknowledgeMs", default.acknowledge),
+        drain=_milliseconds(table, "bounds.drainMs", default.drain),
+        grace=_seconds(table, "bounds.graceS", default.grace),
+        config_apply=_milliseconds(table, "bounds.configApplyMs", default.config_apply),
+        budget_window=_seconds(table, "bounds.budgetWindowS", default.budget_window),
+        budget_ratio=_number(table, "bounds.retryBudgetRatio", default.budget_ratio),
+        budget_slack=_number(table, "bounds.retryBudgetSlack", default.budget_slack),
+        pass_time=_milliseconds(table, "bounds.passMs", default.pass_time),
+        recovery=_seconds(table, "bounds.recoveryS", default.recovery),
     )
 
 
-def _cloud(table):
-    """Where the platform's list is, or None where there is none; the rate is checked in any case."""
+def _cloud(table: Table) -> CloudApi | None:
+    """Where the platform lists its runners; None where there is no list. The rate is checked in any case."""
     rate = _get(table, "cloudApi.ratePerS", float, 1.0)
     if rate <= 0:
         raise SettingsError("cloudApi.ratePerS must be above 0.")
-    address = _get(table, "cloudApi.address", str)
+    address = _optional(table, "cloudApi.address", str)
     if not address:
         return None
-    lag = _span(table, "cloudApi.lagMs", "milliseconds", timedelta(0))
+    lag = _milliseconds(table, "cloudApi.lagMs", timedelta(0))
     return CloudApi(_address(address, "cloudApi.address"), rate, lag)
 
 
-def _members(table):
-    given = parse_members(table.get("members", {}))
-    if not isinstance(given, Success):
-        raise SettingsError(given.failure())
-    return given.unwrap()
+def _unwrapped(result: Result[_Value, str]) -> _Value:
+    """The value of a section that another package has checked."""
+    if not isinstance(result, Success):
+        raise SettingsError(result.failure())
+    value: _Value = result.unwrap()
+    return value
+
 
+def _members(table: Table) -> tuple[Member, ...]:
+    members: tuple[Member, ...] = _unwrapped(parse_members(table.get("members", {})))
+    return members
 
-def _isolation(table, members):
-    given = isolation.declared(table.get("isolation"), members)
-    if not isinstance(given, Success):
-        raise SettingsError(given.failure())
-    return given.unwrap()
 
+def _isolation(table: Table, members: tuple[Member, ...]) -> Isolation | None:
+    declared: Isolation | None = _unwrapped(isolation.declared(table.get("isolation"), members))
+    return declared
 
-def _build(table):
+
+def _build(table: Table) -> Settings:
     ports = _ports(table)
     cloud = _cloud(table)
     members = _members(table)
     return Settings(
-        node=_get(table, "nodeName", str, needed=True),
+        node=_required(table, "nodeName", str),
         role=_get(table, "role", str, ""),
-        ip=_get(table, "ipAddress", str, needed=True),
+        ip=_required(table, "ipAddress", str),
         zone=_get(table, "zone", str, ""),
         ports=ports,
         seeds=_seeds(table),
         listen=_listen(table),
         zones=_get(table, "zones", dict, {}),
         first_start=_get(table, "firstStart", bool, False),
-        counted=_get(table, "lossCounted", bool, False),
-        data=_get(table, "dataDirectory", str),
+        loss_counted=_get(table, "lossCounted", bool, False),
+        data=_optional(table, "dataDirectory", str),
         limits=_limits(table),
         tolerated=_tolerated(table),
         bounds=_bounds(table),
@@ -287,30 +225,43 @@
     )
 
 
-def from_dict(table):
-    """Checks a parsed startup file.
+def from_dict(table: Table) -> Result[Settings, str]:
+    """Checks a parsed startup file; a Failure holds the sentence about its first fault.
 
+    Examples
+    --------
     >>> from_dict({}).failure()
     'internalPortRange is missing.'
     """
     try:
         return Success(_build(table))
-    except SettingsError as e:
-        return Failure(str(e))
+    except SettingsError as error:
+        return Failure(str(error))
 
 
-def where():
-    """The path of the startup file.
+def startup_path() -> str:
+    """The path of the startup file: that in ``SPARLOOM_CONFIG``, or the usual one.
 
-    >>> where().endswith(".toml")
+    Examples
+    --------
+    >>> startup_path().endswith(".toml")
     True
     """
     return os.environ.get(VARIABLE, DEFAULT)
 
 
-def read_toml(path, what) -> Result:
-    """Reads a TOML file; ``what`` names it in the sentence that tells a fault.
+def read_toml(path: str, what: str) -> Result[dict[str, Any], str]:
+    """Reads a TOML file.
+
+    Parameters
+    ----------
+    path
+        The file.
+    what
+        What it is called in the sentence about a fault.
 
+    Examples
+    --------
     >>> read_toml("/nowhere.toml", "the plan").failure()
     'the plan is missing.'
     """
@@ -319,15 +270,17 @@
             return Success(tomllib.load(file))
     except FileNotFoundError:
         return Failure(f"{what} is missing.")
-    except OSError as e:
-        return Failure(f"{what} can't be read ({e.strerror}).")
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
-        return Failure(f"{what} is not TOML ({e}).")
+    except OSError as error:
+        return Failure(f"{what} can't be read ({error.strerror}).")
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        return Failure(f"{what} is not TOML ({error}).")
 
 
-def read(path) -> Result:
-    """Reads and checks a startup file.
+def read(path: str) -> Result[Settings, str]:
+    """Reads and checks a startup file; a Failure holds a sentence that begins with the path.
 
+    Examples
+    --------
     >>> read("/nowhere.toml").failure()
     '/nowhere.toml: the startup file is missing.'
     """
--- /dev/null
+++ b/sparloom/settings/model.py
@@ -0,0 +1,210 @@
+"""What the startup file holds, as typed values; the names of its keys stand in ``checks``."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+from typing import TYPE_CHECKING
+
+from attrs import define, field
+
+if TYPE_CHECKING:
+    from sparloom.admission.member import Member
+    from sparloom.isolation import Isolation
+
+
+@define(frozen=True, slots=True)
+class Address:
+    """A host and a TCP or UDP port.
+
+    Examples
+    --------
+    >>> str(Address("10.0.0.1", 80))
+    '10.0.0.1:80'
+    """
+
+    host: str
+    port: int
+
+    def __str__(self) -> str:
+        return f"{self.host}:{self.port}"
+
+
+@define(frozen=True, slots=True)
+class ListenAddresses:
+    """Where the process listens; None for what it does not serve.
+
+    Attributes
+    ----------
+    front
+        Requests of clients.
+    readiness
+        Health checks of the platform.
+    control
+        The operators' HTTP interface.
+    """
+
+    front: Address | None = None
+    readiness: Address | None = None
+    control: Address | None = None
+
+
+@define(frozen=True, slots=True)
+class Limits:
+    """What the machine grants to this process.
+
+    Attributes
+    ----------
+    memory_mb
+        Memory in MB.
+    descriptors
+        Open files and sockets.
+    """
+
+    memory_mb: int = 256
+    descriptors: int = 1024
+
+
+@define(frozen=True, slots=True)
+class ToleratedLosses:
+    """How many machines, or zones, or regions may be lost at once while every guarantee holds."""
+
+    machines: int = 0
+    zones: int = 0
+    regions: int = 0
+
+    @property
+    def backups(self) -> int:
+        """How many backups must store a write besides its primary.
+
+        Examples
+        --------
+        >>> ToleratedLosses(machines=1).backups
+        1
+        """
+        return max(self.machines, self.zones, self.regions)
+
+
+@define(frozen=True, slots=True)
+class Bounds:
+    """The time limits and ratios that the system must keep.
+
+    Attributes
+    ----------
+    contact
+        After a loss of contact, when it must have been noticed and acted upon.
+    acknowledge
+        When a change must have been acknowledged.
+    drain
+        How early a runner that drains must be known.
+    grace
+        From SIGTERM to the end of the process.
+    config_apply
+        When a committed configuration must be in force everywhere.
+    budget_window
+        The period over which retries are counted.
+    budget_ratio
+        Retries allowed for each request.
+    budget_slack
+        Retries allowed beyond the ratio.
+    pass_time
+        ``passMs`` of the startup file; nothing depends on it yet.
+    recovery
+        When the system must serve as before after a fault has ended.
+    """
+
+    contact: timedelta = timedelta(milliseconds=3000)
+    acknowledge: timedelta = timedelta(milliseconds=4000)
+    drain: timedelta = timedelta(milliseconds=3000)
+    grace: timedelta = timedelta(seconds=8)
+    config_apply: timedelta = timedelta(milliseconds=2000)
+    budget_window: timedelta = timedelta(seconds=10)
+    budget_ratio: float = 0.2
+    budget_slack: float = 10
+    pass_time: timedelta = timedelta(milliseconds=120)
+    recovery: timedelta = timedelta(seconds=12)
+
+
+@define(frozen=True, slots=True)
+class CloudApi:
+    """Where the platform lists its runners.
+
+    Attributes
+    ----------
+    address
+        Address of its HTTP interface.
+    rate
+        Requests allowed each second, by all controllers together.
+    lag
+        How old a list may be when it is answered.
+    """
+
+    address: Address
+    rate: float = 1.0
+    lag: timedelta = timedelta(0)
+
+
+@define(frozen=True, slots=True)
+class Settings:
+    """All that a process is told at its start.
+
+    Attributes
+    ----------
+    node
+        Name of the node.
+    role
+        ``router`` or ``controller``.
+    ip
+        The address by which other nodes reach this one.
+    zone
+        The zone of the machine.
+    ports
+        First and last port for traffic between nodes.
+    seeds
+        Controllers to ask first.
+    listen
+        Where the process listens for others than nodes.
+    zones
+        Region of each zone.
+    first_start
+        Whether the whole system starts for the first time, with empty disks.
+    loss_counted
+        Whether the loss of this machine is one of ``tolerated``.
+    data
+        Directory for data that must outlast the process.
+    limits, tolerated, bounds
+        See their classes.
+    cloud
+        Where the platform lists its runners; None where there is no list.
+    members
+        Declared members, each with a reserve of the capacity.
+    isolation
+        Which members may share a runner; None where all may.
+    """
+
+    node: str
+    role: str
+    ip: str
+    zone: str
+    ports: tuple[int, int]
+    seeds: tuple[Address, ...]
+    listen: ListenAddresses
+    zones: dict[str, str] = field(factory=dict)
+    first_start: bool = False
+    loss_counted: bool = False
+    data: str | None = None
+    limits: Limits = field(factory=Limits)
+    tolerated: ToleratedLosses = field(factory=ToleratedLosses)
+    bounds: Bounds = field(factory=Bounds)
+    cloud: CloudApi | None = None
+    members: tuple[Member, ...] = ()
+    isolation: Isolation | None = None
+
+    @property
+    def controller_port(self) -> int:
+        """The internal port of controllers: the first of the range."""
+        return self.ports[0]
+
+    @property
+    def router_port(self) -> int:
+        """The internal port of routers: the second of the range."""
+        return self.ports[0] + 1
--- a/tests/settings/test_checks.py
+++ b/tests/settings/test_checks.py
@@ -51,7 +51,7 @@
             {**STARTUP, "bounds": {"contactMs": 4500, "retryBudgetSlack": 7}, "toleratedLosses": {"machines": 2}}
         ).unwrap()
         self.assertEqual(
-            (up.bounds.contact, up.bounds.budget_slack, up.tolerated.copies), (timedelta(seconds=4.5), 7, 2)
+            (up.bounds.contact, up.bounds.budget_slack, up.tolerated.backups), (timedelta(seconds=4.5), 7, 2)
         )
 
     def test_every_figure_may_be_whole_or_a_fraction(self):
@@ -75,7 +75,7 @@
             (timedelta(milliseconds=3000.5), 1.0, 33.88),
         )
         self.assertEqual((up.limits.memory_mb, up.limits.descriptors), (160, 4100))
-        self.assertEqual((up.tolerated.machines, up.tolerated.zones, up.tolerated.copies), (2, 0, 2))
+        self.assertEqual((up.tolerated.machines, up.tolerated.zones, up.tolerated.backups), (2, 0, 2))
 
     def test_not_toml(self):
         with tempfile.NamedTemporaryFile("wb", suffix=".toml") as f:
