--- a/sparloom/configuration/check.py
+++ b/sparloom/configuration/check.py
@@ -28,10 +28,10 @@
 
 # The library's types allow only callables in ``And``; it takes schemas too.
 _ANY_NUMBER: Any = Or(int, float)
-_NUMBER: Any = And(_ANY_NUMBER, lambda v: type(v) is not bool and v <= MAXIMUM_NUMBER)
-_INTEGER: Any = And(int, lambda v: type(v) is not bool)
+_NUMBER: Any = And(_ANY_NUMBER, lambda value: type(value) is not bool and value <= MAXIMUM_NUMBER)
+_INTEGER: Any = And(int, lambda value: type(value) is not bool)
 _NAME: Any = And(str, len)
-_NON_NEGATIVE: Any = And(_NUMBER, lambda v: v >= 0)
+_NON_NEGATIVE: Any = And(_NUMBER, lambda value: value >= 0)
 _WEIGHTED_SERVICE = Schema({"service": _NAME, "weight": _NON_NEGATIVE, Optional(str): object})
 
 ROUTE = Schema(
@@ -39,15 +39,17 @@
         "name": _NAME,
         "hostname": _NAME,
         "pathPrefix": And(
-            str, lambda p: p.startswith("/") and p.endswith("/"), error="pathPrefix must begin and end with a slash"
+            str,
+            lambda path: path.startswith("/") and path.endswith("/"),
+            error="pathPrefix must begin and end with a slash",
         ),
         "routeKind": Or("safe", "unsafe", "streaming"),
-        Optional("timeoutMs"): And(_NUMBER, lambda v: v > 0, error="timeoutMs must be above 0"),
+        Optional("timeoutMs"): And(_NUMBER, lambda value: value > 0, error="timeoutMs must be above 0"),
         Optional("targetMs"): _NON_NEGATIVE,
-        Optional("priority"): And(_INTEGER, lambda v: v >= 0),
+        Optional("priority"): And(_INTEGER, lambda value: value >= 0),
         Optional("weightedServices"): [_WEIGHTED_SERVICE],
         Optional("service"): _NAME,
-        Optional("maxAttempts"): And(_INTEGER, lambda v: v >= 1),
+        Optional("maxAttempts"): And(_INTEGER, lambda value: value >= 1),
         Optional("stickySessions"): bool,
         Optional("resumeStreams"): bool,
         Optional("gapTargetMs"): _NON_NEGATIVE,
@@ -58,7 +60,7 @@
     {
         "name": _NAME,
         Optional("healthPath"): str,
-        Optional("connectionLimit"): And(_INTEGER, lambda v: v > 0),
+        Optional("connectionLimit"): And(_INTEGER, lambda value: value > 0),
         Optional("engine"): Or(
             None, And(dict, lambda engine: _has_numbers(engine), error="engine: slots, cacheTokens")
         ),
@@ -67,10 +69,10 @@
 )
 LIMITS = Schema(
     {
-        Optional("maxHeaderBytes"): And(_INTEGER, lambda v: v > 0),
-        Optional("maxBodyBytes"): And(_INTEGER, lambda v: v > 0),
-        Optional("headerTimeoutMs"): And(_NUMBER, lambda v: v > 0),
-        Optional("idleTimeoutMs"): And(_NUMBER, lambda v: v > 0),
+        Optional("maxHeaderBytes"): And(_INTEGER, lambda value: value > 0),
+        Optional("maxBodyBytes"): And(_INTEGER, lambda value: value > 0),
+        Optional("headerTimeoutMs"): And(_NUMBER, lambda value: value > 0),
+        Optional("idleTimeoutMs"): And(_NUMBER, lambda value: value > 0),
         Optional(str): object,
     }
 )
@@ -227,8 +229,8 @@
         yield f"two services are named {name}"
     if name := _first_duplicate(route["name"] for route in routes):
         yield f"two routes are named {name}"
-    if place := _first_duplicate((route["hostname"].lower(), route["pathPrefix"]) for route in routes):
-        yield f"two routes share host and prefix {' '.join(place)}"
+    if shared := _first_duplicate((route["hostname"].lower(), route["pathPrefix"]) for route in routes):
+        yield f"two routes share host and prefix {' '.join(shared)}"
 
 
 def _first_fault(document: Any) -> str | None:
@@ -288,8 +290,8 @@
 def _edited(items: list[Any], upsert: list[Any], remove: Collection[str]) -> list[Any]:
     """A list after a patch: items keep their places, new ones follow."""
     new = {item["name"]: item for item in upsert}
-    kept = [new.pop(item["name"], item) for item in items if item["name"] not in remove]
-    return kept + list(new.values())
+    edited = [new.pop(item["name"], item) for item in items if item["name"] not in remove]
+    return edited + list(new.values())
 
 
 def _patch_fault(patch: Any) -> str | None:
