--- a/tests/codec/test_records.py
+++ b/tests/codec/test_records.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+import struct
 import unittest
 
 from sparloom.codec import DecodeError, Record, UInt16, UInt64, pack, record, unpack
@@ -30,15 +31,15 @@
 
 class Fixed(unittest.TestCase):
     def test_the_bytes_are_those_of_one_field_after_another(self):
-        luck = random.Random(1)
+        rng = random.Random(1)
         rows = [
-            Row(luck.getrandbits(64), luck.getrandbits(16), bool(luck.getrandbits(1)), luck.random()) for _ in range(50)
+            Row(rng.getrandbits(64), rng.getrandbits(16), bool(rng.getrandbits(1)), rng.random()) for _ in range(50)
         ]
         plain = b"".join(_FIXED[k].pack(getattr(r, n)) for r in rows for k, n in Row.layout)
         self.assertEqual(pack(Rows(rows, "x"))[4:-3], plain)
         self.assertEqual(unpack(pack(Rows(rows, "x"))), Rows(rows, "x"))
 
-    def test_every_cut_is_noticed(self):
+    def test_every_truncation_is_detected(self):
         raw = pack(
             InFlightUpdate("k:1", 1, 2, 3, [InFlightReport(7, 2, 0, 0, 0, 0, 0)] * 3, [PrefixPlacement(1, 2, 3)])
         )
@@ -49,7 +50,5 @@
             unpack(raw + b"x")
 
     def test_a_value_out_of_range_is_refused(self):
-        import struct
-
         with self.assertRaises(struct.error):
             pack(InFlightUpdate("k:1", 1, 2, 3, [InFlightReport(7, 1 << 16, 0, 0, 0, 0, 0)], []))
--- a/tests/configuration/test_check.py
+++ b/tests/configuration/test_check.py
@@ -1,4 +1,4 @@
-"""The policy: every kind of fault that the protocol lists, patches, and the lookup."""
+"""The configuration: every kind of fault that the protocol lists, patches, and the lookup."""
 
 import copy
 import random
@@ -16,11 +16,11 @@
 
 class Faults(unittest.TestCase):
     def fault(self, edit, above=0):
-        d = copy.deepcopy(POLICY)
-        edit(d)
-        res = check(d, above)
-        self.assertFalse(is_successful(res))
-        return res.failure()
+        document = copy.deepcopy(POLICY)
+        edit(document)
+        result = check(document, above)
+        self.assertFalse(is_successful(result))
+        return result.failure()
 
     def test_each_fault_is_named(self):
         cases = (
@@ -48,8 +48,8 @@
             with self.subTest(words):
                 self.assertIn(words, self.fault(edit))
 
-    def test_what_is_sound_at_first_sight_is_sound_by_the_schema(self):
-        luck = random.Random(4)
+    def test_what_passes_the_quick_checks_is_valid_by_the_schema(self):
+        rng = random.Random(4)
         odd = (
             "",
             "x",
@@ -78,25 +78,25 @@
             float("nan"),
         )
         seen = {True: 0, False: 0}
-        for what, schema, keys in (
+        for kind, schema, keys in (
             ("route", ROUTE, [*ROUTE_KEYS, "other"]),
             ("service", SERVICE, ["name", "healthPath", "connectionLimit", "engine", "other"]),
         ):
             for _ in range(1500):
-                d = copy.deepcopy(POLICY["routes"][0] if what == "route" else POLICY["services"][0])
-                for k in luck.sample(keys, luck.randrange(1, 4)):
-                    d[k] = luck.choice(odd)
-                    if luck.random() < 0.2:
-                        del d[k]
-                first = _passes_quick_checks(d, what)
-                seen[first] += 1
-                self.assertLessEqual(first, schema.is_valid(d), (what, d))
+                item = copy.deepcopy(POLICY["routes"][0] if kind == "route" else POLICY["services"][0])
+                for key in rng.sample(keys, rng.randrange(1, 4)):
+                    item[key] = rng.choice(odd)
+                    if rng.random() < 0.2:
+                        del item[key]
+                is_quick = _passes_quick_checks(item, kind)
+                seen[is_quick] += 1
+                self.assertLessEqual(is_quick, schema.is_valid(item), (kind, item))
         self.assertGreater(min(seen.values()), 300)
 
-    def test_a_large_policy_is_checked_without_holding_up_the_heartbeat(self):
+    def test_a_large_configuration_is_checked_without_holding_up_the_heartbeat(self):
         d = {"revision": 1, "services": [{"name": "s"}], "routes": [route(f"r{i}", f"/{i}/") for i in range(3000)]}
         with mock.patch("sparloom.configuration.check.ROUTE", None):
-            self.assertTrue(is_successful(check(d)), "the schema is not needed for what is sound")
+            self.assertTrue(is_successful(check(d)), "the schema is not needed for what is valid")
 
     def test_old_revisions_are_refused(self):
         self.assertIn("not above the current 1", self.fault(lambda d: None, above=1))
@@ -105,7 +105,7 @@
         for raw in (b'{"revision":', b"\xff\xfe", b"[" * 100000):
             self.assertFalse(is_successful(parse(raw)))
 
-    def test_no_kind_of_junk_gets_through_or_raises(self):
+    def test_junk_is_refused_without_an_exception(self):
         for junk in (
             None,
             3,
@@ -123,14 +123,16 @@
 
 class Patches(unittest.TestCase):
     def test_upsert_and_remove(self):
-        p = {
+        patch = {
             "revision": 2,
             "upsert": {"routes": [route("once", "/once/", timeoutMs=9), route("new", "/new/")]},
             "remove": {"routes": ["safe"]},
         }
-        d = apply_patch(POLICY, p).bind(check).unwrap()
-        names = [r["name"] for r in d["routes"]]
-        self.assertEqual((names[0], names[-1], "safe" in names, d["routes"][0]["timeoutMs"]), ("once", "new", False, 9))
+        new = apply_patch(POLICY, patch).bind(check).unwrap()
+        names = [item["name"] for item in new["routes"]]
+        self.assertEqual(
+            (names[0], names[-1], "safe" in names, new["routes"][0]["timeoutMs"]), ("once", "new", False, 9)
+        )
         self.assertEqual(POLICY["revision"], 1)
 
     def test_a_patch_may_not_take_away_a_service_in_use(self):
@@ -139,7 +141,7 @@
         )
 
     def test_ill_formed_patches(self):
-        for p in (
+        for patch in (
             [],
             {"revision": 2, "upsert": []},
             {"revision": 2, "upsert": {"routes": [{}]}},
@@ -147,12 +149,12 @@
             {"revision": 2, "upsert": {"odd": []}},
             {},
         ):
-            self.assertFalse(is_successful(apply_patch(POLICY, p).bind(check)), p)
+            self.assertFalse(is_successful(apply_patch(POLICY, patch).bind(check)), patch)
 
 
 class Lookup(unittest.TestCase):
     def test_the_longest_prefix_of_the_host_wins(self):
-        p = build(
+        configuration = build(
             {
                 "revision": 1,
                 "services": [],
@@ -165,10 +167,10 @@
             }
         )
         for path, want in (("/", "a"), ("/x/", "b"), ("/x", "a"), ("/x/y/z", "c"), ("/x/yy", "b")):
-            self.assertEqual(p.match("h.example:80", path).name, want)
-        self.assertEqual(p.match("OTHER", "/x/1").name, "d")
-        self.assertIsNone(p.match("other", "/z"))
-        self.assertIsNone(p.match("nobody", "/"))
+            self.assertEqual(configuration.match("h.example:80", path).name, want)
+        self.assertEqual(configuration.match("OTHER", "/x/1").name, "d")
+        self.assertIsNone(configuration.match("other", "/z"))
+        self.assertIsNone(configuration.match("nobody", "/"))
 
     def test_hundreds_of_routes(self):
         d = {**POLICY, "routes": [route(f"r{i}", f"/p{i}/") for i in range(800)]}
--- a/tests/metrics/test_meter.py
+++ b/tests/metrics/test_meter.py
@@ -1,10 +1,10 @@
-"""What a process counts of its own records and connections, and what it shows."""
+"""What a process counts of its records and connections, and what it shows."""
 
 import asyncio
 import unittest
 from datetime import timedelta
 
-from sparloom import metrics as meter
+from sparloom import metrics
 from sparloom.codec import pack
 from sparloom.feed import FeedHeartbeat, Subscribe
 from sparloom.membership import ALIVE, ROUTER, Peer, Ping
@@ -16,40 +16,40 @@
 PING = Ping(1, Peer("127.0.0.1:1", ROUTER, "z", "", 1, 0, ALIVE), 0, [])
 
 
-async def _swap():
-    """A ping by datagram there, a follow and two pulses by pipe."""
-    got, served = asyncio.Event(), asyncio.Event()
+async def _exchange_records():
+    """Sends a ping by datagram; a subscription and two heartbeats over a connection."""
+    received, served = asyncio.Event(), asyncio.Event()
 
     async def serve(reader, writer):
-        f = Frames(reader, writer)
-        await f.read()
-        await f.write(FeedHeartbeat(1, 1, 2, 0))
-        await f.write(FeedHeartbeat(1, 1, 3, 0))
-        f.close()
-        f.close()
+        frames = Frames(reader, writer)
+        await frames.read()
+        await frames.write(FeedHeartbeat(1, 1, 2, 0))
+        await frames.write(FeedHeartbeat(1, 1, 3, 0))
+        frames.close()
+        frames.close()
         served.set()
 
-    a = await Datagrams.open("127.0.0.1", 0, lambda src, rec: got.set())
+    datagrams = await Datagrams.open("127.0.0.1", 0, lambda sender, message: received.set())
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
-    a.send(f"127.0.0.1:{a.transport.get_extra_info('sockname')[1]}", PING)
-    f = await dial("127.0.0.1", server.sockets[0].getsockname()[1], SECOND)
-    await f.write(Subscribe("r", 0, 0, 0, 0))
-    await f.read(), await f.read()
-    f.close()
+    datagrams.send(f"127.0.0.1:{datagrams.transport.get_extra_info('sockname')[1]}", PING)
+    frames = await dial("127.0.0.1", server.sockets[0].getsockname()[1], SECOND)
+    await frames.write(Subscribe("r", 0, 0, 0, 0))
+    await frames.read(), await frames.read()
+    frames.close()
     async with asyncio.timeout(5):
-        await got.wait(), await served.wait()
-    a.close()
+        await received.wait(), await served.wait()
+    datagrams.close()
     server.close()
 
 
 class Counted(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
-        meter.start_meter()
-        self.addCleanup(meter.start_meter, False)
+        metrics.start_meter()
+        self.addCleanup(metrics.start_meter, False)
 
-    async def test_records_and_pipes_by_kind(self):
-        await _swap()
-        size, got = len(pack(PING)), meter.current_meter().figures()
+    async def test_records_and_connections_are_counted_by_kind(self):
+        await _exchange_records()
+        size, got = len(pack(PING)), metrics.current_meter().figures()
         self.assertEqual(got["datagram out Ping"], [1, size])
         self.assertEqual(got["datagram in Ping"], [1, size])
         self.assertEqual(got["frame out FeedHeartbeat"], [2, 2 * (4 + len(pack(FeedHeartbeat(1, 1, 2, 0))))])
@@ -57,7 +57,7 @@
         self.assertEqual(got["frame in Subscribe"][0], 1)
         self.assertEqual((got["pipe opened"][0], got["pipe closed"][0]), (2, 2))
 
-    async def test_attempts_choices_and_runner_connections(self):
+    async def test_attempts_weighed_runners_and_runner_connections_are_counted(self):
         async with Rig(runners=2) as rig:
             for i in range(3):
                 self.assertEqual((await rig.send("/safe/", id=f"a{i}")).status, 200)
@@ -67,8 +67,8 @@
         self.assertLessEqual(1, got["opened runner"][0])
         self.assertLess(0, got["memory"])
 
-    async def test_a_line_tells_all(self):
-        meter.count_event("attempts")
+    async def test_the_log_line_holds_all_figures(self):
+        metrics.count_event("attempts")
         with self.assertLogs("absl", "INFO") as log:
             MetricsReporter("front-1", SECOND).report()
         self.assertIn('meter: {"node":"front-1"', log.output[0])
@@ -76,9 +76,9 @@
 
 
 class Off(unittest.IsolatedAsyncioTestCase):
-    async def test_nothing_is_kept_or_shown(self):
-        await _swap()
-        self.assertIsNone(meter.current_meter())
+    async def test_nothing_is_counted_or_shown(self):
+        await _exchange_records()
+        self.assertIsNone(metrics.current_meter())
         self.assertIsNone(process_figures())
         async with Rig() as rig:
             self.assertIsNone(rig.front.beliefs()["meter"])
--- a/tests/settings/test_checks.py
+++ b/tests/settings/test_checks.py
@@ -14,13 +14,8 @@
 
 
 class Checked(unittest.TestCase):
-    def bad(self, **kw):
-        res = from_dict({**STARTUP, **kw})
-        self.assertFalse(is_successful(res))
-        return res.failure()
-
     def test_faults_are_named(self):
-        for kw, words in (
+        for given, words in (
             ({"nodeName": None}, "nodeName is missing"),
             ({"nodeName": 3}, "nodeName must be a text"),
             ({"internalPortRange": [1]}, "internalPortRange"),
@@ -36,27 +31,28 @@
             ({"bounds": {"contactMs": float("nan")}}, "bounds.contactMs"),
             ({"bounds": {"retryBudgetSlack": True}}, "bounds.retryBudgetSlack must be a number"),
         ):
-            with self.subTest(kw):
-                d = {k: v for k, v in kw.items() if v is not None}
-                base = {k: v for k, v in STARTUP.items() if k not in kw}
-                res = from_dict({**base, **d})
-                self.assertFalse(is_successful(res))
-                self.assertIn(words, res.failure())
+            with self.subTest(given):
+                changed = {key: value for key, value in given.items() if value is not None}
+                base = {key: value for key, value in STARTUP.items() if key not in given}
+                result = from_dict({**base, **changed})
+                self.assertFalse(is_successful(result))
+                self.assertIn(words, result.failure())
 
     def test_unknown_fields_are_ignored(self):
         self.assertTrue(is_successful(from_dict({**STARTUP, "shoeSize": 43, "bounds": {"newBound": "x"}})))
 
     def test_figures_come_from_the_file(self):
-        up = from_dict(
+        settings = from_dict(
             {**STARTUP, "bounds": {"contactMs": 4500, "retryBudgetSlack": 7}, "toleratedLosses": {"machines": 2}}
         ).unwrap()
         self.assertEqual(
-            (up.bounds.contact, up.bounds.budget_slack, up.tolerated.backups), (timedelta(seconds=4.5), 7, 2)
+            (settings.bounds.contact, settings.bounds.budget_slack, settings.tolerated.backups),
+            (timedelta(seconds=4.5), 7, 2),
         )
 
     def test_every_figure_may_be_whole_or_a_fraction(self):
         """Days played at a small size name fractions also where things are counted."""
-        up = from_dict(
+        settings = from_dict(
             {
                 **STARTUP,
                 "bounds": {
@@ -71,21 +67,21 @@
             }
         ).unwrap()
         self.assertEqual(
-            (up.bounds.contact, up.bounds.budget_ratio, up.bounds.budget_slack),
+            (settings.bounds.contact, settings.bounds.budget_ratio, settings.bounds.budget_slack),
             (timedelta(milliseconds=3000.5), 1.0, 33.88),
         )
-        self.assertEqual((up.limits.memory_mb, up.limits.descriptors), (160, 4100))
-        self.assertEqual((up.tolerated.machines, up.tolerated.zones, up.tolerated.backups), (2, 0, 2))
+        self.assertEqual((settings.limits.memory_mb, settings.limits.descriptors), (160, 4100))
+        self.assertEqual((settings.tolerated.machines, settings.tolerated.zones, settings.tolerated.backups), (2, 0, 2))
 
     def test_not_toml(self):
-        with tempfile.NamedTemporaryFile("wb", suffix=".toml") as f:
-            f.write(b"= nonsense")
-            f.flush()
-            self.assertIn("is not TOML", read(f.name).failure())
+        with tempfile.NamedTemporaryFile("wb", suffix=".toml") as file:
+            file.write(b"= nonsense")
+            file.flush()
+            self.assertIn("is not TOML", read(file.name).failure())
 
 
 class Programs(unittest.TestCase):
-    def run_it(self, name, *args, **env):
+    def run_program(self, name, *args, **env):
         return subprocess.run(
             [sys.executable, "-m", f"sparloom.{name}", *args],
             capture_output=True,
@@ -97,21 +93,21 @@
 
     def test_a_missing_file_ends_with_one_sentence(self):
         for name in ("router", "controller"):
-            got = self.run_it(name, SPARLOOM_CONFIG="/nowhere/node.toml")
-            self.assertEqual((got.returncode, got.stdout), (2, ""))
-            self.assertEqual(got.stderr, f"{name}: /nowhere/node.toml: the startup file is missing.\n")
+            ended = self.run_program(name, SPARLOOM_CONFIG="/nowhere/node.toml")
+            self.assertEqual((ended.returncode, ended.stdout), (2, ""))
+            self.assertEqual(ended.stderr, f"{name}: /nowhere/node.toml: the startup file is missing.\n")
 
     def test_help_and_version(self):
         for name in ("router", "controller", "compare"):
-            self.assertIn("usage", self.run_it(name, "--help").stdout)
-            self.assertEqual(self.run_it(name, "--version").returncode, 0)
+            self.assertIn("usage", self.run_program(name, "--help").stdout)
+            self.assertEqual(self.run_program(name, "--version").returncode, 0)
 
     def test_check(self):
-        with tempfile.NamedTemporaryFile("w", suffix=".json") as f:
-            f.write('{"revision": 1, "routes": [], "services": []}')
-            f.flush()
-            self.assertEqual(self.run_it("router", "check", "--policy", f.name).stdout, "sound\n")
-            f.truncate(5)
-            got = self.run_it("router", "check", "--policy", f.name)
-            self.assertEqual(got.returncode, 1)
-            self.assertIn("not JSON", got.stdout)
+        with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
+            file.write('{"revision": 1, "routes": [], "services": []}')
+            file.flush()
+            self.assertEqual(self.run_program("router", "check", "--policy", file.name).stdout, "sound\n")
+            file.truncate(5)
+            ended = self.run_program("router", "check", "--policy", file.name)
+            self.assertEqual(ended.returncode, 1)
+            self.assertIn("not JSON", ended.stdout)
