--- a/sparloom/cli.py
+++ b/sparloom/cli.py
@@ -13,7 +13,7 @@
 
 from sparloom import __version__, metrics
 from sparloom.launch.bytecode_archive import release
-from sparloom.settings import read, where
+from sparloom.settings import read, startup_path
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -64,7 +64,7 @@
     int
         The exit status: 0 after a planned stop, 1 when the program can't serve, 2 when its settings are unsound.
     """
-    path = config or where()
+    path = config or startup_path()
     settings = read(path)
     if settings.value_or(None) is None:
         _print_error(f"{name}: {settings.failure()}")
--- a/sparloom/controller/consensus_service.py
+++ b/sparloom/controller/consensus_service.py
@@ -140,7 +140,7 @@
         control = str(settings.listen.control or "")
         me = Member(member_id, settings.ip, self.port, settings.zone, control)
         timing = ConsensusTiming.of(settings.bounds.contact)
-        copies = settings.tolerated.copies
+        copies = settings.tolerated.backups
         self.member = ConsensusMember.start(me, stored, first_start, timing, rng, copies, genesis, monotonic())
         instance_id = int.from_bytes(os.urandom(RANDOM_ID_BYTES))
         peer = Peer(self.key, CONTROLLER, settings.zone, control, instance_id, 0, 0)
--- a/sparloom/controller/control_api.py
+++ b/sparloom/controller/control_api.py
@@ -173,11 +173,14 @@
 
     async def on_start(self) -> None:
         """Serves the control address; raises OSError if it can't be bound."""
+        address = self.settings.listen.control
+        if address is None:
+            raise SettingsError("listenAddresses.control is missing")
         # A waiting request is cancelled when its client leaves; a write that has begun is not.
         server = web.Server(self._handle, access_log=None, handler_cancellation=True)
         self.runner = web.ServerRunner(server)
         await self.runner.setup()
-        await web.SockSite(self.runner, bind(self.settings.listen.control)).start()
+        await web.SockSite(self.runner, bind(address)).start()
 
     async def on_stop(self) -> None:
         """Closes the control address; a write under way is left to the consensus."""
@@ -277,7 +280,9 @@
 
     def _view(self) -> dict[str, Any] | None:
         view = self.consensus.member.view
-        return view and {
+        if view is None:
+            return None
+        return {
             "epoch": view.epoch,
             "primary": view.primary,
             "backups": view.backups,
--- a/sparloom/controller/endpoint_poller.py
+++ b/sparloom/controller/endpoint_poller.py
@@ -110,15 +110,15 @@
             if epoch is None:
                 await asyncio.sleep(NOT_PRIMARY_PAUSE_S)
                 continue
-            await asyncio.sleep(max(0.0, (schedule.next - monotonic()).total_seconds()))
+            await asyncio.sleep(max(0.0, (schedule.next_call - monotonic()).total_seconds()))
             if self.primary_epoch() != epoch:
                 continue
             if self.pages.token is None:
-                schedule.begun = max(schedule.begun, monotonic())
+                schedule.round_started_at = max(schedule.round_started_at, monotonic())
             # Taken before the request: the next one is due a period after this one began, not after it ended.
             now = monotonic()
             outcome = await self.poll_page(platform, epoch)
-            schedule.done(now, outcome.more_pages, outcome.rate_limited)
+            schedule.on_response(now, outcome.more_pages, outcome.rate_limited)
 
     def enter_epoch(self, epoch: int | None) -> None:
         """Notes the epoch in which this controller is the primary; None while it is not.
@@ -176,7 +176,7 @@
         if complete is None:
             return True
         endpoint_list = EndpointList(complete.runners, self.fleet_size())
-        if endpoint_list.news_against(self.last):
+        if endpoint_list.differs_from(self.last):
             self.last, self.number = endpoint_list, self.number + 1
             self.feed_server.publish(ENDPOINTS, (self.epoch, self.number), endpoint_list)
         return False
--- a/sparloom/controller/prefix_snapshots.py
+++ b/sparloom/controller/prefix_snapshots.py
@@ -53,9 +53,9 @@
     def receive(self, sender: str, record: Record) -> bool:
         """Takes a router's record; returns whether it was one about prefixes."""
         if isinstance(record, PrefixPlacements):
-            self.placements.saw(record.reads)
+            self.placements.add(record.placements)
         elif isinstance(record, PlacementQuery):
-            for answer in self.placements.answers():
+            for answer in self.placements.to_records():
                 self.send(sender, answer)
         else:
             return False
