--- a/simulator/check/copying.py
+++ b/simulator/check/copying.py
@@ -10,8 +10,8 @@
 
 OLD = timedelta(seconds=8)
 _CLONERS, _FORMS, _REMEMBERED = {}, {}, {}
-# Attributes that refer back to the member to which an object belongs.
-OWNERS = frozenset({"consensus", "ledger"})
+# The attribute that refers back to the member to which an object belongs.
+OWNER = "consensus"
 _MOST_REMEMBERED = 300_000
 
 
@@ -40,7 +40,7 @@
         new = object.__new__(kind)
         owner = owner or new
         for name in names:
-            setattr(new, name, owner if name in OWNERS else clone(getattr(value, name), owner))
+            setattr(new, name, owner if name == OWNER else clone(getattr(value, name), owner))
         return new
 
     return copy
@@ -86,7 +86,7 @@
         return None
     if not has(kind):
         raise TypeError(f"no canonical form for {kind.__name__}")
-    names = tuple(f.name for f in fields(kind) if f.name not in OWNERS)
+    names = tuple(f.name for f in fields(kind) if f.name != OWNER)
     values = attrgetter(*names) if len(names) > 1 else lambda value: (getattr(value, names[0]),)
 
     def form(value, now):
--- a/sparloom/consensus/leadership.py
+++ b/sparloom/consensus/leadership.py
@@ -120,7 +120,7 @@
         """The primary's own process stood still for a while: nobody was silent meanwhile."""
         self.heard_at = {member_id: heard_at + paused for member_id, heard_at in self.heard_at.items()}
 
-    def late(self, member_id: int, timeout: timedelta) -> bool:
+    def is_silent(self, member_id: int, timeout: timedelta) -> bool:
         """Whether a member has been silent for longer than a time-out."""
         if member_id == self.own_id:
             return False
@@ -243,7 +243,7 @@
     def _heartbeat(self, at_once: bool = False) -> list[Action]:
         """The next heartbeat if one is due: sooner where a member is late, as the last may be lost."""
         consensus, interval = self.consensus, self.consensus.timing.heartbeat_interval
-        if any(self.late(member_id, interval * LATE_HEARTBEATS) for member_id in self.view.ids):
+        if any(self.is_silent(member_id, interval * LATE_HEARTBEATS) for member_id in self.view.ids):
             interval /= LATE_HEARTBEAT_RATE
         if not at_once and consensus.now - self.heartbeat_sent_at < interval:
             return []
--- a/sparloom/consensus/member.py
+++ b/sparloom/consensus/member.py
@@ -39,6 +39,14 @@
 PRIMARY_PATIENCE, HOLDER_PATIENCE, WITNESS_PATIENCE, LEAVING_PATIENCE = 0.6, 1.0, 2.2, 4.0
 # The same after a start, when everything may have lost power and the primary is the best to return.
 DEFERRAL_AFTER_START = {PRIMARY_PATIENCE: 0.05, HOLDER_PATIENCE: 0.3}
+# For how many election time-outs a member does not stand: after its disk failed, and after it handed over.
+DEFERRAL_AFTER_DISK_FAULT, DEFERRAL_AFTER_TRANSFER = 3, 2
+# The least wait and the random part beyond it, in election time-outs: after a lost candidacy,
+# and after another member's epoch was promised.
+BACKOFF_MINIMUM, BACKOFF_JITTER = 0.2, 0.5
+FOLLOW_MINIMUM, FOLLOW_JITTER = 0.5, 0.3
+# How long ago a member that starts with a view counts its primary as lost, in election time-outs.
+PRIMARY_LOST_AT_START = 3
 # A request to take over goes by datagram and isn't acknowledged, so it is sent several times.
 TRANSFER_COPIES = 3
 # After how many fruitless pre-votes a voter asks to join, in case it is none any more.
@@ -90,7 +98,7 @@
         deferral = 0.5
         if register.view:
             # The last primary may have ended long ago: only the deferral is waited for.
-            consensus.primary_heard_at = now - timing.election_timeout * 3
+            consensus.primary_heard_at = now - timing.election_timeout * PRIMARY_LOST_AT_START
             deferral = DEFERRAL_AFTER_START.get(consensus._patience_factor(), 1.0)
         consensus.candidacy_deferred_until = now + timing.election_timeout * deferral
         return consensus
@@ -110,7 +118,7 @@
         """This member's own disk hangs or refuses: another one should lead."""
         self.now = now
         self.membership.record_suspicion(self.member.id, now, slow_disk=True)
-        self.defer_candidacy(self.timing.election_timeout * 3)
+        self.defer_candidacy(self.timing.election_timeout * DEFERRAL_AFTER_DISK_FAULT)
         return self.transfer_leadership(now) if self.leadership else []
 
     def send_to(self, member_id: int, message: Message) -> list[Action]:
@@ -224,7 +232,7 @@
     def abandon_candidacy(self) -> list[Action]:
         """Ends a candidacy and waits for a random while, so that two candidates don't meet again."""
         self.election = self.pre_voting = None
-        self.defer_candidacy(self.timing.election_timeout * (0.2 + 0.5 * self.rng.random()))
+        self.defer_candidacy(self.timing.election_timeout * (BACKOFF_MINIMUM + BACKOFF_JITTER * self.rng.random()))
         return []
 
     def become_primary(self, view: View, election: Election) -> list[Action]:
@@ -261,8 +269,8 @@
             return self.step_down()
         view = leadership.view
         timeout = self.timing.election_timeout
-        successors = [i for i in view.backups if not leadership.late(i, timeout)]
-        self.defer_candidacy(timeout * 2)
+        successors = [i for i in view.backups if not leadership.is_silent(i, timeout)]
+        self.defer_candidacy(timeout * DEFERRAL_AFTER_TRANSFER)
         # Heartbeats heard earlier are no sign of a primary any more: a pre-vote must not be refused for them.
         self.heartbeat_epoch = 0
         transfer = TransferLeadership(self.member.id, view.epoch, leaving, view)
@@ -313,7 +321,7 @@
         self.replica.promise(epoch)
         self.pre_voting = None
         # The new candidate gets the time to come up; members wait for different times, so as not to compete.
-        wait = self.timing.election_timeout * (0.5 + 0.3 * self.rng.random())
+        wait = self.timing.election_timeout * (FOLLOW_MINIMUM + FOLLOW_JITTER * self.rng.random())
         self.candidacy_deferred_until = max(self.candidacy_deferred_until, self.now + wait)
         if self.election and self.election.epoch < epoch:
             self.election = None
--- a/sparloom/consensus/reconfiguration.py
+++ b/sparloom/consensus/reconfiguration.py
@@ -211,7 +211,7 @@
         if not staying:
             return self.release()
         timeout = consensus.timing.election_timeout
-        near = any(i in staying and not leadership.late(i, timeout) for i in leadership.view.backups)
+        near = any(i in staying and not leadership.is_silent(i, timeout) for i in leadership.view.backups)
         if not near or leadership.write is not None:
             return []
         return consensus.transfer_leadership(consensus.now, leaving=True)
--- a/sparloom/consensus/view_change.py
+++ b/sparloom/consensus/view_change.py
@@ -38,7 +38,9 @@
     answered = {*leadership.acknowledged, *leadership.activated, *leadership.stored}
     timeout = leadership.consensus.timing.election_timeout
     return [
-        i for i in leadership.view.ids if i != leadership.own_id and i in answered and not leadership.late(i, timeout)
+        i
+        for i in leadership.view.ids
+        if i != leadership.own_id and i in answered and not leadership.is_silent(i, timeout)
     ]
 
 
@@ -65,7 +67,7 @@
     waited = consensus.now - leadership.write_started_at if leadership.write is not None else timedelta(0)
     if leadership.own_id not in leadership.stored and waited > timing.election_timeout * 2:
         return consensus.save_failed(consensus.now)
-    unresponsive = [i for i in leadership.view.backups if leadership.late(i, timing.election_timeout)]
+    unresponsive = [i for i in leadership.view.backups if leadership.is_silent(i, timing.election_timeout)]
     slow = leadership.backups_without_data() if waited > leadership.copy_timeout else []
     faulty = unresponsive or slow
     actions = _replace(leadership, faulty, slow_disk=not unresponsive) if faulty else []
@@ -102,8 +104,8 @@
 def _next_roster(leadership: Leadership) -> list[Member] | None:
     """The roster that should follow, if a majority of it and of the present one is there to vote."""
     consensus, timing, ids = leadership.consensus, leadership.consensus.timing, leadership.view.ids
-    near = [i for i in ids if not leadership.late(i, timing.election_timeout)]
-    dead = {i for i in ids if leadership.late(i, timing.removal_timeout)}
+    near = [i for i in ids if not leadership.is_silent(i, timing.election_timeout)]
+    dead = {i for i in ids if leadership.is_silent(i, timing.removal_timeout)}
     # Its own seat is given away by its successor, never by itself.
     leaving = consensus.leaving_members() & set(ids) - {leadership.own_id}
     learners = consensus.membership.ready_learners(leadership.view.epoch)
