--- a/sparloom/consensus/member.py
+++ b/sparloom/consensus/member.py
@@ -30,6 +30,8 @@
     import random
     from collections.abc import Collection, Mapping
 
+    from sparloom.codec import Record
+
     from .actions import Action, ConsensusTiming, Save
     from .election import RosterPlan
     from .records import Data, Member, Message, View
@@ -299,8 +301,8 @@
         return self.leadership.begin_read(id) if self.leadership else None
 
     # -- messages -----------------------------------------------------------------
-    def receive(self, now: timedelta, message: Message) -> list[Action]:
-        """Takes a message; gives the actions that follow from it."""
+    def receive(self, now: timedelta, message: Record) -> list[Action]:
+        """Takes a message; gives the actions that follow from it. A record of another kind is dropped."""
         self.now = now
         return handle(message, self)
 
--- a/sparloom/consensus/message_handlers.py
+++ b/sparloom/consensus/message_handlers.py
@@ -26,13 +26,14 @@
 from .view_change import may_release
 
 if TYPE_CHECKING:
+    from sparloom.codec import Record
+
     from .actions import Action
     from .member import ConsensusMember
-    from .records import Message
 
 
 @singledispatch
-def handle(message: Message, consensus: ConsensusMember) -> list[Action]:
+def handle(message: Record, consensus: ConsensusMember) -> list[Action]:
     """Gives the actions that follow from a message; one of no known kind is dropped.
 
     Parameters
--- a/sparloom/controller/control_api.py
+++ b/sparloom/controller/control_api.py
@@ -20,6 +20,7 @@
 
 from sparloom.feed import CONFIGURATION, ENDPOINTS
 from sparloom.metrics.reporter import process_figures
+from sparloom.settings import SettingsError
 from sparloom.transport import bind
 
 from .change_requests import parse_change_request
--- a/sparloom/controller/endpoint_poller.py
+++ b/sparloom/controller/endpoint_poller.py
@@ -20,7 +20,7 @@
 
     from sparloom.discovery import Endpoint
     from sparloom.settings import Settings
-    from sparloom.settings.checks import CloudApi
+    from sparloom.settings.model import CloudApi
 
     from .consensus_service import ConsensusService
     from .feed_server import FeedServer
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -15,7 +15,7 @@
     ("admission", "isolation", "configuration", "event_stream", "retry", "load_balancing"),
     ("settings", "discovery", "dynamic_timeout", "membership", "consensus", "transport"),
     ("prefix_cache", "aggregation", "feed"),
-    ("relay", "compare"),
+    ("relay", "compare", "serving_program"),
     ("router", "controller"),
     ("cli",),
     ("launch.launcher", "launch.build_archive"),
