--- a/simulator/pieces.py
+++ b/simulator/pieces.py
@@ -154,11 +154,11 @@
     """
     g = AdmissionController(Capacity(10 * n), {f"t{i}": 0.1 / n for i in range(n)})
     for i in range(n):
-        g.enter(timedelta(0), i, f"t{i}", 0, Demand(300), timedelta(seconds=30))
+        g.acquire(timedelta(0), i, f"t{i}", 0, Demand(300), timedelta(seconds=30))
 
     def pass_one():
-        g.enter(timedelta(0), -1, "t0", 0, Demand(300), timedelta(seconds=30))
-        g.leave(timedelta(0), -1)
+        g.acquire(timedelta(0), -1, "t0", 0, Demand(300), timedelta(seconds=30))
+        g.release(timedelta(0), -1)
 
     return {
         "tenants": n,
--- a/simulator/point.py
+++ b/simulator/point.py
@@ -125,7 +125,7 @@
             await asyncio.sleep(0.5)
             false.append(f.doubted(self._observers(8)))
         ends = list(f.routers)
-        duty = [ip for ip, r in f.routers.items() if r.tier.relay]
+        duty = [ip for ip, r in f.routers.items() if r.tier.is_relay]
         self.out["quiet"] = {
             "relayDuty": {"nodes": len(duty), **(rates(tally, duty, self.seconds) if duty else {})},
             "others": rates(tally, [ip for ip in ends if ip not in duty] or ends, self.seconds),
--- a/sparloom/admission/controller.py
+++ b/sparloom/admission/controller.py
@@ -45,7 +45,7 @@
     """The request can't be served usefully: refused, with a time to come back."""
 
     id: object
-    back: timedelta
+    retry_after: timedelta
 
 
 @define(slots=True)
@@ -69,13 +69,13 @@
     reserve, so a flood fills the common part and its own reserve only.
     What all members together use beyond their reserves is kept as a running
     sum, so that the cost of a grant grows with no number of members.
-    ``extra`` slots are added to the common part while the fleet as a whole has
+    ``extra_slots`` slots are added to the common part while the fleet as a whole has
     room (see the notes); none of them comes out of a reserve.
 
     >>> g = AdmissionController(Capacity(4), {"a": 0.5, "b": 0.25}); now = timedelta(0)
-    >>> [type(g.enter(now, i, "b", 0, Demand(), timedelta(9))).__name__ for i in range(3)]
+    >>> [type(g.acquire(now, i, "b", 0, Demand(), timedelta(9))).__name__ for i in range(3)]
     ['Admitted', 'Admitted', 'Queued']
-    >>> type(g.enter(now, 9, "a", 0, Demand(), timedelta(9))).__name__
+    >>> type(g.acquire(now, 9, "a", 0, Demand(), timedelta(9))).__name__
     'Admitted'
     """
 
@@ -87,7 +87,7 @@
     queues: dict = field(factory=dict)
     refused: dict = field(factory=dict)
     hold: timedelta = timedelta(0)
-    extra: int = 0
+    extra_slots: int = 0
     kept: Reserves = field(init=False)
     over: tuple = field(init=False, default=(0, 0, 0))
 
@@ -115,7 +115,7 @@
         used = (slots + 1, tokens + take)
         after = self._after(m, used)
         common = kept.common_use(after)
-        if common > kept.common[0] + self.extra and common > kept.common_use(self.over):
+        if common > kept.common[0] + self.extra_slots and common > kept.common_use(self.over):
             return None
         if self.room.tokens and after[2] > kept.common[1] and after[2] > self.over[2]:
             return None
@@ -129,10 +129,10 @@
         """
         return self._fit(m, need) is not None
 
-    def tight(self):
-        """Whether the common part is used up, so that only ``extra`` slots are left.
+    def is_saturated(self):
+        """Whether the common part is used up, so that only ``extra_slots`` slots are left.
 
-        >>> AdmissionController(Capacity(1), {}).tight()
+        >>> AdmissionController(Capacity(1), {}).is_saturated()
         False
         """
         return self.kept.common_use(self.over) >= self.kept.common[0]
@@ -140,10 +140,10 @@
     def _wait_of(self, m):
         return self.hold * ((len(self.queues.get(m, ())) + 1) / max(1, self.kept.most(m)))
 
-    def enter(self, now, id, member, priority, need, horizon):
+    def acquire(self, now, id, member, priority, need, horizon):
         """A request comes: it is granted, waits, or is refused at once.
 
-        >>> type(AdmissionController(Capacity(0), {}).enter(timedelta(0), 1, "a", 0, Demand(), timedelta(0))).__name__
+        >>> type(AdmissionController(Capacity(0), {}).acquire(timedelta(0), 1, "a", 0, Demand(), timedelta(0))).__name__
         'Rejected'
         """
         m = member if member in self.parts else OTHERS
@@ -169,10 +169,10 @@
         self.held[r.id] = r
         return Admitted(r.id, reserved)
 
-    def leave(self, now, id):
+    def release(self, now, id):
         """A request has ended, or its requester has gone; gives the grants that follow.
 
-        >>> AdmissionController(Capacity(0), {}).leave(timedelta(0), 1)
+        >>> AdmissionController(Capacity(0), {}).release(timedelta(0), 1)
         []
         """
         r = self.held.pop(id, None)
@@ -228,10 +228,10 @@
             self.queues[r.member].remove(r)
         return [self._refuse(r, self.hold) for r in late] + self._next(now)
 
-    def figures(self, now):
+    def statistics(self, now):
         """What is seen from outside, per member; a reserve may be a fraction of a slot.
 
-        >>> AdmissionController(Capacity(8), {"a": 0.5}).figures(timedelta(0))["a"]["reserve"]
+        >>> AdmissionController(Capacity(8), {"a": 0.5}).statistics(timedelta(0))["a"]["reserve"]
         4.0
         """
         return {
--- a/sparloom/aggregation/__init__.py
+++ b/sparloom/aggregation/__init__.py
@@ -2,7 +2,17 @@
 
 from .aggregator import InFlightAggregator, Send
 from .parent import Parent
-from .records import Coverage, FleetTotal, GroupAggregate, MemberUpdate, SoloUpdate, coded, decoded, holder, short
+from .records import (
+    Coverage,
+    FleetTotal,
+    GroupAggregate,
+    MemberUpdate,
+    SoloUpdate,
+    decode_in_flight,
+    encode_in_flight,
+    holder_id,
+    short_id,
+)
 
 __all__ = [
     "Coverage",
@@ -13,8 +23,8 @@
     "Parent",
     "Send",
     "SoloUpdate",
-    "coded",
-    "decoded",
-    "holder",
-    "short",
+    "decode_in_flight",
+    "encode_in_flight",
+    "holder_id",
+    "short_id",
 ]
--- a/sparloom/aggregation/acknowledged.py
+++ b/sparloom/aggregation/acknowledged.py
@@ -4,14 +4,14 @@
 
 >>> from sparloom.relay import RelayTier
 >>> from .aggregator import InFlightAggregator
->>> from .records import decoded
+>>> from .records import decode_in_flight
 >>> start = timedelta(0)
 >>> relay = InFlightAggregator("a", 1, timedelta(seconds=3))
->>> relay.see(start, RelayTier(("a",), (), True), {})
->>> relay.note(start, {7: (2, 64, 0, 0, 0, 0)}, 4)
->>> [(s.key, s.crowd, s.cover, [decoded(one.held) for one in s.singles]) for s in sums(relay, start)]
+>>> relay.update_membership(start, RelayTier(("a",), (), True), {})
+>>> relay.update_in_flight(start, {7: (2, 64, 0, 0, 0, 0)}, 4)
+>>> [(s.key, s.fleet_size, s.cover, [decode_in_flight(one.held) for one in s.singles]) for s in sums(relay, start)]
 [('a', 4, [], [{7: (2, 64, 0, 0, 0, 0)}])]
->>> [(t.key, t.crowd, decoded(t.held)) for t in totals(relay, start)]
+>>> [(t.key, t.fleet_size, decode_in_flight(t.held)) for t in totals(relay, start)]
 [('a', 4, {7: (2, 64, 0, 0, 0, 0)})]
 """
 
@@ -19,7 +19,7 @@
 
 from attrs import define
 
-from .records import ROOM, Coverage, FleetTotal, GroupAggregate, SoloUpdate, coded, ranges
+from .records import ROOM, Coverage, FleetTotal, GroupAggregate, SoloUpdate, encode_in_flight, ranges
 from .shards import add, within
 
 MOST_READS = 20
@@ -37,7 +37,7 @@
     number: int
     since: timedelta
     seq: int
-    crowd: int
+    fleet_size: int
     held: dict
 
 
@@ -60,9 +60,9 @@
 
 def _group(machine):
     """The relay itself and those that follow it."""
-    yield _Holder(machine.me, machine.since, machine.seq, machine.crowd, machine.held)
-    for member in machine.group.values():
-        yield _Holder(member.holder, member.since, member.piece.seq, member.crowd, member.piece.held)
+    yield _Holder(machine.me, machine.since, machine.seq, machine.fleet_size, machine.held)
+    for member in machine.members.values():
+        yield _Holder(member.holder, member.since, member.piece.seq, member.fleet_size, member.piece.held)
 
 
 def sums(machine, now):
@@ -78,13 +78,17 @@
         add(held, holder.held)
     cover = [Coverage(holder.number, holder.seq) for holder in old]
     machine.out_seq += 1
-    crowd = min((holder.crowd for holder in group if holder.crowd), default=0)
+    fleet_size = min((holder.fleet_size for holder in group if holder.fleet_size), default=0)
     reads = some(machine.reads)
     fixed = COVER_BYTES * len(old) + READ_BYTES * len(reads)
     for lo, hi in _ranges(held, fixed, [holder.held for holder in new]):
-        singles = [SoloUpdate(holder.number, holder.seq, coded(within(holder.held, lo, hi))) for holder in new]
-        part = coded(within(held, lo, hi))
-        yield GroupAggregate(machine.key, machine.life, machine.out_seq, crowd, lo, hi, cover, part, singles, reads)
+        singles = [
+            SoloUpdate(holder.number, holder.seq, encode_in_flight(within(holder.held, lo, hi))) for holder in new
+        ]
+        part = encode_in_flight(within(held, lo, hi))
+        yield GroupAggregate(
+            machine.key, machine.instance_id, machine.out_seq, fleet_size, lo, hi, cover, part, singles, reads
+        )
         reads = []
 
 
@@ -94,11 +98,15 @@
     held = gathered.held
     add(held, machine.held)
     machine.out_seq += 1
-    crowd = min([machine.crowd, *(crowd for crowd in machine.crowds(now).values() if crowd)])
-    cover = [Coverage(member.holder, gathered.seqs.get(member.holder, 0)) for member in machine.group.values()]
-    reads, age_ms = some(machine.down), int(machine.age(now) / timedelta(milliseconds=1))
+    fleet_size = min(
+        [machine.fleet_size, *(fleet_size for fleet_size in machine.fleet_sizes(now).values() if fleet_size)]
+    )
+    cover = [Coverage(member.holder, gathered.seqs.get(member.holder, 0)) for member in machine.members.values()]
+    reads, age_ms = some(machine.down), int(machine.isolation_age(now) / timedelta(milliseconds=1))
     fixed = COVER_BYTES * len(cover) + READ_BYTES * len(reads)
     for lo, hi in _ranges(held, fixed):
-        part = coded(within(held, lo, hi))
-        yield FleetTotal(machine.key, machine.life, machine.out_seq, crowd, age_ms, lo, hi, cover, part, reads)
+        part = encode_in_flight(within(held, lo, hi))
+        yield FleetTotal(
+            machine.key, machine.instance_id, machine.out_seq, fleet_size, age_ms, lo, hi, cover, part, reads
+        )
         reads = []
--- a/sparloom/aggregation/aggregator.py
+++ b/sparloom/aggregation/aggregator.py
@@ -27,7 +27,7 @@
 from .acknowledged import some, sums, totals
 from .neighbours import Member, RelayAggregates, Send
 from .parent import Parent
-from .records import LAST, UNIT, FleetTotal, GroupAggregate, MemberUpdate, coded, decoded, holder
+from .records import LAST, UNIT, FleetTotal, GroupAggregate, MemberUpdate, decode_in_flight, encode_in_flight, holder_id
 from .shards import Shard, add, gather, replace, within
 
 MS = timedelta(milliseconds=1)
@@ -44,25 +44,25 @@
 
     >>> from sparloom.relay import RelayTier
     >>> a, b = InFlightAggregator("a", 1, timedelta(seconds=3)), InFlightAggregator("b", 1, timedelta(seconds=3))
-    >>> a.see(ZERO, RelayTier(("b",), ("b",), False), {"b": 1}); b.see(ZERO, RelayTier(("b",), (), True), {"a": 1})
-    >>> a.note(ZERO, {7: (2, 0, 0, 0, 0, 0)}, 1); b.note(ZERO, {7: (1, 0, 0, 0, 0, 0)}, 1)
-    >>> for s in a.beat(ZERO): b.hear(ZERO, s.rec)
-    >>> for s in b.beat(ZERO): a.hear(ZERO, s.rec)
-    >>> a.view(ZERO), b.view(ZERO)
+    >>> a.update_membership(ZERO, RelayTier(("b",), ("b",), False), {"b": 1}); b.update_membership(ZERO, RelayTier(("b",), (), True), {"a": 1})
+    >>> a.update_in_flight(ZERO, {7: (2, 0, 0, 0, 0, 0)}, 1); b.update_in_flight(ZERO, {7: (1, 0, 0, 0, 0, 0)}, 1)
+    >>> for s in a.due_messages(ZERO): b.on_message(ZERO, s.message)
+    >>> for s in b.due_messages(ZERO): a.on_message(ZERO, s.message)
+    >>> a.peers_in_flight(ZERO), b.peers_in_flight(ZERO)
     ({7: (1, 0, 0, 0, 0, 0)}, {7: (2, 0, 0, 0, 0, 0)})
     """
 
     key: str
-    life: int
+    instance_id: int
     contact: timedelta
     tier: object = None
     up: dict = field(factory=dict)
     me: int = 0
     seq: int = 0
     held: dict = field(factory=dict)
-    crowd: int = 0
+    fleet_size: int = 0
     words: deque = field(factory=deque)
-    group: dict = field(factory=dict)
+    members: dict = field(factory=dict)
     relays: dict = field(factory=dict)
     direct: dict = field(factory=dict)
     past: deque = field(factory=lambda: deque(maxlen=512))
@@ -81,52 +81,51 @@
     flushed: timedelta = ZERO
 
     def __attrs_post_init__(self):
-        self.me = holder(self.key, self.life)
+        self.me = holder_id(self.key, self.instance_id)
         self.parent = Parent(self.contact, self.me)
 
-    # -- what this node sees and holds ------------------------------------
-    def see(self, now, tier, up, prefer=None):
-        """Takes the plan, the routers believed up (key: life), and the parent that the news come from.
+    def update_membership(self, now, tier, up, prefer=None):
+        """Takes the plan, the routers believed up (key: instance), and the parent that the news come from.
 
-        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).see(ZERO, None, {})
+        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).update_membership(ZERO, None, {})
         """
         self.tier, self.up = tier, up
-        if self.acting:
+        if self.is_relay:
             self._begin(now)
             self.parent.key = None
         else:
             if self.since is not None:
                 self.since, self.farewell = None, 3
             if self.parent.choose(now, [p for p in tier.parents if p in up] if tier else [], prefer):
-                self.word(now)
+                self.next_sequence(now)
 
     def _begin(self, now):
         if self.since is None:
             self.since = now
-            self.word(now)
+            self.next_sequence(now)
 
     @property
-    def acting(self):
+    def is_relay(self):
         """Whether this node works as a relay: by the plan, or since some follow it all the same."""
-        return bool(self.tier and self.tier.relay or self.group)
+        return bool(self.tier and self.tier.is_relay or self.members)
 
     @property
-    def busy(self):
+    def is_active(self):
         """Whether anything of a tier is still at work here, whatever the plan says."""
-        return bool(self.group or self.farewell or self.total or self.since is not None)
+        return bool(self.members or self.farewell or self.total or self.since is not None)
 
-    def note(self, now, held, crowd):
+    def update_in_flight(self, now, held, fleet_size):
         """Takes what this node holds now, {short number: (calls, tokens, silent, good, bad, blamers)}.
 
-        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.note(ZERO, {}, 1); s.seq
+        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.update_in_flight(ZERO, {}, 1); s.seq
         1
         """
         held = {short: (calls, -(-tokens // UNIT) * UNIT, *rest) for short, (calls, tokens, *rest) in held.items()}
-        if held != self.held or crowd != self.crowd or not self.words:
-            self.held, self.crowd = held, crowd
-            self.word(now)
+        if held != self.held or fleet_size != self.fleet_size or not self.words:
+            self.held, self.fleet_size = held, fleet_size
+            self.next_sequence(now)
 
-    def word(self, now):
+    def next_sequence(self, now):
         """The number of a new word of this node, which holds what was noted last."""
         self.seq += 1
         self.words.append((now, self.seq, self.held))
@@ -138,25 +137,25 @@
         """What this node held by its word of a number; None if that word is forgotten."""
         return next((held for _, number, held in reversed(self.words) if number <= seq), None)
 
-    def gone(self, key, life=None):
+    def on_departed(self, key, instance_id=None):
         """A node is known gone, or all of its lives but one: what it told counts no more.
 
-        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).gone("b")
+        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).on_departed("b")
         """
-        for neighbours in (self.group, self.relays, self.direct):
-            if key in neighbours and neighbours[key].life != life:
-                if life is not None:
-                    self.past.append(holder(key, neighbours[key].life))
+        for neighbours in (self.members, self.relays, self.direct):
+            if key in neighbours and neighbours[key].instance_id != instance_id:
+                if instance_id is not None:
+                    self.past.append(holder_id(key, neighbours[key].instance_id))
                 del neighbours[key]
 
-    def read(self, now, reads):
+    def add_placements(self, now, reads):
         """Long parts of prompts went out here or, with a relay, in its group: that goes on at once.
 
-        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.read(ZERO, []); s.wait(ZERO)
+        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.add_placements(ZERO, []); s.flush_delay(ZERO)
         """
         new = {(r.resource, r.part): r for r in reads}
         self.reads |= new
-        if self.acting:
+        if self.is_relay:
             self.down |= new
         self._hasten(now, reads)
 
@@ -164,82 +163,81 @@
         if reads and self.urgent is None:
             self.urgent = now
 
-    def wait(self, now):
+    def flush_delay(self, now):
         """How long until ``beat`` should be asked because of long prompts; None without such.
 
         A relay gathers for 2 ms what comes in, and rests 30 ms between two.
 
-        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.urgent = ZERO; s.wait(ZERO)
+        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.urgent = ZERO; s.flush_delay(ZERO)
         datetime.timedelta(0)
         """
         if self.urgent is None:
             return None
-        return max(ZERO, self.urgent + GATHER - now, self.flushed + REST - now) if self.acting else ZERO
+        return max(ZERO, self.urgent + GATHER - now, self.flushed + REST - now) if self.is_relay else ZERO
 
-    # -- words in -----------------------------------------------------------
-    def hear(self, now, rec):
+    def on_message(self, now, rec):
         """Takes a word of the tier.
 
-        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).hear(ZERO, MemberUpdate("b", 1, 1, 1, b"", []))
+        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).on_message(ZERO, MemberUpdate("b", 1, 1, 1, b"", []))
         """
         {MemberUpdate: self._up, GroupAggregate: self._sum, FleetTotal: self._total}[type(rec)](now, rec)
 
-    def hear_direct(self, now, key, life, seq, held):
+    def on_direct_update(self, now, key, instance_id, seq, held):
         """Takes the word of a node that has no tier and tells everybody."""
         old = self.direct.get(key)
-        if old is None or old.life != life or old.piece.seq < seq:
-            number = holder(key, life)
-            self.direct[key] = Member(life, number, now, 0, Shard(seq, now, {number: seq}, held))
+        if old is None or old.instance_id != instance_id or old.piece.seq < seq:
+            number = holder_id(key, instance_id)
+            self.direct[key] = Member(instance_id, number, now, 0, Shard(seq, now, {number: seq}, held))
 
     def _up(self, now, rec):
-        number, old = holder(rec.key, rec.life), self.group.get(rec.key)
-        same_life = old is not None and old.life == rec.life
+        number, old = holder_id(rec.key, rec.instance_id), self.members.get(rec.key)
+        same_life = old is not None and old.instance_id == rec.instance_id
         outdated = same_life and rec.seq < old.piece.seq
         if outdated or number in self.past or self._claimed(number) > rec.seq:
             return
         if old and not same_life:
             self.past.append(old.holder)
         since = old.since if same_life else now
-        piece = Shard(rec.seq, now, {number: rec.seq}, decoded(rec.held))
-        self.group[rec.key] = Member(rec.life, number, since, rec.crowd, piece)
-        self.read(now, rec.reads)
+        piece = Shard(rec.seq, now, {number: rec.seq}, decode_in_flight(rec.held))
+        self.members[rec.key] = Member(rec.instance_id, number, since, rec.fleet_size, piece)
+        self.add_placements(now, rec.placements)
 
     def _claimed(self, number):
         """The newest word of a holder that another relay's sum covers."""
         return max((p.cover.get(number, 0) for relay in self.relays.values() for p in relay.newest), default=0)
 
     def _sum(self, now, rec):
-        if holder(rec.key, rec.life) in self.past or rec.key == self.key:
+        if holder_id(rec.key, rec.instance_id) in self.past or rec.key == self.key:
             return
         relay = self._relay(now, rec)
-        singles = tuple((s.holder, s.seq, decoded(s.held)) for s in rec.singles)
+        singles = tuple((s.holder, s.seq, decode_in_flight(s.held)) for s in rec.singles)
         cover = {c.holder: c.seq for c in rec.cover}
-        newest = replace(relay.newest, Shard(rec.seq, now, cover, decoded(rec.held), rec.lo, rec.hi, singles))
+        newest = replace(relay.newest, Shard(rec.seq, now, cover, decode_in_flight(rec.held), rec.lo, rec.hi, singles))
         if newest is None:
             return
-        relay.newest, relay.heard, relay.crowd = newest, now, rec.crowd
+        relay.newest, relay.heard, relay.fleet_size = newest, now, rec.fleet_size
         self._give_up_claimed(cover | {s.holder: s.seq for s in rec.singles})
         self._settle(now, rec.key)
-        if self.acting:
-            self.down |= {(r.resource, r.part): r for r in rec.reads}
-            self._hasten(now, rec.reads)
+        if self.is_relay:
+            self.down |= {(r.resource, r.part): r for r in rec.placements}
+            self._hasten(now, rec.placements)
 
     def _relay(self, now, rec):
-        """What is kept of the relay that speaks; begun anew with a new life."""
+        """What is kept of the relay that speaks; begun anew with a new instance."""
         relay = self.relays.get(rec.key)
-        if relay is None or relay.life != rec.life:
+        if relay is None or relay.instance_id != rec.instance_id:
             if relay:
-                self.past.append(holder(rec.key, relay.life))
-            relay = self.relays[rec.key] = RelayAggregates(rec.life, now)
+                self.past.append(holder_id(rec.key, relay.instance_id))
+            relay = self.relays[rec.key] = RelayAggregates(rec.instance_id, now)
         return relay
 
     def _give_up_claimed(self, told):
         """Members that another relay tells of, with newer words, for the second time have gone there."""
-        for key, member in list(self.group.items()):
+        for key, member in list(self.members.items()):
             if told.get(member.holder, 0) > member.piece.seq:
                 member.claims += 1
                 if member.claims > 1:
-                    del self.group[key]
+                    del self.members[key]
 
     def _settle(self, now, key):
         """A relay's new pieces are taken where they overlap no sum that stands."""
@@ -255,23 +253,22 @@
                 relay.standing = replace(relay.standing, piece) or relay.standing
 
     def _total(self, now, rec):
-        if rec.key != self.parent.key or self.acting:
+        if rec.key != self.parent.key or self.is_relay:
             return
-        if self.teller != (rec.key, rec.life):
-            self.teller = (rec.key, rec.life)
+        if self.teller != (rec.key, rec.instance_id):
+            self.teller = (rec.key, rec.instance_id)
             self.total = [Shard(-1, p.heard, p.cover, p.held, p.lo, p.hi) for p in self.total]
         mine = [c.seq for c in rec.cover if c.holder == self.me]
         own = self._own(mine[0]) if mine and mine[0] else {}
         if own is None or mine == [0]:
             return
-        held = decoded(rec.held)
+        held = decode_in_flight(rec.held)
         add(held, within(own, rec.lo, rec.hi), -1)
         new = replace(self.total, Shard(rec.seq, now, {}, held, rec.lo, rec.hi))
         if new is not None:
-            self.total, self.total_crowd = new, rec.crowd
+            self.total, self.total_crowd = new, rec.fleet_size
             self.parent.spoke = max(self.parent.spoke, now - rec.age * MS)
 
-    # -- what is known ------------------------------------------------------
     def _sure(self, now):
         """Whether a new relay has heard the others, or waited long enough for them."""
         if self.since is None:
@@ -281,7 +278,7 @@
 
     def clean(self, now):
         """What was not heard for a contact bound counts nothing."""
-        for members in (self.group, self.direct):
+        for members in (self.members, self.direct):
             for key in [key for key, member in members.items() if now - member.piece.heard > self.contact]:
                 del members[key]
         for relay in self.relays.values():
@@ -294,43 +291,42 @@
         self.clean(now)
         relays = self.relays.values()
         fresh = [p for relay in relays for p in relay.newest if now - p.heard <= self.contact]
-        words = [(m.holder, m.piece) for members in (self.group, self.direct) for m in members.values()]
+        words = [(m.holder, m.piece) for members in (self.members, self.direct) for m in members.values()]
         words += [(number, Shard(seq, p.heard, {}, held, p.lo, p.hi)) for p in fresh for number, seq, held in p.singles]
         return gather([p for relay in relays for p in relay.standing], words, self.me, self._own)
 
-    def view(self, now, direct=()):
+    def peers_in_flight(self, now, direct=()):
         """What all others hold, or None while the direct words are what counts.
 
         ``direct``: the keys of those whose direct words are fresh.
 
-        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).view(ZERO) is None
+        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).peers_in_flight(ZERO) is None
         True
         """
-        if self.acting and self._sure(now):
+        if self.is_relay and self._sure(now):
             return self.gathered(now).held
         self.total = [p for p in self.total if now - p.heard <= self.contact]
-        if not self.acting and self.parent.key is None and self.total and self.up.keys() <= set(direct):
+        if not self.is_relay and self.parent.key is None and self.total and self.up.keys() <= set(direct):
             self.total = []
         if not self.total:
-            return self.gathered(now).held if self.acting else None
+            return self.gathered(now).held if self.is_relay else None
         got = {}
         for p in self.total:
             got.update(p.held)
         return got
 
-    def crowds(self, now):
+    def fleet_sizes(self, now):
         """The least number that others divide by, as each of those heard tells it."""
-        if not self.acting:
+        if not self.is_relay:
             return {self.teller[0]: self.total_crowd} if self.total and self.total_crowd else {}
-        members = {key: member.crowd for key, member in self.group.items()}
-        relays = {key: r.crowd for key, r in self.relays.items() if r.crowd and now - r.heard <= self.contact}
+        members = {key: member.fleet_size for key, member in self.members.items()}
+        relays = {key: r.fleet_size for key, r in self.relays.items() if r.fleet_size and now - r.heard <= self.contact}
         return members | relays
 
-    # -- words out ------------------------------------------------------------
-    def beat(self, now):
+    def due_messages(self, now):
         """The words that are due, as a list of ``Send``; asked for some twenty times a second."""
         self.clean(now)
-        if self.acting:
+        if self.is_relay:
             self._begin(now)
             return self._as_relay(now)
         out = []
@@ -338,7 +334,9 @@
             out.append(self._say_farewell(now))
         to = self.parent.key
         if to and self._due(now, UP, (to, self.seq), self.reads):
-            word = MemberUpdate(self.key, self.life, self.seq, self.crowd, coded(self.held), some(self.reads))
+            word = MemberUpdate(
+                self.key, self.instance_id, self.seq, self.fleet_size, encode_in_flight(self.held), some(self.reads)
+            )
             out.append(Send((to,), word))
         if not self.reads:
             self.urgent = None
@@ -348,7 +346,9 @@
         """A relay that is one no more tells the others an empty sum."""
         self.farewell -= 1
         self.out_seq += 1
-        return Send(self.others(now), GroupAggregate(self.key, self.life, self.out_seq, 0, 0, LAST, [], b"", [], []))
+        return Send(
+            self.others(now), GroupAggregate(self.key, self.instance_id, self.out_seq, 0, 0, LAST, [], b"", [], [])
+        )
 
     def _due(self, now, what, state, hurry):
         """Whether a kind of word goes out now: soon after a change of state, seldom without one."""
@@ -371,10 +371,10 @@
             if now - relay.heard <= self.contact and any(p.cover or p.singles for p in relay.newest)
         }
 
-    def age(self, now):
+    def isolation_age(self, now):
         """For how long this relay has been out of touch with half of the relays.
 
-        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).age(ZERO)
+        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).isolation_age(ZERO)
         datetime.timedelta(0)
         """
         begun = now if self.since is None else self.since
@@ -384,17 +384,17 @@
         return ages[-(-len(ages) // 2) - 1]
 
     def _as_relay(self, now):
-        out, late = [], self.wait(now)
+        out, late = [], self.flush_delay(now)
         hurry = late is not None and late <= ZERO
-        state = (self.seq, *(member.piece.seq for member in self.group.values()))
+        state = (self.seq, *(member.piece.seq for member in self.members.values()))
         others = self.others(now)
         if others and self._due(now, ACROSS, state, hurry and self.reads):
             out += [Send(others, rec) for rec in sums(self, now)]
-        if self.group and self._sure(now):
+        if self.members and self._sure(now):
             heard = (state, *(p.seq for relay in self.relays.values() for p in relay.newest))
             if self._due(now, DOWN, heard, hurry and self.down):
-                out += [Send(tuple(self.group), rec) for rec in totals(self, now)]
+                out += [Send(tuple(self.members), rec) for rec in totals(self, now)]
         if hurry:
             self.flushed = now
-            self.urgent = now if self.reads and others or self.down and self.group else None
+            self.urgent = now if self.reads and others or self.down and self.members else None
         return out
--- a/sparloom/aggregation/neighbours.py
+++ b/sparloom/aggregation/neighbours.py
@@ -11,18 +11,18 @@
 class Send:
     """A record for some nodes."""
 
-    to: tuple
-    rec: object
+    destinations: tuple
+    message: object
 
 
 @define(slots=True)
 class Member:
     """A node that tells its own counts here, and the newest that it told."""
 
-    life: int
+    instance_id: int
     holder: int
     since: timedelta
-    crowd: int
+    fleet_size: int
     piece: Shard
     claims: int = 0
 
@@ -31,8 +31,8 @@
 class RelayAggregates:
     """Another relay of the tier, and the sums that it told."""
 
-    life: int
+    instance_id: int
     heard: timedelta
-    crowd: int = 0
+    fleet_size: int = 0
     newest: list = field(factory=list)
     standing: list = field(factory=list)
--- a/sparloom/aggregation/records.py
+++ b/sparloom/aggregation/records.py
@@ -22,7 +22,7 @@
 
 @record(83)
 class Coverage(Record):
-    """One life of a holder, and which of its words is in a sum."""
+    """One instance of a holder, and which of its words is in a sum."""
 
     holder: UInt64
     seq: UInt32
@@ -39,14 +39,14 @@
 
 @record(85)
 class MemberUpdate(Record):
-    """All that a follower has in flight, to its relay; ``reads``: long parts of prompts that it sent out."""
+    """All that a follower has in flight, to its relay; ``placements``: long parts of prompts that it sent out."""
 
     key: str
-    life: UInt64
+    instance_id: UInt64
     seq: UInt32
-    crowd: UInt16
+    fleet_size: UInt16
     held: bytes
-    reads: list[PrefixPlacement]
+    placements: list[PrefixPlacement]
 
 
 @record(86)
@@ -54,19 +54,19 @@
     """A relay's group, to the other relays: whom it covers, their sum, and those told one by one.
 
     ``lo`` to ``hi``: the resources that this piece tells of, both included.
-    ``crowd``: the least number that any of them divides by, 0 for none.
+    ``fleet_size``: the least number that any of them divides by, 0 for none.
     """
 
     key: str
-    life: UInt64
+    instance_id: UInt64
     seq: UInt32
-    crowd: UInt16
+    fleet_size: UInt16
     lo: UInt32
     hi: UInt32
     cover: list[Coverage]
     held: bytes
     singles: list[SoloUpdate]
-    reads: list[PrefixPlacement]
+    placements: list[PrefixPlacement]
 
 
 @record(87)
@@ -77,33 +77,33 @@
     """
 
     key: str
-    life: UInt64
+    instance_id: UInt64
     seq: UInt32
-    crowd: UInt16
+    fleet_size: UInt16
     age: UInt32
     lo: UInt32
     hi: UInt32
     cover: list[Coverage]
     held: bytes
-    reads: list[PrefixPlacement]
+    placements: list[PrefixPlacement]
 
 
-def short(number):
+def short_id(number):
     """A resource's short number.
 
-    >>> short(0xAABBCCDD11223344) == 0xAABBCCDD
+    >>> short_id(0xAABBCCDD11223344) == 0xAABBCCDD
     True
     """
     return number >> 32
 
 
-def holder(key, life):
-    """The number of one life of a holder.
+def holder_id(key, instance_id):
+    """The number of one instance of a holder.
 
-    >>> holder("a:1", 1) != holder("a:1", 2)
+    >>> holder_id("a:1", 1) != holder_id("a:1", 2)
     True
     """
-    return int.from_bytes(blake2b(f"{key}|{life}".encode(), digest_size=8).digest())
+    return int.from_bytes(blake2b(f"{key}|{instance_id}".encode(), digest_size=8).digest())
 
 
 def _put(n, out):
@@ -122,12 +122,12 @@
             return n, at
 
 
-def coded(held):
+def encode_in_flight(held):
     """Bytes for {short number: (calls, tokens, silent, good, bad, blamers)}.
 
-    >>> decoded(coded({7: (2, 33, 0, 0, 0, 0), 9: (1, 0, 1, 5, 2, 1)}))
+    >>> decode_in_flight(encode_in_flight({7: (2, 33, 0, 0, 0, 0), 9: (1, 0, 1, 5, 2, 1)}))
     {7: (2, 64, 0, 0, 0, 0), 9: (1, 0, 1, 5, 2, 1)}
-    >>> len(coded({7: (2, 3200, 0, 0, 0, 0)}))
+    >>> len(encode_in_flight({7: (2, 3200, 0, 0, 0, 0)}))
     6
     """
     out = bytearray()
@@ -142,10 +142,10 @@
     return bytes(out)
 
 
-def decoded(raw):
-    """The opposite of ``coded``; raises DecodeError.
+def decode_in_flight(raw):
+    """The opposite of ``encode_in_flight``; raises DecodeError.
 
-    >>> decoded(b"abc")
+    >>> decode_in_flight(b"abc")
     Traceback (most recent call last):
     ...
     sparloom.codec.records.DecodeError: no counts
--- a/sparloom/relay/__init__.py
+++ b/sparloom/relay/__init__.py
@@ -1,6 +1,6 @@
 """The tier of relays: who passes news on, chosen from membership without a vote."""
 
 from .plan import RelayTier, plan_tier
-from .upstream import GENTLE, GONE, SILENT, STALE, Upstream, UpstreamTiming
+from .upstream import LeaveReason, Upstream, UpstreamTiming
 
-__all__ = ["GENTLE", "GONE", "SILENT", "STALE", "RelayTier", "Upstream", "UpstreamTiming", "plan_tier"]
+__all__ = ["LeaveReason", "RelayTier", "Upstream", "UpstreamTiming", "plan_tier"]
--- a/sparloom/relay/plan.py
+++ b/sparloom/relay/plan.py
@@ -17,21 +17,21 @@
     """What one router makes of the membership.
 
     ``relays``: all relays' keys. ``parents``: those that this router may
-    follow, in the order in which to try them; the first ``near`` of them are
-    in its own zone. ``relay``: whether it is one itself. With no tier all are
+    follow, in the order in which to try them; the first ``local_parents`` of them are
+    in its own zone. ``is_relay``: whether it is one itself. With no tier all are
     empty, and every router tells every other.
     """
 
     relays: tuple = ()
     parents: tuple = ()
-    relay: bool = False
-    near: int = 0
+    is_relay: bool = False
+    local_parents: int = 0
 
     @property
-    def stands(self):
+    def exists(self):
         """Whether there is a tier.
 
-        >>> RelayTier().stands
+        >>> RelayTier().exists
         False
         """
         return bool(self.relays)
@@ -68,10 +68,10 @@
     changes a relay or two and hands few followers over. What should ride out
     a flicker (whom a router follows) waits for itself: see ``Upstream``.
 
-    >>> plan_tier("a", "z", [("b", "z")]).stands
+    >>> plan_tier("a", "z", [("b", "z")]).exists
     False
     >>> t = plan_tier("n0", "z", [(f"n{i}", "z") for i in range(1, 64)])
-    >>> len(t.relays), len(t.parents) == 8 or t.relay, t.near == len(t.parents)
+    >>> len(t.relays), len(t.parents) == 8 or t.is_relay, t.local_parents == len(t.parents)
     (8, True, True)
     """
     zones = {}
--- a/sparloom/relay/upstream.py
+++ b/sparloom/relay/upstream.py
@@ -8,6 +8,7 @@
 """
 
 from datetime import timedelta
+from enum import StrEnum
 
 from attrs import define, field
 
@@ -17,7 +18,20 @@
 
 ZERO = timedelta(0)
 NO_TIER = RelayTier()
-SILENT, STALE, GENTLE, GONE = "silent", "stale", "gentle", "gone"
+
+
+class LeaveReason(StrEnum):
+    """Why a connection to an upstream node ends.
+
+    ``SILENT``: nothing was received in time. ``STALE``: heartbeats arrive, but
+    the node is out of touch with the controllers. ``GENTLE``: a better
+    upstream is available. ``GONE``: the connection failed or was closed.
+    """
+
+    SILENT = "silent"
+    STALE = "stale"
+    GENTLE = "gentle"
+    GONE = "gone"
 
 
 @define(frozen=True, slots=True)
@@ -39,10 +53,10 @@
     alone: timedelta
 
     @classmethod
-    def of(cls, contact):
+    def from_contact_bound(cls, contact):
         """The spans for a contact bound.
 
-        >>> UpstreamTiming.of(timedelta(seconds=6)).dial
+        >>> UpstreamTiming.from_contact_bound(timedelta(seconds=6)).dial
         datetime.timedelta(microseconds=500000)
         """
         return cls(
@@ -59,13 +73,13 @@
 class Upstream:
     """One router's place in the tier; time and messages in, decisions out.
 
-    >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1))
-    >>> u.choose(ZERO, ("c:1", "d:1")), u.serves()
+    >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1))
+    >>> u.choose(ZERO, ("c:1", "d:1")), u.can_serve()
     ('c:1', True)
     """
 
     me: str
-    spans: UpstreamTiming
+    timing: UpstreamTiming
     rng: object
     tier: RelayTier = NO_TIER
     suspects: frozenset = frozenset()
@@ -84,44 +98,44 @@
     tried: list = field(factory=list)
 
     def __attrs_post_init__(self):
-        self.tracker = SourceTracker(*self.spans.single)
+        self.tracker = SourceTracker(*self.timing.single)
         self._patience()
 
     def _some(self, least, more):
-        return self.spans.contact * (least + more * self.rng.random())
+        return self.timing.contact * (least + more * self.rng.random())
 
     def _patience(self):
         self.patience = self._some(1, 1)
 
     # -- what membership says ------------------------------------------------
-    def see(self, now, tier, suspects=frozenset()):
+    def update_tier(self, now, tier, suspects=frozenset()):
         """Takes the tier as membership has it now; ``suspects`` are tried last.
 
-        >>> Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)).see(ZERO, RelayTier())
+        >>> Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)).update_tier(ZERO, RelayTier())
         """
         self.suspects = suspects
         self.avoid = {k: t for k, t in self.avoid.items() if t > now}
-        under = tier.stands and not tier.relay
+        under = tier.exists and not tier.is_relay
         if under != self.under:
             # A relay that others follow leaves last; a new one is wanted soon.
             self.under, self.wished = under, now
             self.stay = now + (
-                self._some(2, 1) if self.tier.relay else self._some(1, 1) if under else self._some(0.5, 0.5)
+                self._some(2, 1) if self.tier.is_relay else self._some(1, 1) if under else self._some(0.5, 0.5)
             )
         self.tier = tier
         self._bear()
 
     def _bear(self):
         """What silence and age it bears hangs on its duty."""
-        sp = self.spans
+        sp = self.timing
         self.tracker.silence, self.tracker.doubt = (
-            sp.follower if not self.direct else sp.relay if self.tier.relay else sp.single
+            sp.follower if not self.direct else sp.relay if self.tier.is_relay else sp.single
         )
 
-    def serves(self):
+    def can_serve(self):
         """Whether this router may serve followers: only one that follows a controller.
 
-        >>> Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)).serves()
+        >>> Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)).can_serve()
         True
         """
         return self.direct
@@ -130,18 +144,18 @@
     def depth(self):
         """Hops to the controller: 1, or 2 under a relay.
 
-        >>> Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)).depth
+        >>> Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)).depth
         1
         """
         return 1 if self.direct else 2
 
-    def room(self):
+    def follower_limit(self):
         """How many followers it takes at most: two groups, since relays stand in for each other.
 
         There are about as many routers in a group as there are relays. More
         would fill a thin link for long with one large change.
 
-        >>> Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)).room()
+        >>> Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)).follower_limit()
         2
         """
         return 2 * max(1, len(self.tier.relays))
@@ -165,7 +179,7 @@
         long.
         """
         if self._may_follow_relays(now):
-            lost = self.alone is not None and now - self.alone >= self.spans.alone
+            lost = self.alone is not None and now - self.alone >= self.timing.alone
             free = self._relays(now)
             if free and not lost and not self._old(now):
                 return free[0]
@@ -174,11 +188,11 @@
         best = sorted(controllers, key=lambda c: c in self.tried and self.tried.index(c) + 1)
         return best[0] if best else None
 
-    def start(self, now, to):
+    def on_connecting(self, now, to):
         """A pipe to ``to`` is being opened.
 
-        >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1))
-        >>> u.start(ZERO, "c:1"); u.parent
+        >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1))
+        >>> u.on_connecting(ZERO, "c:1"); u.parent
         'c:1'
         """
         self.parent, self.direct = to, to not in self.tier.parents
@@ -191,11 +205,11 @@
         self.tracker.start(now)
 
     # -- what comes from there -----------------------------------------------
-    def pulse(self, now, age, sent=None):
+    def on_heartbeat(self, now, age, sent=None):
         """A pulse came: ``age`` in ms since the primary was confirmed, ``sent`` in ms of the sender's clock.
 
-        >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)); u.start(ZERO, "c:1")
-        >>> u.pulse(ZERO, 20); u.fresh == ZERO
+        >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)); u.on_connecting(ZERO, "c:1")
+        >>> u.on_heartbeat(ZERO, 20); u.fresh == ZERO
         True
         """
         self.tracker.pulse(now, age, sent)
@@ -205,51 +219,51 @@
             self.fresh, self.stales = now, 0
             self._patience()
 
-    def change(self, now):
+    def on_change(self, now):
         """A change came.
 
-        >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)); u.change(ZERO)
+        >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)); u.on_change(ZERO)
         """
         self.tracker.change(now)
 
-    def due(self, now):
-        """How long it may wait for the next record before ``leave`` must be asked again.
+    def next_check_delay(self, now):
+        """How long it may wait for the next record before ``leave_reason`` must be asked again.
 
-        >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)); u.start(ZERO, "c:1")
-        >>> u.due(ZERO)
+        >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)); u.on_connecting(ZERO, "c:1")
+        >>> u.next_check_delay(ZERO)
         datetime.timedelta(seconds=1, microseconds=1000)
         """
-        return self.tracker.due(now, first=self.spans.dial if not self.direct else None)
+        return self.tracker.due(now, first=self.timing.dial if not self.direct else None)
 
-    def leave(self, now):
+    def leave_reason(self, now):
         """Why to leave the one that is followed, or None.
 
-        >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)); u.start(ZERO, "c:1")
-        >>> u.leave(ZERO), u.leave(timedelta(seconds=2))
-        (None, 'silent')
+        >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)); u.on_connecting(ZERO, "c:1")
+        >>> u.leave_reason(ZERO), u.leave_reason(timedelta(seconds=2))
+        (None, <LeaveReason.SILENT: 'silent'>)
         """
         tr = self.tracker
-        if now - tr.heard > tr.silence or not self.direct and not tr.pulses and now - tr.since > self.spans.dial:
-            return SILENT
+        if now - tr.heard > tr.silence or not self.direct and not tr.pulses and now - tr.since > self.timing.dial:
+            return LeaveReason.SILENT
         sure = tr.sureness(now)
         if (
             not self.direct
             and tr.pulses
             and (sure is None or sure > tr.doubt)
             and self.stales
-            and self.stales <= self.tier.near
+            and self.stales <= self.tier.local_parents
         ):
-            return STALE
+            return LeaveReason.STALE
         if tr.move_on(now):
-            return STALE
-        return GENTLE if self._restless(now) else None
+            return LeaveReason.STALE
+        return LeaveReason.GENTLE if self._restless(now) else None
 
     def _restless(self, now):
         if self.direct:
             return self.under and now >= self.stay and not self._old(now) and bool(self._relays(now))
         if not self.under:
             return now >= self.stay
-        near = self.tier.parents[: self.tier.near]
+        near = self.tier.parents[: self.tier.local_parents]
         far = (
             bool(near)
             and self.parent not in near
@@ -262,20 +276,20 @@
             self.odd = now + (self._some(2, 4) if self.parent in self.tier.parents else self._some(1, 1))
         return now >= self.odd
 
-    def ended(self, now, why):
+    def on_disconnected(self, now, why):
         """The pipe has ended, or none came about.
 
-        >>> u = Upstream("r:1", UpstreamTiming.of(timedelta(seconds=3)), __import__("random").Random(1)); u.start(ZERO, "c:1")
-        >>> u.ended(ZERO, GONE); u.parent is None
+        >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)); u.on_connecting(ZERO, "c:1")
+        >>> u.on_disconnected(ZERO, LeaveReason.GONE); u.parent is None
         True
         """
         key, self.parent = self.parent, None
         if self.direct:
             return
-        if why == GENTLE:
+        if why == LeaveReason.GENTLE:
             return
         self.avoid[key] = now + self._some(0.5, 0.5)
-        if why == STALE:
+        if why == LeaveReason.STALE:
             self.stales += 1
         elif self.alone is None:
             self.alone = now
--- a/sparloom/router/admission_queues.py
+++ b/sparloom/router/admission_queues.py
@@ -38,12 +38,12 @@
         k = self.know
         posts, s = k.fleet.of(service), k.policy.services.get(service)
         old = self.rooms.get(service)
-        if old and old[0] is posts and old[1] is s and old[2:4] == (k.crowd.divisor, k.crowd.open):
+        if old and old[0] is posts and old[1] is s and old[2:4] == (k.crowd.divisor, k.crowd.admitting):
             return old[4]
         slots = sum(most(p.slots or (s.slots if s else 0)) for p in posts)
         self.wholes[service] = slots
-        room = Capacity(k.crowd.part(slots), k.crowd.part(s.cache_tokens * len(posts)) if s else 0)
-        self.rooms[service] = (posts, s, k.crowd.divisor, k.crowd.open, room)
+        room = Capacity(k.crowd.share(slots), k.crowd.share(s.cache_tokens * len(posts)) if s else 0)
+        self.rooms[service] = (posts, s, k.crowd.divisor, k.crowd.admitting, room)
         return room
 
     def connections(self, service):
@@ -53,7 +53,7 @@
         old = self.cons.get(service)
         if old and old[0] is posts and old[1] is s and old[2:4] == (c.divisor, c.index):
             return old[4]
-        cons = {p.id: c.pieces(s.pipe_limit if s else 64, p.number) for p in posts}
+        cons = {p.id: c.indivisible_share(s.pipe_limit if s else 64, p.number) for p in posts}
         cons = cons if any(cons.values()) else dict.fromkeys(cons, 1)
         self.cons[service] = (posts, s, c.divisor, c.index, cons)
         return cons
@@ -75,7 +75,7 @@
         id = next(self.ids)
         gate, need = self.gate(service), Demand(sum(n for _, n in ask.parts))
         self._step(service, gate)
-        got = gate.enter(monotonic(), id, self.member(ask.route), ask.route.priority, need, ask.horizon)
+        got = gate.acquire(monotonic(), id, self.member(ask.route), ask.route.priority, need, ask.horizon)
         if not isinstance(got, Queued):
             return got
         fut = self.waits[id] = asyncio.get_running_loop().create_future()
@@ -89,7 +89,7 @@
 
     def leave(self, service, id):
         """An ask has ended; those that wait may follow."""
-        self._heed(self.gates[service].leave(monotonic(), id))
+        self._heed(self.gates[service].release(monotonic(), id))
 
     def tick(self):
         """Time moves on for all lines."""
@@ -99,9 +99,9 @@
 
     def _step(self, service, gate):
         now, k, room = monotonic(), self.know, self._room(service)
-        whole, gate.extra = self.wholes[service], 0
-        if gate.tight():
-            gate.extra = k.crowd.extra(whole, whole * sum(self._parts().values()), self._in_use(service, now))
+        whole, gate.extra_slots = self.wholes[service], 0
+        if gate.is_saturated():
+            gate.extra_slots = k.crowd.surplus(whole, whole * sum(self._parts().values()), self._in_use(service, now))
         self._heed(gate.tick(now, room, self._parts()))
 
     def _in_use(self, service, now):
@@ -121,10 +121,10 @@
             if fut is not None and not fut.done():
                 fut.set_result(a)
 
-    def figures(self):
+    def statistics(self):
         """Every gate's figures."""
         now = monotonic()
-        return {s: g.figures(now) for s, g in self.gates.items()}
+        return {s: g.statistics(now) for s, g in self.gates.items()}
 
 
 __all__ = ["AdmissionQueues", "Admitted", "Rejected"]
--- a/sparloom/router/feed_client.py
+++ b/sparloom/router/feed_client.py
@@ -12,7 +12,7 @@
 from sparloom.feed import payload as news
 from sparloom.feed.serving import ChangeSignal
 from sparloom.membership import CONTROLLER
-from sparloom.relay import GONE, Upstream, UpstreamTiming
+from sparloom.relay import LeaveReason, Upstream, UpstreamTiming
 from sparloom.transport import DialTimeout, monotonic
 
 MS = timedelta(milliseconds=1)
@@ -25,8 +25,8 @@
         super().__init__()
         self.know = know
         self.shelf, self.bell = VersionedStore(), ChangeSignal()
-        self.upstream = Upstream(know.key, UpstreamTiming.of(know.up.bounds.contact), know.rng)
-        self.dialing = DialTimeout(know.up.bounds.contact / 40, self.upstream.spans.dial)
+        self.upstream = Upstream(know.key, UpstreamTiming.from_contact_bound(know.up.bounds.contact), know.rng)
+        self.dialing = DialTimeout(know.up.bounds.contact / 40, self.upstream.timing.dial)
         self.raw, self.afresh = None, set()
         self.told = news.ZERO
 
@@ -44,13 +44,13 @@
         while not self.should_stop:
             to = up.choose(monotonic(), self._controllers())
             if to is not None:
-                up.start(monotonic(), to)
-                why = GONE
+                up.on_connecting(monotonic(), to)
+                why = LeaveReason.GONE
                 try:
                     why = await self._from(to)
                 except (OSError, EOFError, DecodeError, TimeoutError):
                     pass
-                up.ended(monotonic(), why)
+                up.on_disconnected(monotonic(), why)
             await asyncio.sleep(0.02 + 0.04 * self.know.rng.random())
 
     async def _from(self, to):
@@ -63,19 +63,19 @@
             logging.info("feed: follows %s at depth %d.", to, up.depth)
             while True:
                 # After a stall of its own it first reads what waits, and then judges.
-                why = up.leave(monotonic())
-                rec = await self._read(frames, up.spans.contact / 100 if why else up.due(monotonic()))
+                why = up.leave_reason(monotonic())
+                rec = await self._read(frames, up.timing.contact / 100 if why else up.next_check_delay(monotonic()))
                 if rec is None and why:
                     logging.info("feed: leaves %s (%s).", to, why)
                     return why
                 if isinstance(rec, FeedHeartbeat):
-                    up.pulse(monotonic(), rec.age, rec.sent)
+                    up.on_heartbeat(monotonic(), rec.age, rec.sent)
                     self.told = max(self.told, rec.policy)
                     self._sure(rec)
                     self.bell.ring()
                 elif isinstance(rec, Change):
                     if not self._take(rec):
-                        return GONE
+                        return LeaveReason.GONE
                 elif rec is not None:
                     raise DecodeError("a record that is none of the feed")
         finally:
@@ -112,7 +112,7 @@
         k = self.know
         if c.topic not in TOPICS:
             raise DecodeError("a change of no known topic")
-        self.upstream.change(monotonic())
+        self.upstream.on_change(monotonic())
         if c.stamp <= self.shelf.stamp(c.topic):
             return True
         if c.base != news.ZERO and c.base != self.shelf.stamp(c.topic):
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -185,7 +185,7 @@
         except TimeoutError:
             return self._give_up(GiveUp(503))
         if isinstance(place, Rejected):
-            return self._give_up(GiveUp(503), place.back)
+            return self._give_up(GiveUp(503), place.retry_after)
         self.reserved = place.reserved
         try:
             return await self._try()
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -95,7 +95,7 @@
             "fleet": {p.id: "draining" if p.draining else "ready" for p in k.fleet.posts.values()},
             "counts": {id: k.counts.count(id, now) for id in k.fleet.posts},
             "ready": k.ready(),
-            "shares": {f"{s} {m}": f for s, ms in k.lines.figures().items() for m, f in ms.items()},
+            "shares": {f"{s} {m}": f for s, ms in k.lines.statistics().items() for m, f in ms.items()},
             "divisor": k.crowd.divisor,
             "relays": {r: "relay" for r in k.tier.relays},
             "tier": k.serve.told(),
--- a/sparloom/router/in_flight_gossip.py
+++ b/sparloom/router/in_flight_gossip.py
@@ -8,7 +8,7 @@
 import os
 from functools import singledispatchmethod
 
-from sparloom.aggregation import FleetTotal, GroupAggregate, InFlightAggregator, MemberUpdate, short
+from sparloom.aggregation import FleetTotal, GroupAggregate, InFlightAggregator, MemberUpdate, short_id
 from sparloom.dynamic_timeout import InFlightReport, InFlightUpdate, PrefixPlacement
 from sparloom.membership import ROUTER
 from sparloom.transport import monotonic
@@ -33,7 +33,7 @@
         reads = [PrefixPlacement(post.number, k, n) for k, n in parts if n >= LONG]
         if reads and self.tiered:
             self._note(monotonic())
-            self.sums.read(monotonic(), reads)
+            self.sums.add_placements(monotonic(), reads)
             self._hurry()
         elif reads:
             self.reads += reads
@@ -66,14 +66,14 @@
     def beat(self, turn):
         """Tells what is due; called some twenty times a second."""
         k = self.know
-        was, self.tiered = self.tiered, k.tier.stands or self.sums.busy
-        if not k.tier.stands and (turn % 4 == 0 or self.soon):
+        was, self.tiered = self.tiered, k.tier.exists or self.sums.is_active
+        if not k.tier.exists and (turn % 4 == 0 or self.soon):
             self._directly(turn)
         if self.tiered and turn % 20 == 0:
             k.counts.called(self._up().items(), monotonic())
         if self.tiered or was:
             self._through(was)
-            if turn % (2 if self.sums.acting else 4) == 0 or not self.tiered:
+            if turn % (2 if self.sums.is_relay else 4) == 0 or not self.tiered:
                 self._take_view(monotonic())
 
     def _directly(self, turn):
@@ -82,7 +82,7 @@
             return
         self.said, self.soon = held, False
         rec, self.reads = (
-            InFlightUpdate(k.key, self.life, self.sums.word(monotonic()), k.crowd.divisor, held, self.reads),
+            InFlightUpdate(k.key, self.life, self.sums.next_sequence(monotonic()), k.crowd.divisor, held, self.reads),
             [],
         )
         k.net.send(tuple(self._up()), rec)
@@ -91,33 +91,33 @@
         k, now, up = self.know, monotonic(), self._up()
         if not was:
             for key, p in k.counts.peers.items():
-                self.sums.hear_direct(
+                self.sums.on_direct_update(
                     p.heard,
                     key,
                     p.life,
                     p.seq,
-                    {short(k.fleet.posts[id].number): v for id, v in p.held.items() if id in k.fleet.posts},
+                    {short_id(k.fleet.posts[id].number): v for id, v in p.held.items() if id in k.fleet.posts},
                 )
-        self.sums.see(now, k.tier, up, k.follow.upstream.parent)
+        self.sums.update_membership(now, k.tier, up, k.follow.upstream.parent)
         self._note(now)
         self._send(now)
         self.soon = False
 
     def _note(self, now):
-        self.sums.note(
+        self.sums.update_in_flight(
             now,
-            {short(h.resource): (h.calls, h.tokens, h.silent, h.good, h.bad, h.blamers) for h in self._held()},
+            {short_id(h.resource): (h.calls, h.tokens, h.silent, h.good, h.bad, h.blamers) for h in self._held()},
             self.know.crowd.divisor,
         )
 
     def _send(self, now):
-        for s in self.sums.beat(now):
-            self.know.net.send(s.to, s.rec)
+        for s in self.sums.due_messages(now):
+            self.know.net.send(s.destinations, s.message)
 
     def _hurry(self):
         """Long prompts do not wait for the next beat."""
-        wait = self.sums.wait(monotonic())
-        if wait is not None and not wait and not self.sums.acting:
+        wait = self.sums.flush_delay(monotonic())
+        if wait is not None and not wait and not self.sums.is_relay:
             self._send(monotonic())
         elif wait is not None and self.timer is None:
             self.timer = self.later(wait, self._flush)
@@ -125,7 +125,7 @@
     def _flush(self):
         self.timer, now = None, monotonic()
         self._send(now)
-        if self.sums.acting:
+        if self.sums.is_relay:
             self._take_view(now)
         self._hurry()
 
@@ -146,8 +146,10 @@
         if self.fleet is not k.fleet:
             self.fleet, self.shorts = k.fleet, {}
             for p in k.fleet.posts.values():
-                self.shorts.setdefault(short(p.number), []).append(p.id)
-        view = self.sums.view(now, [key for key, p in k.counts.peers.items() if now - p.heard <= k.counts.stale])
+                self.shorts.setdefault(short_id(p.number), []).append(p.id)
+        view = self.sums.peers_in_flight(
+            now, [key for key, p in k.counts.peers.items() if now - p.heard <= k.counts.stale]
+        )
         k.counts.shared = None if view is None else {id: v for s, v in view.items() for id in self.shorts.get(s, ())}
 
     def _saw(self, reads):
@@ -161,10 +163,10 @@
     def hear(self, rec, src):
         """Takes another router's word; one of a life that is known gone tells nothing."""
         now = monotonic()
-        if not self.know.swim.holds(rec.key, rec.life):
+        if not self.know.swim.holds(rec.key, rec.instance_id):
             return
-        self.sums.hear(now, rec)
-        self._saw(rec.reads)
+        self.sums.on_message(now, rec)
+        self._saw(rec.placements)
         if isinstance(rec, FleetTotal):
             self._take_view(now)
         self._hurry()
@@ -176,25 +178,25 @@
             return
         k.counts.hear(rec, now, k.fleet.numbers)
         if self.tiered:
-            self.sums.hear_direct(
+            self.sums.on_direct_update(
                 now,
                 rec.key,
                 rec.life,
                 rec.seq,
-                {short(h.resource): (h.calls, h.tokens, h.silent, h.good, h.bad, h.blamers) for h in rec.held},
+                {short_id(h.resource): (h.calls, h.tokens, h.silent, h.good, h.bad, h.blamers) for h in rec.held},
             )
         self._saw(rec.reads)
 
     def gone(self, key, life):
         """A router's lives, all but one, are known gone: they hold nothing any more."""
         self.know.counts.drop(key, life)
-        self.sums.gone(key, life)
+        self.sums.on_departed(key, life)
 
     def crowds(self):
         """What the others divide by, as far as they told; a newcomer waits for its first total."""
         k, now, up = self.know, monotonic(), self._up()
         if k.counts.shared is not None:
-            return self.sums.crowds(now)
+            return self.sums.fleet_sizes(now)
         told = {key: p.crowd for key, p in k.counts.peers.items() if key in up}
         waits = self.tiered and now - k.born < k.up.bounds.contact
         return told | {"": 0} if waits else told
--- a/sparloom/router/relay_server.py
+++ b/sparloom/router/relay_server.py
@@ -50,7 +50,7 @@
 
     def open(self):
         """Whether followers are served."""
-        return self.follow.upstream.serves() and not self.should_stop
+        return self.follow.upstream.can_serve() and not self.should_stop
 
     def period(self):
         """How long a follower waits for a pulse when none comes from above."""
@@ -70,7 +70,11 @@
         try:
             async with asyncio.timeout(self.patience.total_seconds()):
                 first = await frames.read()
-            if isinstance(first, Subscribe) and self.open() and len(self.followers) < self.follow.upstream.room():
+            if (
+                isinstance(first, Subscribe)
+                and self.open()
+                and len(self.followers) < self.follow.upstream.follower_limit()
+            ):
                 self.followers[frames] = first.node
                 await serve_follower(frames, first.place, self)
         except (OSError, EOFError, DecodeError, TimeoutError, asyncio.CancelledError):
@@ -87,6 +91,6 @@
             "follows": up.parent,
             "depth": up.depth,
             "ageMs": None if age is None else int(age / MS),
-            "relay": up.tier.relay,
+            "relay": up.tier.is_relay,
             "followers": sorted(self.followers.values()),
         }
--- a/sparloom/router/router_state.py
+++ b/sparloom/router/router_state.py
@@ -117,7 +117,7 @@
     def count(self):
         """Notes by how many routers the whole is divided."""
         up = sorted(p.key for p in self.swim.alive() if p.role == ROUTER)
-        self.crowd.see(
+        self.crowd.update(
             monotonic(), 1 + len(up), self.listed.crowd if self.listed else 0, self.tell.crowds(), bisect(up, self.key)
         )
 
@@ -127,7 +127,7 @@
         members = frozenset((p.key, p.zone) for p in up)
         if members != self.members:
             self.members, self.tier = members, plan_tier(self.key, self.up.zone, list(members))
-        self.follow.upstream.see(monotonic(), self.tier, frozenset(p.key for p in up if p.state == SUSPECT))
+        self.follow.upstream.update_tier(monotonic(), self.tier, frozenset(p.key for p in up if p.state == SUSPECT))
 
     @Service.task
     async def _beat(self):
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -49,7 +49,7 @@
         return AdmissionController(Capacity(10, 1000), {"a": 0.3, "b": 0.3})
 
     def enter(self, g, id, m, pri=0, tokens=0, at=0 * S, horizon=60 * S):
-        return type(g.enter(at, id, m, pri, Demand(tokens), horizon))
+        return type(g.acquire(at, id, m, pri, Demand(tokens), horizon))
 
     def test_a_flood_leaves_the_others_reserve(self):
         g = self.gate()
@@ -72,7 +72,7 @@
             self.enter(g, i, "b")
         for i, pri in ((20, 1), (21, 0), (22, 1), (23, 0)):
             self.enter(g, i, "b", pri, at=i * MS)
-        order = [a.id for i in range(4) for a in g.leave(S, i)]
+        order = [a.id for i in range(4) for a in g.release(S, i)]
         self.assertEqual(order, [21, 23, 20, 22])
 
     def test_a_place_is_never_granted_twice_nor_lost(self):
@@ -81,13 +81,13 @@
             for i in range(600):
                 now += rng.randrange(1, 20) * MS
                 if rng.random() < 0.6 or not held:
-                    got = g.enter(now, i, rng.choice("abz"), rng.randrange(2), Demand(rng.randrange(300)), now + S)
+                    got = g.acquire(now, i, rng.choice("abz"), rng.randrange(2), Demand(rng.randrange(300)), now + S)
                     seen.add(i)
                     acts = [got]
                 else:
                     gone = rng.choice(sorted(held))
                     held.discard(gone)
-                    acts = g.leave(now, gone)
+                    acts = g.release(now, gone)
                 for a in acts + g.tick(now):
                     if isinstance(a, Admitted):
                         self.assertNotIn(a.id, held)
@@ -106,9 +106,9 @@
         for i in range(7):
             self.enter(g, i, "b")
         g.hold = 2 * S
-        got = g.enter(0 * S, 50, "b", 0, Demand(), S / 2)
+        got = g.acquire(0 * S, 50, "b", 0, Demand(), S / 2)
         self.assertIsInstance(got, Rejected)
-        self.assertGreater(got.back, 0 * S)
+        self.assertGreater(got.retry_after, 0 * S)
 
     def test_one_that_waits_too_long_is_told_so(self):
         g = self.gate()
@@ -120,13 +120,13 @@
         g = self.gate()
         for i in range(9):
             self.enter(g, i, "b")
-        g.leave(S, 7)
-        self.assertEqual([a.id for a in g.leave(S, 0)], [8])
+        g.release(S, 7)
+        self.assertEqual([a.id for a in g.release(S, 0)], [8])
 
     def test_a_change_of_one_members_routes_moves_nobodys_reserve(self):
         g = self.gate()
         g.tick(S, parts={"a": 0.3})
-        self.assertEqual(g.figures(S)["a"]["reserve"], 3)
+        self.assertEqual(g.statistics(S)["a"]["reserve"], 3)
 
     def test_a_reserve_of_less_than_a_slot_still_holds_against_a_flood(self):
         for slots, members, safe in ((13, 2, 2), (13, 40, 2), (4, 2, 1), (3, 350, 1), (2, 350, 1)):
@@ -147,9 +147,9 @@
             for i in range(400):
                 now += 5 * MS
                 if rng.random() < 0.6:
-                    g.enter(now, i, rng.choice("abcz"), 0, Demand(rng.randrange(300)), now + S)
+                    g.acquire(now, i, rng.choice("abcz"), 0, Demand(rng.randrange(300)), now + S)
                 elif g.held:
-                    g.leave(now, rng.choice(sorted(g.held)))
+                    g.release(now, rng.choice(sorted(g.held)))
                 if rng.random() < 0.05:
                     g.tick(
                         now,
@@ -194,40 +194,40 @@
                     views[i] -= {j for j in views[i] if j not in up and rng.random() < 0.1}
                     told = {j: crowds[j].divisor for j in views[i] & up if j != i}
                     seen = sorted(views[i] | {i})
-                    crowds[i].see(now, len(seen), recorded if rng.random() < 0.5 else 8, told, seen.index(i))
-                total = sum(crowds[i].part(whole) for i in up)
+                    crowds[i].update(now, len(seen), recorded if rng.random() < 0.5 else 8, told, seen.index(i))
+                total = sum(crowds[i].share(whole) for i in up)
                 self.assertLessEqual(total, whole, (seed, step))
                 for limit in (57, 370):
-                    total = sum(crowds[i].pieces(limit, step) for i in up if crowds[i].open)
+                    total = sum(crowds[i].indivisible_share(limit, step) for i in up if crowds[i].admitting)
                     self.assertLessEqual(total, limit, (seed, step))
 
     def test_nothing_is_lost_by_rounding_nor_held_twice_with_more_routers_than_things(self):
         for routers in (63, 73, 1600):
             crowds = [FleetSize(3 * S, divisor=routers, index=i) for i in range(routers)]
             for salt in (0, 5, 2**63 + 11):
-                self.assertEqual(sum(c.pieces(510, salt) for c in crowds), 446)
-            some = [c.pieces(510, salt=7 * r) for c in crowds[:1] for r in range(routers)]
+                self.assertEqual(sum(c.indivisible_share(510, salt) for c in crowds), 446)
+            some = [c.indivisible_share(510, salt=7 * r) for c in crowds[:1] for r in range(routers)]
             self.assertGreater(sum(some), 0)
 
     def test_a_start_of_all_together_begins_with_the_recorded_number(self):
         crowds = [FleetSize(3 * S) for _ in range(8)]
         for c in crowds:
-            c.see(0 * S, 1, 8, {})
-        self.assertLessEqual(sum(c.part(320) for c in crowds), 320)
+            c.update(0 * S, 1, 8, {})
+        self.assertLessEqual(sum(c.share(320) for c in crowds), 320)
 
     def through_a_tier(self, seed, steps, most, step):
         f, rng, whole = Sums(24, seed=seed), random.Random(seed), 960
         f.run(4 * S)
 
         def check():
-            total = sum(f.crowds[f.nodes[k].life].part(whole) for k in f.names if k not in f.off)
+            total = sum(f.fleet_sizes[f.nodes[k].instance_id].share(whole) for k in f.names if k not in f.off)
             self.assertLessEqual(total, most, (seed, f.now))
 
         for _ in range(steps):
             step(f, rng)
             f.run(2 * S, check, 50 * MS)
-        self.assertGreater(min(f.crowds[f.nodes[k].life].divisor for k in f.running()), 24)
-        self.assertTrue(all(f.crowds[f.nodes[k].life].open for k in f.running()))
+        self.assertGreater(min(f.fleet_sizes[f.nodes[k].instance_id].divisor for k in f.running()), 24)
+        self.assertTrue(all(f.fleet_sizes[f.nodes[k].instance_id].admitting for k in f.running()))
 
     def test_newcomers_wait_for_all_also_when_the_numbers_come_through_a_tier(self):
         """Up to six join at once; the eighth that is never granted stays whole."""
@@ -260,14 +260,14 @@
     def flood(self, seed, steps=60):
         rng, whole, parts = random.Random(seed), self.RUNNERS * most(self.SLOTS), {"a": 0.2, "b": 0.1}
         crowds = [FleetSize(3 * S, divisor=self.ROUTERS, index=i) for i in range(self.ROUTERS)]
-        gates = [AdmissionController(Capacity(c.part(whole)), parts) for c in crowds]
+        gates = [AdmissionController(Capacity(c.share(whole)), parts) for c in crowds]
         route = Route("r", "h", "/", "safe", (), 9 * S, S, S)
         own = [[0] * self.RUNNERS for _ in gates]
         told, deaf, ends, late, most_b, ids = [list(o) for o in own], rng.choice([None, 3]), [], 0, 0, 0
         for step in range(steps):
             now = step * 50 * MS
             for end, i, id, run in [e for e in ends if e[0] <= now]:
-                gates[i].leave(now, id)
+                gates[i].release(now, id)
                 own[i][run] -= 1
             ends = [e for e in ends if e[0] > now]
             told = [list(o) for o in own] if step % 4 == 0 else told
@@ -277,9 +277,12 @@
                     for r in range(self.RUNNERS)
                 ]
                 for m in ["b"] * (250 if step == 5 else step > 5 and rng.choice((0, 5, 30))) + ["a"] * rng.randrange(2):
-                    ids, g.extra = ids + 1, crowds[i].extra(whole, whole * 0.3, sum(known)) if g.tight() else 0
+                    ids, g.extra_slots = (
+                        ids + 1,
+                        crowds[i].surplus(whole, whole * 0.3, sum(known)) if g.is_saturated() else 0,
+                    )
                     before = g.used.get("a", (0, 0))[0]
-                    got = g.enter(now, ids, m, 0, Demand(), now + 9 * S)
+                    got = g.acquire(now, ids, m, 0, Demand(), now + 9 * S)
                     if m == "a" and before < int(g.room.slots * 0.2):
                         self.assertTrue(isinstance(got, Admitted) and got.reserved, (seed, step))
                     if isinstance(got, Admitted):
@@ -287,13 +290,13 @@
                         fits = known[run] < max(b.limit for b in buckets_for(route, self.SLOTS, got.reserved))
                         late += m == "a" and not fits
                         if not fits:
-                            g.leave(now, ids)
+                            g.release(now, ids)
                             continue
                         known[run] += 1
                         own[i][run] += 1
                         ends.append((now + rng.randrange(300, 1500) * MS, i, ids, run))
                     elif isinstance(got, Queued):
-                        g.leave(now, ids)
+                        g.release(now, ids)
                 most_b = max(most_b, sum(g.used.get("b", (0, 0))[0] for g in gates))
         return late, most_b / whole
 
@@ -307,7 +310,7 @@
         g, c = AdmissionController(Capacity(84), {"a": 0.0625, "b": 0.0625}), FleetSize(3 * S, divisor=8)
         got = []
         for i in range(157):
-            g.extra = c.extra(768, 96, 200 + i) if g.tight() else 0
-            got.append(type(g.enter(0 * S, i, "a", 0, Demand(), 9 * S)))
+            g.extra_slots = c.surplus(768, 96, 200 + i) if g.is_saturated() else 0
+            got.append(type(g.acquire(0 * S, i, "a", 0, Demand(), 9 * S)))
         self.assertGreater(got.count(Admitted), 120)
-        self.assertEqual(type(g.enter(0 * S, 999, "b", 0, Demand(), 9 * S)), Admitted)
+        self.assertEqual(type(g.acquire(0 * S, 999, "b", 0, Demand(), 9 * S)), Admitted)
--- a/tests/aggregation/test_aggregator.py
+++ b/tests/aggregation/test_aggregator.py
@@ -4,7 +4,7 @@
 import unittest
 from math import log, pi, sqrt
 
-from sparloom.aggregation import InFlightAggregator, coded, decoded
+from sparloom.aggregation import InFlightAggregator, decode_in_flight, encode_in_flight
 from sparloom.relay import RelayTier
 from tests.support.aggregation_fleet import CONTACT, MS, Fleet
 
@@ -25,7 +25,7 @@
         self.nodes = {k: InFlightAggregator(k, 1, CONTACT) for k in self.up}
         self.holds, self.cut, self.loose = {"a": 1, "b": 2, "f": 4, "g": 8}, set(), []
 
-    def beat(self, span, prefer=None):
+    def advance(self, span, prefer=None):
         """All beat each 50 ms; datagrams arrive at once, save those of a cut."""
         end = self.now + span
         while self.now < end:
@@ -33,20 +33,20 @@
             for k, s in self.nodes.items():
                 up = {o: n for o, n in self.up.items() if o != k}
                 if k in up or k in self.up:
-                    s.see(
+                    s.update_membership(
                         self.now,
                         RelayTier(("a", "b"), tuple(p for p in self.parents.get(k, ()) if p in up), k in "ab"),
                         up,
                         (prefer or {}).get(k),
                     )
-                    s.note(self.now, held(self.holds[k]), 4)
-                    for m in s.beat(self.now):
-                        for to in m.to:
+                    s.update_in_flight(self.now, held(self.holds[k]), 4)
+                    for m in s.due_messages(self.now):
+                        for to in m.destinations:
                             if (k, to) not in self.cut and to in self.nodes:
-                                self.nodes[to].hear(self.now, m.rec)
+                                self.nodes[to].on_message(self.now, m.message)
 
     def counts(self):
-        return {k: (s.view(self.now) or {}).get(7, (None,))[0] for k, s in self.nodes.items()}
+        return {k: (s.peers_in_flight(self.now) or {}).get(7, (None,))[0] for k, s in self.nodes.items()}
 
 
 class Timelines(unittest.TestCase):
@@ -54,95 +54,95 @@
         self.x = Line()
 
     def test_each_counts_all_others_once(self):
-        self.x.beat(S)
+        self.x.advance(S)
         #                                      own 1    own 2    own 4    own 8
         self.assertEqual(self.x.counts(), {"a": 14, "b": 13, "f": 11, "g": 7})
-        self.x.beat(9 * S)
+        self.x.advance(9 * S)
         self.assertTrue(all(p.cover for r in self.x.nodes["a"].relays.values() for p in r.standing))
         self.assertEqual(self.x.counts(), {"a": 14, "b": 13, "f": 11, "g": 7})
 
     def test_a_follower_that_moves_counts_once_at_every_step(self):
-        self.x.beat(10 * S)
+        self.x.advance(10 * S)
         for _ in range(400):
-            self.x.beat(50 * MS, {"f": "b"})
+            self.x.advance(50 * MS, {"f": "b"})
             self.assertEqual(self.x.counts(), {"a": 14, "b": 13, "f": 11, "g": 7})
-        self.assertEqual((set(self.x.nodes["a"].group), set(self.x.nodes["b"].group)), (set(), {"f", "g"}))
+        self.assertEqual((set(self.x.nodes["a"].members), set(self.x.nodes["b"].members)), (set(), {"f", "g"}))
 
     def test_it_moves_while_its_relays_do_not_hear_each_other(self):
         """b's claim does not reach a: a's sum with f's old word stands until a gives f up."""
-        self.x.beat(10 * S)
+        self.x.advance(10 * S)
         self.x.cut = {("b", "a")}
         for _ in range(160):
-            self.x.beat(50 * MS, {"f": "b"})
+            self.x.advance(50 * MS, {"f": "b"})
             got = self.x.counts()
             self.assertLessEqual(got["b"], 13)
             self.assertLessEqual(got["a"] or 0, 14)
             self.assertEqual(got["f"], 11)
         self.x.cut = set()
-        self.x.beat(S)
+        self.x.advance(S)
         self.assertEqual(self.x.counts(), {"a": 14, "b": 13, "f": 11, "g": 7})
 
     def test_the_own_word_that_a_total_holds_is_taken_off_also_when_it_is_old(self):
-        self.x.beat(10 * S)
+        self.x.advance(10 * S)
         self.x.cut = {("f", "a")}
         self.x.holds["f"] = 40
-        self.x.beat(500 * MS)
+        self.x.advance(500 * MS)
         self.assertEqual(self.x.counts()["f"], 11)
 
     def test_a_silent_relay_is_left_within_a_third_of_the_contact_bound(self):
-        self.x.beat(10 * S)
+        self.x.advance(10 * S)
         self.x.cut = {("a", k) for k in "bfg"} | {(k, "a") for k in "bfg"}
-        self.x.beat(CONTACT / 3 + 150 * MS)
-        self.assertIn("f", self.x.nodes["b"].group)
-        self.x.beat(CONTACT)
+        self.x.advance(CONTACT / 3 + 150 * MS)
+        self.assertIn("f", self.x.nodes["b"].members)
+        self.x.advance(CONTACT)
         self.assertEqual(self.x.counts()["g"], 6)
 
     def test_a_relay_that_hears_no_other_says_so(self):
         """Three relays: a is heard by f, and hears neither b nor c."""
         a, now = InFlightAggregator("a", 1, CONTACT), 10 * S
-        a.see(0 * S, RelayTier(("a", "b", "c"), (), True), {"b": 1, "c": 1, "f": 1})
-        self.assertEqual(a.age(now), now)
-        a.hear(now, _sum("b", 1, {}, 0))
-        self.assertEqual(a.age(now + S), S)
+        a.update_membership(0 * S, RelayTier(("a", "b", "c"), (), True), {"b": 1, "c": 1, "f": 1})
+        self.assertEqual(a.isolation_age(now), now)
+        a.on_message(now, _sum("b", 1, {}, 0))
+        self.assertEqual(a.isolation_age(now + S), S)
 
     def test_a_gone_holders_slots_are_free_at_all(self):
-        self.x.beat(10 * S)
+        self.x.advance(10 * S)
         del self.x.up["f"], self.x.nodes["f"]
-        self.x.nodes["a"].gone("f")
-        self.x.beat(400 * MS)
+        self.x.nodes["a"].on_departed("f")
+        self.x.advance(400 * MS)
         self.assertEqual(self.x.counts(), {"a": 10, "b": 9, "g": 3})
 
     def test_a_holder_that_is_silent_counts_for_one_contact_bound(self):
-        self.x.beat(10 * S)
+        self.x.advance(10 * S)
         del self.x.nodes["f"]
-        self.x.beat(CONTACT - 500 * MS)
+        self.x.advance(CONTACT - 500 * MS)
         self.assertEqual(self.x.counts(), {"a": 14, "b": 13, "g": 7})
-        self.x.beat(S)
+        self.x.advance(S)
         self.assertEqual(self.x.counts(), {"a": 10, "b": 9, "g": 3})
 
     def test_a_sum_that_overlaps_is_set_aside_and_the_one_before_stands(self):
         r = InFlightAggregator("r", 1, CONTACT)
-        r.see(0 * S, RelayTier(("a", "b", "r"), (), True), {"a": 1, "b": 1})
-        one = lambda key, seq, cover, n: r.hear(S, _sum(key, seq, cover, n))
+        r.update_membership(0 * S, RelayTier(("a", "b", "r"), (), True), {"a": 1, "b": 1})
+        one = lambda key, seq, cover, n: r.on_message(S, _sum(key, seq, cover, n))
         one("a", 1, {1: 1, 2: 1}, 2)
         one("b", 1, {3: 1}, 8)
         one("b", 2, {3: 1, 2: 5}, 9)
-        self.assertEqual(r.view(S)[7][0], 10)
+        self.assertEqual(r.peers_in_flight(S)[7][0], 10)
         one("a", 2, {1: 1}, 1)
-        self.assertEqual(r.view(S)[7][0], 10)
+        self.assertEqual(r.peers_in_flight(S)[7][0], 10)
 
     def test_the_least_number_that_others_divide_by_comes_through(self):
         x = self.x
-        x.beat(S)
-        self.assertEqual([set(s.crowds(x.now).values()) for s in x.nodes.values()], [{4}] * 4)
-        x.nodes["g"].note(x.now, held(8), 3)
+        x.advance(S)
+        self.assertEqual([set(s.fleet_sizes(x.now).values()) for s in x.nodes.values()], [{4}] * 4)
+        x.nodes["g"].update_in_flight(x.now, held(8), 3)
         x.cut = {("g", "b")}
-        x.beat(S)
+        x.advance(S)
         x.cut = set()
-        x.nodes["b"].hear(x.now, _up("g", 99, 3))
-        x.beat(500 * MS)
+        x.nodes["b"].on_message(x.now, _up("g", 99, 3))
+        x.advance(500 * MS)
         self.assertEqual(
-            {k: min(s.crowds(x.now).values()) for k, s in x.nodes.items() if k != "g"}, {"a": 3, "b": 3, "f": 3}
+            {k: min(s.fleet_sizes(x.now).values()) for k, s in x.nodes.items() if k != "g"}, {"a": 3, "b": 3, "f": 3}
         )
 
 
@@ -150,14 +150,14 @@
     from sparloom.aggregation import Coverage, GroupAggregate
 
     return GroupAggregate(
-        key, 1, seq, 1, 0, 0xFFFFFFFF, [Coverage(h, q) for h, q in cover.items()], coded(held(n)), [], []
+        key, 1, seq, 1, 0, 0xFFFFFFFF, [Coverage(h, q) for h, q in cover.items()], encode_in_flight(held(n)), [], []
     )
 
 
 def _up(key, seq, crowd):
     from sparloom.aggregation import MemberUpdate
 
-    return MemberUpdate(key, 1, seq, crowd, coded(held(8)), [])
+    return MemberUpdate(key, 1, seq, crowd, encode_in_flight(held(8)), [])
 
 
 class Words(unittest.TestCase):
@@ -172,34 +172,34 @@
                 )
                 for _ in range(rng.randrange(80))
             }
-            self.assertEqual(decoded(coded(d)), d)
+            self.assertEqual(decode_in_flight(encode_in_flight(d)), d)
 
     def test_ten_thousand_runners_go_in_pieces_of_which_any_may_be_lost(self):
         a, f = InFlightAggregator("a", 1, CONTACT), InFlightAggregator("f", 1, CONTACT)
         tier = RelayTier(("a",), ("a",), False)
         rng = random.Random(1)
         shorts = rng.sample(range(1 << 32), 10**4)
-        a.see(0 * S, RelayTier(("a",), (), True), {"f": 1})
-        a.note(0 * S, {k: (1, 0, 0, 0, 0, 0) for k in shorts}, 1)
-        f.see(0 * S, tier, {"a": 1})
-        f.note(0 * S, held(1, shorts[0]), 1)
-        for m in f.beat(0 * S):
-            a.hear(0 * S, m.rec)
-        first = [m.rec for m in a.beat(0 * S)]
+        a.update_membership(0 * S, RelayTier(("a",), (), True), {"f": 1})
+        a.update_in_flight(0 * S, {k: (1, 0, 0, 0, 0, 0) for k in shorts}, 1)
+        f.update_membership(0 * S, tier, {"a": 1})
+        f.update_in_flight(0 * S, held(1, shorts[0]), 1)
+        for m in f.due_messages(0 * S):
+            a.on_message(0 * S, m.message)
+        first = [m.message for m in a.due_messages(0 * S)]
         self.assertLess(max(len(r.held) for r in first), 1100)
         for rec in first:
-            f.hear(0 * S, rec)
-        self.assertEqual(len(f.view(0 * S)), 10**4)
-        a.note(S, {k: (2, 0, 0, 0, 0, 0) for k in shorts}, 1)
-        for rec in [m.rec for m in a.beat(S)][::2]:
-            f.hear(S, rec)
-        got = f.view(S)
+            f.on_message(0 * S, rec)
+        self.assertEqual(len(f.peers_in_flight(0 * S)), 10**4)
+        a.update_in_flight(S, {k: (2, 0, 0, 0, 0, 0) for k in shorts}, 1)
+        for rec in [m.message for m in a.due_messages(S)][::2]:
+            f.on_message(S, rec)
+        got = f.peers_in_flight(S)
         self.assertEqual((len(got), {v[0] for v in got.values()}), (10**4, {1, 2}))
 
 
 def trouble(f, rng, kind):
     """One trouble in a fleet; what it takes away comes back by itself."""
-    relays = [k for k in f.running() if f.nodes[k].acting] or f.running()
+    relays = [k for k in f.running() if f.nodes[k].is_relay] or f.running()
     k = rng.choice(relays)
     back = lambda k, ms: f.at(ms * MS, lambda: k in f.off and f.boot(k))
     if kind == "kill":
@@ -233,18 +233,18 @@
             for k in f.running():
                 got = f.private(k)
                 self.assertLessEqual(max(got.values(), default=0), 1, (seed, f.now, k))
-                self.assertNotIn(f.nodes[k].life, got, (seed, f.now, k))
+                self.assertNotIn(f.nodes[k].instance_id, got, (seed, f.now, k))
 
         for _ in range(steps):
             trouble(f, rng, rng.choice(self.KINDS))
             f.run(S, check, 250 * MS)
         # The last frozen one thaws after 7 s at most; then a contact bound and a half of calm.
         f.run(7 * S + 1.5 * CONTACT, check, 500 * MS)
-        alive, whole = {f.nodes[k].life for k in f.running()}, set()
+        alive, whole = {f.nodes[k].instance_id for k in f.running()}, set()
         f.run(
             S,
             lambda f=f, whole=whole, alive=alive: whole.update(
-                k for k in f.running() if set(f.private(k)) | {f.nodes[k].life} == alive
+                k for k in f.running() if set(f.private(k)) | {f.nodes[k].instance_id} == alive
             ),
         )
         self.assertEqual(whole, set(f.names), seed)
@@ -262,8 +262,8 @@
         for seed, lost in ((1, 2), (3, 0)):
             f = Fleet(40, seed=seed)
             f.run(9 * S)
-            relays = [k for k in f.names if f.nodes[k].acting]
-            group = sorted(f.nodes[relays[0]].group)
+            relays = [k for k in f.names if f.nodes[k].is_relay]
+            group = sorted(f.nodes[relays[0]].members)
             for k in (relays[:lost] if lost else [k for k in relays if f.zone[k] == "z0"]) + group[:1]:
                 f.kill(k)
             f.run(0.7 * CONTACT + CONTACT / 3 + 400 * MS)
@@ -272,8 +272,10 @@
     @staticmethod
     def exact_within(f, span):
         """The nodes that at some moment of a span counted just the lives that run."""
-        alive, exact = {f.nodes[k].life for k in f.running()}, set()
-        f.run(span, lambda: exact.update(k for k in f.running() if set(f.private(k)) | {f.nodes[k].life} == alive))
+        alive, exact = {f.nodes[k].instance_id for k in f.running()}, set()
+        f.run(
+            span, lambda: exact.update(k for k in f.running() if set(f.private(k)) | {f.nodes[k].instance_id} == alive)
+        )
         return exact
 
 
--- a/tests/golden_names.py
+++ b/tests/golden_names.py
@@ -176,14 +176,14 @@
     """Numbers that processes work out on their own and that must be the same in all of them."""
     return [
         number("runner-1"),
-        words.short(number("runner-1")),
-        words.holder("10.0.0.1:7301", 99),
+        words.short_id(number("runner-1")),
+        words.holder_id("10.0.0.1:7301", 99),
         [unpack(bytes.fromhex(peer)).mark() for peer in peers],
         plain(parse_parts("0A:30, b:40,c:50")),
         plain(parse_parts("0A:30, b:40,c:50", b"k" * 16)),
         plain(part_ids("0A:30, b:40")),
         fingerprint("PUT", 3, {"b": 2, "a": [1]}).hex(),
         fingerprint("PATCH", 3, {"b": 2, "a": [1]}).hex(),
-        words.coded({7: (2, 3200, 0, 0, 0, 0), 1 << 31: (300, 33, 1, 500, 2, 1)}).hex(),
-        plain(words.decoded(bytes.fromhex(counts))),
+        words.encode_in_flight({7: (2, 3200, 0, 0, 0, 0), 1 << 31: (300, 33, 1, 500, 2, 1)}).hex(),
+        plain(words.decode_in_flight(bytes.fromhex(counts))),
     ]
--- a/tests/relay/test_relay_loopback.py
+++ b/tests/relay/test_relay_loopback.py
@@ -76,7 +76,7 @@
         """Gives the routers a tier by hand, whatever their number; no waiting for it to settle."""
         for k in (relay, *followers):
             k.see_tier = lambda: None
-            k.follow.upstream.see(
+            k.follow.upstream.update_tier(
                 timedelta(0), RelayTier((relay.key, "127.0.0.250:1"), () if k is relay else (relay.key,), k is relay, 1)
             )
 
--- a/tests/relay/test_upstream.py
+++ b/tests/relay/test_upstream.py
@@ -9,7 +9,7 @@
 
 from simulator.timeline import rows
 from sparloom.feed import CONFIGURATION, SourceTracker, VersionedStore
-from sparloom.relay import STALE, RelayTier, Upstream, UpstreamTiming, plan_tier
+from sparloom.relay import LeaveReason, RelayTier, Upstream, UpstreamTiming, plan_tier
 from tests.support.relay_network import CONTACT, MS, Net
 
 THIRD = CONTACT / 3
@@ -37,8 +37,8 @@
             self.assertEqual({z for m, z in all if m in relays}, {z for _, z in all})
             for me, zone in all:
                 t = tiers[me]
-                self.assertEqual((t.relay, set(t.parents)), (me in relays, set(relays) - {me}))
-                self.assertEqual({dict(all)[p] for p in t.parents[: t.near]} - {zone}, set())
+                self.assertEqual((t.is_relay, set(t.parents)), (me in relays, set(relays) - {me}))
+                self.assertEqual({dict(all)[p] for p in t.parents[: t.local_parents]} - {zone}, set())
             self.assertLessEqual(2 * (len(relays) + len(all) / len(relays)), len(all) + 1)
 
     def test_one_that_comes_or_goes_changes_few_relays(self):
@@ -100,63 +100,65 @@
 
 class Choosing(unittest.TestCase):
     def router(self, relay=False):
-        u = Upstream("me", UpstreamTiming.of(CONTACT), random.Random(1))
-        u.see(0 * MS, RelayTier(("a", "b", "x"), ("a", "b", "x"), relay, 2))
+        u = Upstream("me", UpstreamTiming.from_contact_bound(CONTACT), random.Random(1))
+        u.update_tier(0 * MS, RelayTier(("a", "b", "x"), ("a", "b", "x"), relay, 2))
         return u
 
     def test_at_the_start_it_follows_a_controller_at_once_and_moves_later(self):
         u = self.router()
         self.assertEqual(u.choose(0 * MS, ("c", "d")), "c")
-        u.start(0 * MS, "c")
+        u.on_connecting(0 * MS, "c")
         for ms in range(0, int(CONTACT / MS), 400):
-            u.pulse(ms * MS, 10)
-            self.assertIsNone(u.leave(ms * MS))
-        u.pulse(2 * CONTACT, 10)
-        self.assertIsNotNone(u.leave(2 * CONTACT))
+            u.on_heartbeat(ms * MS, 10)
+            self.assertIsNone(u.leave_reason(ms * MS))
+        u.on_heartbeat(2 * CONTACT, 10)
+        self.assertIsNotNone(u.leave_reason(2 * CONTACT))
         self.assertEqual(u.choose(2 * CONTACT, ("c", "d")), "a")
 
     def test_a_relay_stays_with_controllers(self):
         u = self.router(relay=True)
-        u.start(0 * MS, "c")
+        u.on_connecting(0 * MS, "c")
         for ms in range(0, 60000, 400):
-            u.pulse(ms * MS, 10)
-            self.assertIsNone(u.leave(ms * MS))
-        self.assertTrue(u.serves())
+            u.on_heartbeat(ms * MS, 10)
+            self.assertIsNone(u.leave_reason(ms * MS))
+        self.assertTrue(u.can_serve())
 
     def test_stale_relays_are_left_but_not_for_controllers(self):
         u, now, seen = self.router(), 3 * CONTACT, []
-        u.start(now, u.choose(now, ("c",)))
-        u.pulse(now, 10)
+        u.on_connecting(now, u.choose(now, ("c",)))
+        u.on_heartbeat(now, 10)
         for _ in range(4):
-            while (why := u.leave(now)) is None:
+            while (why := u.leave_reason(now)) is None:
                 now += 100 * MS
-                u.pulse(now, 5000)
+                u.on_heartbeat(now, 5000)
             seen.append((u.parent, why))
-            u.ended(now, why)
-            u.start(now, u.choose(now, ("c",)))
-            u.pulse(now, 5000)
+            u.on_disconnected(now, why)
+            u.on_connecting(now, u.choose(now, ("c",)))
+            u.on_heartbeat(now, 5000)
         self.assertEqual([p for p, _ in seen], ["a", "b", "x", "a"])
-        self.assertEqual({w for _, w in seen}, {STALE})
+        self.assertEqual({w for _, w in seen}, {LeaveReason.STALE})
 
     def test_when_no_relay_answers_it_goes_to_a_controller_within_a_moment(self):
         u, now = self.router(), 3 * CONTACT
-        u.start(now, "a")
-        u.pulse(now, 10)
+        u.on_connecting(now, "a")
+        u.on_heartbeat(now, 10)
         now += THIRD
         lost = now
-        u.ended(now, u.leave(now))
+        u.on_disconnected(now, u.leave_reason(now))
         while (to := u.choose(now, ("c",))) != "c":
-            u.start(now, to)
-            now += u.spans.dial
-            u.ended(now, "gone")
+            u.on_connecting(now, to)
+            now += u.timing.dial
+            u.on_disconnected(now, "gone")
         self.assertLessEqual(now - lost, CONTACT / 4 + MARGIN)
 
     def test_a_relay_that_is_one_no_more_is_left_gently(self):
         u = self.router()
-        u.start(2 * CONTACT, "a")
-        u.see(2 * CONTACT, RelayTier(("b", "x", "y"), ("b", "x", "y"), False, 1))
+        u.on_connecting(2 * CONTACT, "a")
+        u.update_tier(2 * CONTACT, RelayTier(("b", "x", "y"), ("b", "x", "y"), False, 1))
         left = next(
-            ms for ms in range(0, 30000, 100) if u.pulse(2 * CONTACT + ms * MS, 10) or u.leave(2 * CONTACT + ms * MS)
+            ms
+            for ms in range(0, 30000, 100)
+            if u.on_heartbeat(2 * CONTACT + ms * MS, 10) or u.leave_reason(2 * CONTACT + ms * MS)
         )
         self.assertTrue(CONTACT <= left * MS <= 2 * CONTACT)
 
--- a/tests/router/test_feed_client.py
+++ b/tests/router/test_feed_client.py
@@ -74,7 +74,7 @@
 
     async def start(self):
         """Follows the one that the test plays; gives the task and the connection."""
-        self.follow.upstream.start(monotonic(), self.address)
+        self.follow.upstream.on_connecting(monotonic(), self.address)
         task = asyncio.ensure_future(self.follow._from(self.address))
         self.addCleanup(task.cancel)
         return task, *await self.greeted()
--- a/tests/router/test_in_flight_gossip.py
+++ b/tests/router/test_in_flight_gossip.py
@@ -81,7 +81,7 @@
     def test_each_counts_the_calls_of_all(self):
         for n, tiered in ((4, False), (36, True)):
             ks = self.routers(n)
-            self.assertEqual({k.tier.stands for k in ks}, {tiered})
+            self.assertEqual({k.tier.exists for k in ks}, {tiered})
             slots = [k.counts.take("i-1", OPEN, self.fleet.now, 64) for k in ks]
             self.fleet.beat(12)
             self.assertEqual(
@@ -97,7 +97,11 @@
     def test_long_parts_reach_all_within_two_beats(self):
         for n in (4, 36):
             ks = self.routers(n)
-            for k in (next(k for k in ks if not k.tier.relay), ks[-1], next((k for k in ks if k.tier.relay), ks[0])):
+            for k in (
+                next(k for k in ks if not k.tier.is_relay),
+                ks[-1],
+                next((k for k in ks if k.tier.is_relay), ks[0]),
+            ):
                 part = (k.rng.getrandbits(60), 5000)
                 k.tell.sent(k.fleet.posts["i-3"], (part, (1, 10)))
                 self.fleet.beat(2)
@@ -109,7 +113,7 @@
         ks = self.routers(36)
         self.assertEqual({k.crowd.divisor for k in ks}, {36})
         self.assertEqual({min(k.tell.crowds().values()) for k in ks}, {36})
-        self.assertTrue(all(k.crowd.open for k in ks))
+        self.assertTrue(all(k.crowd.admitting for k in ks))
 
     def test_while_a_fleet_finds_itself_no_call_counts_twice(self):
         """Each learns of the others one by one: some have a tier when others have none."""
@@ -141,7 +145,7 @@
             self.fleet.beat(4)
             self.assertLessEqual(max(k.counts.count("i-1", self.fleet.now) for k in ks[:6]), 30)
         self.assertEqual(
-            {(k.tier.stands, k.tell.tiered, k.counts.count("i-1", self.fleet.now)) for k in ks[:6]}, {(False, False, 6)}
+            {(k.tier.exists, k.tell.tiered, k.counts.count("i-1", self.fleet.now)) for k in ks[:6]}, {(False, False, 6)}
         )
         self.assertEqual(len(slots), 30)
 
--- a/tests/support/relay_network.py
+++ b/tests/support/relay_network.py
@@ -8,7 +8,7 @@
 
 from simulator.clock import MS, Clock
 from sparloom.feed import CONFIGURATION, UNCONFIRMED, Change, FeedHeartbeat, VersionedStore
-from sparloom.relay import GONE, RelayTier, Upstream, UpstreamTiming, plan_tier
+from sparloom.relay import LeaveReason, RelayTier, Upstream, UpstreamTiming, plan_tier
 
 CONTACT = 4000 * MS
 
@@ -40,7 +40,7 @@
         self.on, self.dark, self.frozen, self.life = True, False, False, self.life + 1
         self.shelf, self.text, self.served, self.pipe, self.confirmed = VersionedStore(), "", {}, None, None
         self.tier, self.seen, self.sees, self.late = RelayTier(), None, set(), {}
-        self.up = Upstream(self.name, UpstreamTiming.of(CONTACT), random.Random(net.rng.random()))
+        self.up = Upstream(self.name, UpstreamTiming.from_contact_bound(CONTACT), random.Random(net.rng.random()))
         return self
 
     @property
@@ -48,7 +48,7 @@
         return self.name[0] == "c"
 
     def open(self):
-        return self.controller or self.up.serves()
+        return self.controller or self.up.can_serve()
 
     def age(self, now):
         known = (
@@ -173,7 +173,7 @@
             if seen != n.seen:
                 n.seen, n.tier = seen, plan_tier(n.name, n.zone, [(u, self.nodes[u].zone) for u in seen])
         if not n.frozen:
-            n.up.see(self.now, n.tier)
+            n.up.update_tier(self.now, n.tier)
         self.at(250 * MS, lambda: self._look(n, life))
 
     # -- following ----------------------------------------------------------------
@@ -185,15 +185,15 @@
         cs = [c for c in self.nodes if c[0] == "c"]
         self.rng.shuffle(cs)
         to = n.up.choose(self.now, cs)
-        n.up.start(self.now, to)
+        n.up.on_connecting(self.now, to)
         if not n.up.direct:
             for p in list(n.served):
                 self._close(p)
         s, hop = self.nodes[to], (2 + 2 * self.rng.random()) * MS
         if not (self.path(n.name, to) and self.path(to, n.name)) or s.dark:
-            self.at(n.up.spans.dial, lambda: self._over(n, life, GONE))
+            self.at(n.up.timing.dial, lambda: self._over(n, life, LeaveReason.GONE))
         elif not s.on:
-            self.at(hop, lambda: self._over(n, life, GONE))
+            self.at(hop, lambda: self._over(n, life, LeaveReason.GONE))
         else:
             self.at(hop, lambda: self._join(n, life, s, s.life))
 
@@ -201,7 +201,7 @@
         if n.life != life or not n.on:
             return
         if not s.on or s.life != slife:
-            return self._over(n, life, GONE)
+            return self._over(n, life, LeaveReason.GONE)
         p = n.pipe = Pipe(n.name, s.name, {CONFIGURATION: n.shelf.stamp(CONFIGURATION)})
         n.up.tracker.start(self.now)
         s.served[p] = True
@@ -213,7 +213,7 @@
         if s.on and s.life == life and p.open:
             if s.frozen:
                 return self.at(20 * MS, lambda: self._greet(p, s, life))
-            if not s.open() or not s.controller and len(s.served) > s.up.room():
+            if not s.open() or not s.controller and len(s.served) > s.up.follower_limit():
                 return self._close(p)
             p.greeted = True
             self._send(p, FeedHeartbeat(0, 0, s.age(self.now), self._clock(s)))
@@ -264,12 +264,12 @@
             p.last = max(p.last, self.now + 20 * MS)
             return self.at(20 * MS, lambda: self._arrive(p, rec))
         if isinstance(rec, Change):
-            n.up.change(self.now)
+            n.up.on_change(self.now)
             if not self._take(n, rec):
                 self._close(p, word=False)
-                return self._over(n, n.life, GONE)
+                return self._over(n, n.life, LeaveReason.GONE)
         else:
-            n.up.pulse(self.now, rec.age, rec.sent)
+            n.up.on_heartbeat(self.now, rec.age, rec.sent)
         self._ring(n)
         self._check(n, p)
 
@@ -290,9 +290,9 @@
             return
         if n.frozen:
             return self.at(20 * MS, lambda: self._check(n, p))
-        why = n.up.leave(self.now)
+        why = n.up.leave_reason(self.now)
         if why is None:
-            return self.at(n.up.due(self.now), lambda: self._check(n, p))
+            return self.at(n.up.next_check_delay(self.now), lambda: self._check(n, p))
         p.open = False
         self.nodes[p.s].served.pop(p, None)
         self._over(n, n.life, why)
@@ -304,14 +304,14 @@
         n = self.nodes[p.f]
         if p_open and n.pipe is p:
             life = n.life
-            wait = 2 * MS if word and self.path(p.s, p.f) else max(0 * MS, n.up.due(self.now))
-            self.at(wait, lambda: self._over(n, life, GONE) if n.pipe is p else None)
+            wait = 2 * MS if word and self.path(p.s, p.f) else max(0 * MS, n.up.next_check_delay(self.now))
+            self.at(wait, lambda: self._over(n, life, LeaveReason.GONE) if n.pipe is p else None)
 
     def _over(self, n, life, why):
         if n.life != life or not n.on:
             return
         n.pipe = None
-        n.up.ended(self.now, why)
+        n.up.on_disconnected(self.now, why)
         self.at((20 + 40 * self.rng.random()) * MS, lambda: self._choose(n, life))
 
     # -- looks ---------------------------------------------------------------------
