--- a/sparloom/aggregation/aggregator.py
+++ b/sparloom/aggregation/aggregator.py
@@ -153,7 +153,7 @@
 
         >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.add_placements(ZERO, []); s.flush_delay(ZERO)
         """
-        new = {(r.resource, r.part): r for r in reads}
+        new = {(r.resource, r.prefix): r for r in reads}
         self.reads |= new
         if self.is_relay:
             self.down |= new
@@ -219,7 +219,7 @@
         self._give_up_claimed(cover | {s.holder: s.seq for s in rec.singles})
         self._settle(now, rec.key)
         if self.is_relay:
-            self.down |= {(r.resource, r.part): r for r in rec.placements}
+            self.down |= {(r.resource, r.prefix): r for r in rec.placements}
             self._hasten(now, rec.placements)
 
     def _relay(self, now, rec):
