--- a/sparloom/aggregation/__init__.py
+++ b/sparloom/aggregation/__init__.py
@@ -1,6 +1,6 @@
-"""In-flight counts through the tier of relays: sums up, across and down, no call counted twice."""
+"""In-flight counts through the tier of relays: summed per group and over the fleet, no call counted twice."""
 
-from .aggregator import InFlightAggregator, Send
+from .aggregator import InFlightAggregator
 from .parent import Parent
 from .records import (
     Coverage,
@@ -13,6 +13,7 @@
     holder_id,
     short_id,
 )
+from .relay_messages import Send
 
 __all__ = [
     "Coverage",
--- a/sparloom/aggregation/aggregator.py
+++ b/sparloom/aggregation/aggregator.py
@@ -1,50 +1,85 @@
-"""The machine of the tier's counts: time and words in, words out; no I/O.
-
-**Who counts where.** A follower tells its own word to one relay. A relay tells
-the other relays the sum of its group with whom it covers, and its followers
-the total of all that it knows, with which word of theirs is in it; a follower
-takes that word off again and adds what it holds now.
-
-**No call twice.** A newcomer to a group is not in its sum for ``2.5`` contact
-bounds: it is passed on as a word of its own, which counts nothing where any
-sum still covers that holder. The relay that it left sees it there twice with a newer
-word and gives it up: by then the others have that word too. By the time it enters the sum no older sum can stand
-anywhere. A sum that still overlaps another one is set aside, and the one
-before it stands.
-
-**Late words.** A word stands at its relay, a sum at a relay and a total at a
-follower until known gone or until nothing newer was heard for one contact
-bound; then it counts nothing. What is on its way through more than one node in
-trouble may so stand for as many bounds. A relay that is itself out of touch
-says since when, and its followers go on to another one.
+"""The state machine of the in-flight counts in a tier of relays: time and messages in, messages out; no I/O.
+
+**Who counts where.** A follower sends its own update to one relay. A relay sends
+the other relays the sum over its group with whom it covers, and its followers
+the total of all that it knows, with the sequence number of each follower's
+update in it. A follower subtracts that update and adds its present load.
+
+**No call twice.** A new member of a group is not in its sum for ``2.5`` contact
+bounds: it is forwarded as a solo update, which counts nothing where any sum
+still covers that holder. The relay that it left sees it there twice with a
+newer update and releases it: by then the others have that update too. By the
+time it enters the sum no older sum can be in use anywhere. A sum that overlaps
+another one is set aside, and the one before it stays in use.
+
+**Late messages.** An update at its relay, a sum at a relay and a total at a
+follower are used until the sender is known to be gone or until nothing newer
+was received for one contact bound. What passes more than one faulty node may
+so be used for as many bounds. A relay that is itself out of touch says since
+when, and its followers change to another one.
 """
 
-from collections import deque
+from __future__ import annotations
+
 from datetime import timedelta
+from typing import TYPE_CHECKING
 
 from attrs import define, field
 
-from .acknowledged import some, sums, totals
-from .neighbours import Member, RelayAggregates, Send
+from .neighbours import Neighbours
+from .own_updates import OwnUpdates
 from .parent import Parent
-from .records import LAST, UNIT, FleetTotal, GroupAggregate, MemberUpdate, decode_in_flight, encode_in_flight, holder_id
-from .shards import Shard, add, gather, replace, within
-
-MS = timedelta(milliseconds=1)
+from .pending_output import Direction, PendingOutput
+from .received_total import ReceivedTotal
+from .records import (
+    LAST_RESOURCE,
+    FleetTotal,
+    GroupAggregate,
+    MemberUpdate,
+    encode_in_flight,
+    holder_id,
+)
+from .relay_messages import Send, fleet_totals, group_aggregates, take_placements
+from .shards import Gathered, gather
+
+if TYPE_CHECKING:
+    from collections.abc import Collection, Iterable, Mapping
+
+    from sparloom.dynamic_timeout import PrefixPlacement
+    from sparloom.relay import RelayTier
+
+    from .shards import InFlight
+
+MILLISECOND = timedelta(milliseconds=1)
 ZERO = timedelta(0)
-# How often a changed word goes out, and how early; how long a relay gathers long prompts, and rests between two.
-BEAT, SLACK = 100 * MS, 20 * MS
-GATHER, REST = 2 * MS, 30 * MS
-UP, ACROSS, DOWN = "up", "across", "down"
+# A relay that steps down says so to the other relays so many times, since datagrams get lost.
+LEAVE_NOTICES = 3
 
 
 @define(slots=True)
 class InFlightAggregator:
     """One node's part in the tier.
 
+    Attributes
+    ----------
+    key, instance_id : this node's address, and the random id of this run of it.
+    contact_bound : within which time a failed node is noticed.
+    tier : the plan of relays; None before the first one.
+    routers : instance by key of each other router believed up.
+    holder : number of this instance.
+    own : this node's own updates.
+    neighbours : what was received from the other nodes.
+    total : what a follower received from its relay.
+    output : what is to be sent.
+    parent : the relay that this node follows.
+    relay_since : since when this node has been a relay; None while it is none.
+    leave_notices : how many notices of stepping down are still to be sent.
+    output_sequence : number of the last aggregate or total sent.
+
     >>> from sparloom.relay import RelayTier
     >>> a, b = InFlightAggregator("a", 1, timedelta(seconds=3)), InFlightAggregator("b", 1, timedelta(seconds=3))
-    >>> a.update_membership(ZERO, RelayTier(("b",), ("b",), False), {"b": 1}); b.update_membership(ZERO, RelayTier(("b",), (), True), {"a": 1})
+    >>> a.update_membership(ZERO, RelayTier(("b",), ("b",), False), {"b": 1})
+    >>> b.update_membership(ZERO, RelayTier(("b",), (), True), {"a": 1})
     >>> a.update_in_flight(ZERO, {7: (2, 0, 0, 0, 0, 0)}, 1); b.update_in_flight(ZERO, {7: (1, 0, 0, 0, 0, 0)}, 1)
     >>> for s in a.due_messages(ZERO): b.on_message(ZERO, s.message)
     >>> for s in b.due_messages(ZERO): a.on_message(ZERO, s.message)
@@ -54,347 +89,235 @@
 
     key: str
     instance_id: int
-    contact: timedelta
-    tier: object = None
-    up: dict = field(factory=dict)
-    me: int = 0
-    seq: int = 0
-    held: dict = field(factory=dict)
-    fleet_size: int = 0
-    words: deque = field(factory=deque)
-    members: dict = field(factory=dict)
-    relays: dict = field(factory=dict)
-    direct: dict = field(factory=dict)
-    past: deque = field(factory=lambda: deque(maxlen=512))
-    since: timedelta | None = None
-    parent: Parent = None
-    total: list = field(factory=list)
-    teller: tuple = ()
-    total_crowd: int = 0
-    out_seq: int = 0
-    sent: dict = field(factory=dict)
-    farewell: int = 0
-    pending: set = field(factory=set)
-    reads: dict = field(factory=dict)
-    down: dict = field(factory=dict)
-    urgent: timedelta | None = None
-    flushed: timedelta = ZERO
-
-    def __attrs_post_init__(self):
-        self.me = holder_id(self.key, self.instance_id)
-        self.parent = Parent(self.contact, self.me)
-
-    def update_membership(self, now, tier, up, prefer=None):
-        """Takes the plan, the routers believed up (key: instance), and the parent that the news come from.
-
-        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).update_membership(ZERO, None, {})
-        """
-        self.tier, self.up = tier, up
-        if self.is_relay:
-            self._begin(now)
-            self.parent.key = None
-        else:
-            if self.since is not None:
-                self.since, self.farewell = None, 3
-            if self.parent.choose(now, [p for p in tier.parents if p in up] if tier else [], prefer):
-                self.next_sequence(now)
-
-    def _begin(self, now):
-        if self.since is None:
-            self.since = now
-            self.next_sequence(now)
+    contact_bound: timedelta
+    tier: RelayTier | None = None
+    routers: Mapping[str, int] = field(factory=dict)
+    holder: int = field(init=False)
+    own: OwnUpdates = field(init=False)
+    neighbours: Neighbours = field(init=False)
+    total: ReceivedTotal = field(factory=ReceivedTotal)
+    output: PendingOutput = field(init=False)
+    parent: Parent = field(init=False)
+    relay_since: timedelta | None = None
+    leave_notices: int = 0
+    output_sequence: int = 0
+
+    def __attrs_post_init__(self) -> None:
+        self.holder = holder_id(self.key, self.instance_id)
+        self.own = OwnUpdates(self.contact_bound)
+        self.neighbours = Neighbours(self.contact_bound)
+        self.output = PendingOutput(self.contact_bound)
+        self.parent = Parent(self.contact_bound, self.holder)
 
     @property
-    def is_relay(self):
-        """Whether this node works as a relay: by the plan, or since some follow it all the same."""
-        return bool(self.tier and self.tier.is_relay or self.members)
+    def is_relay(self) -> bool:
+        """Whether this node works as a relay: by the plan, or because some follow it all the same."""
+        return bool((self.tier and self.tier.is_relay) or self.neighbours.members)
 
     @property
-    def is_active(self):
+    def is_active(self) -> bool:
         """Whether anything of a tier is still at work here, whatever the plan says."""
-        return bool(self.members or self.farewell or self.total or self.since is not None)
+        members, shards = self.neighbours.members, self.total.shards
+        return bool(members or self.leave_notices or shards or self.relay_since is not None)
 
-    def update_in_flight(self, now, held, fleet_size):
-        """Takes what this node holds now, {short number: (calls, tokens, silent, good, bad, blamers)}.
+    def update_membership(
+        self, now: timedelta, tier: RelayTier | None, routers: Mapping[str, int], preferred: str | None = None
+    ) -> None:
+        """Takes the plan, the routers believed up (instance by key), and the parent that the feed comes from.
 
-        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.update_in_flight(ZERO, {}, 1); s.seq
+        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).update_membership(ZERO, None, {})
+        """
+        self.tier, self.routers = tier, routers
+        if self.is_relay:
+            self._become_relay(now)
+            self.parent.key = None
+            return
+        if self.relay_since is not None:
+            self.relay_since, self.leave_notices = None, LEAVE_NOTICES
+        candidates = [key for key in tier.parents if key in routers] if tier else []
+        if self.parent.choose(now, candidates, preferred):
+            # A new relay must see a newer update than the old one has, or neither could tell who moved last.
+            self.own.next_sequence(now)
+
+    def _become_relay(self, now: timedelta) -> None:
+        if self.relay_since is None:
+            self.relay_since = now
+            self.own.next_sequence(now)
+
+    def update_in_flight(self, now: timedelta, in_flight: InFlight, fleet_size: int) -> None:
+        """Takes this node's present load by short resource id, and the divisor of its shares.
+
+        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.update_in_flight(ZERO, {}, 1); s.own.sequence
         1
         """
-        held = {short: (calls, -(-tokens // UNIT) * UNIT, *rest) for short, (calls, tokens, *rest) in held.items()}
-        if held != self.held or fleet_size != self.fleet_size or not self.words:
-            self.held, self.fleet_size = held, fleet_size
-            self.next_sequence(now)
-
-    def next_sequence(self, now):
-        """The number of a new word of this node, which holds what was noted last."""
-        self.seq += 1
-        self.words.append((now, self.seq, self.held))
-        while len(self.words) > 1 and now - self.words[1][0] > 4 * self.contact:
-            self.words.popleft()
-        return self.seq
-
-    def _own(self, seq):
-        """What this node held by its word of a number; None if that word is forgotten."""
-        return next((held for _, number, held in reversed(self.words) if number <= seq), None)
-
-    def on_departed(self, key, instance_id=None):
-        """A node is known gone, or all of its lives but one: what it told counts no more.
+        self.own.update(now, in_flight, fleet_size)
+
+    def next_sequence(self, now: timedelta) -> int:
+        """Begins a new update with the load as last noted, and returns its number."""
+        return self.own.next_sequence(now)
+
+    def on_departed(self, key: str, instance_id: int | None = None) -> None:
+        """A node is known gone, or all of its instances but one: what it reported counts no more.
 
         >>> InFlightAggregator("a", 1, timedelta(seconds=3)).on_departed("b")
         """
-        for neighbours in (self.members, self.relays, self.direct):
-            if key in neighbours and neighbours[key].instance_id != instance_id:
-                if instance_id is not None:
-                    self.past.append(holder_id(key, neighbours[key].instance_id))
-                del neighbours[key]
+        self.neighbours.on_departed(key, instance_id)
 
-    def add_placements(self, now, reads):
-        """Long parts of prompts went out here or, with a relay, in its group: that goes on at once.
+    def add_placements(self, now: timedelta, placements: Iterable[PrefixPlacement]) -> None:
+        """Long prompts were sent from here or, at a relay, from its group: that is forwarded at once.
 
         >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.add_placements(ZERO, []); s.flush_delay(ZERO)
         """
-        new = {(r.resource, r.prefix): r for r in reads}
-        self.reads |= new
-        if self.is_relay:
-            self.down |= new
-        self._hasten(now, reads)
-
-    def _hasten(self, now, reads):
-        if reads and self.urgent is None:
-            self.urgent = now
+        self.output.add(now, placements, outward=True, to_followers=self.is_relay)
 
-    def flush_delay(self, now):
-        """How long until ``beat`` should be asked because of long prompts; None without such.
+    def flush_delay(self, now: timedelta) -> timedelta | None:
+        """How long until ``due_messages`` should be called because of long prompts; None without such."""
+        return self.output.flush_delay(now, self.is_relay)
 
-        A relay gathers for 2 ms what comes in, and rests 30 ms between two.
+    def on_message(self, now: timedelta, message: MemberUpdate | GroupAggregate | FleetTotal) -> None:
+        """Takes a message of the tier.
 
-        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.urgent = ZERO; s.flush_delay(ZERO)
-        datetime.timedelta(0)
+        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).on_message(ZERO, MemberUpdate("b", 1, 1, 1, b"", []))
         """
-        if self.urgent is None:
-            return None
-        return max(ZERO, self.urgent + GATHER - now, self.flushed + REST - now) if self.is_relay else ZERO
+        if isinstance(message, MemberUpdate):
+            if self.neighbours.on_member_update(now, message):
+                self.add_placements(now, message.placements)
+        elif isinstance(message, GroupAggregate):
+            self._on_group_aggregate(now, message)
+        else:
+            self._on_fleet_total(now, message)
 
-    def on_message(self, now, rec):
-        """Takes a word of the tier.
+    def on_direct_update(self, now: timedelta, key: str, instance_id: int, sequence: int, in_flight: InFlight) -> None:
+        """Takes the update of a node that has no relay and sends to everybody."""
+        self.neighbours.on_direct_update(now, key, instance_id, sequence, in_flight)
 
-        >>> InFlightAggregator("a", 1, timedelta(seconds=3)).on_message(ZERO, MemberUpdate("b", 1, 1, 1, b"", []))
-        """
-        {MemberUpdate: self._up, GroupAggregate: self._sum, FleetTotal: self._total}[type(rec)](now, rec)
-
-    def on_direct_update(self, now, key, instance_id, seq, held):
-        """Takes the word of a node that has no tier and tells everybody."""
-        old = self.direct.get(key)
-        if old is None or old.instance_id != instance_id or old.piece.seq < seq:
-            number = holder_id(key, instance_id)
-            self.direct[key] = Member(instance_id, number, now, 0, Shard(seq, now, {number: seq}, held))
-
-    def _up(self, now, rec):
-        number, old = holder_id(rec.key, rec.instance_id), self.members.get(rec.key)
-        same_life = old is not None and old.instance_id == rec.instance_id
-        outdated = same_life and rec.seq < old.piece.seq
-        if outdated or number in self.past or self._claimed(number) > rec.seq:
-            return
-        if old and not same_life:
-            self.past.append(old.holder)
-        since = old.since if same_life else now
-        piece = Shard(rec.seq, now, {number: rec.seq}, decode_in_flight(rec.held))
-        self.members[rec.key] = Member(rec.instance_id, number, since, rec.fleet_size, piece)
-        self.add_placements(now, rec.placements)
-
-    def _claimed(self, number):
-        """The newest word of a holder that another relay's sum covers."""
-        return max((p.cover.get(number, 0) for relay in self.relays.values() for p in relay.newest), default=0)
-
-    def _sum(self, now, rec):
-        if holder_id(rec.key, rec.instance_id) in self.past or rec.key == self.key:
-            return
-        relay = self._relay(now, rec)
-        singles = tuple((s.holder, s.seq, decode_in_flight(s.held)) for s in rec.singles)
-        cover = {c.holder: c.seq for c in rec.cover}
-        newest = replace(relay.newest, Shard(rec.seq, now, cover, decode_in_flight(rec.held), rec.lo, rec.hi, singles))
-        if newest is None:
-            return
-        relay.newest, relay.heard, relay.fleet_size = newest, now, rec.fleet_size
-        self._give_up_claimed(cover | {s.holder: s.seq for s in rec.singles})
-        self._settle(now, rec.key)
-        if self.is_relay:
-            self.down |= {(r.resource, r.prefix): r for r in rec.placements}
-            self._hasten(now, rec.placements)
-
-    def _relay(self, now, rec):
-        """What is kept of the relay that speaks; begun anew with a new instance."""
-        relay = self.relays.get(rec.key)
-        if relay is None or relay.instance_id != rec.instance_id:
-            if relay:
-                self.past.append(holder_id(rec.key, relay.instance_id))
-            relay = self.relays[rec.key] = RelayAggregates(rec.instance_id, now)
-        return relay
-
-    def _give_up_claimed(self, told):
-        """Members that another relay tells of, with newer words, for the second time have gone there."""
-        for key, member in list(self.members.items()):
-            if told.get(member.holder, 0) > member.piece.seq:
-                member.claims += 1
-                if member.claims > 1:
-                    del self.members[key]
-
-    def _settle(self, now, key):
-        """A relay's new pieces are taken where they overlap no sum that stands."""
-        relay = self.relays[key]
-        others = [p for k, r in self.relays.items() if k != key for p in r.standing if now - p.heard <= self.contact]
-        self.pending.discard(key)
-        for piece in relay.newest:
-            if now - piece.heard > self.contact:
-                continue
-            if any(piece.meets(other) for other in others):
-                self.pending.add(key)
-            else:
-                relay.standing = replace(relay.standing, piece) or relay.standing
-
-    def _total(self, now, rec):
-        if rec.key != self.parent.key or self.is_relay:
+    def _on_group_aggregate(self, now: timedelta, aggregate: GroupAggregate) -> None:
+        if aggregate.key == self.key:
             return
-        if self.teller != (rec.key, rec.instance_id):
-            self.teller = (rec.key, rec.instance_id)
-            self.total = [Shard(-1, p.heard, p.cover, p.held, p.lo, p.hi) for p in self.total]
-        mine = [c.seq for c in rec.cover if c.holder == self.me]
-        own = self._own(mine[0]) if mine and mine[0] else {}
-        if own is None or mine == [0]:
+        if self.neighbours.on_group_aggregate(now, aggregate) and self.is_relay:
+            self.output.add(now, aggregate.placements, outward=False, to_followers=True)
+
+    def _on_fleet_total(self, now: timedelta, total: FleetTotal) -> None:
+        if total.key != self.parent.key or self.is_relay:
             return
-        held = decode_in_flight(rec.held)
-        add(held, within(own, rec.lo, rec.hi), -1)
-        new = replace(self.total, Shard(rec.seq, now, {}, held, rec.lo, rec.hi))
-        if new is not None:
-            self.total, self.total_crowd = new, rec.fleet_size
-            self.parent.spoke = max(self.parent.spoke, now - rec.age * MS)
-
-    def _sure(self, now):
+        if self.total.accept(now, total, self.holder, self.own):
+            self.parent.confirmed_at = max(self.parent.confirmed_at, now - total.isolation_ms * MILLISECOND)
+
+    def _has_heard_relays(self, now: timedelta) -> bool:
         """Whether a new relay has heard the others, or waited long enough for them."""
-        if self.since is None:
+        if self.relay_since is None:
             return False
-        others = [key for key in self.tier.relays if key != self.key and key in self.up] if self.tier else []
-        return now - self.since > self.contact / 4 or all(key in self.relays for key in others)
-
-    def clean(self, now):
-        """What was not heard for a contact bound counts nothing."""
-        for members in (self.members, self.direct):
-            for key in [key for key, member in members.items() if now - member.piece.heard > self.contact]:
-                del members[key]
-        for relay in self.relays.values():
-            relay.standing = [piece for piece in relay.standing if now - piece.heard <= self.contact]
-        for key in [key for key in self.pending if key in self.relays]:
-            self._settle(now, key)
-
-    def gathered(self, now):
+        others = [key for key in self._planned_relays() if key in self.routers]
+        return now - self.relay_since > self.contact_bound / 4 or all(key in self.neighbours.relays for key in others)
+
+    def _planned_relays(self) -> list[str]:
+        """The other relays of the plan."""
+        return [key for key in self.tier.relays if key != self.key] if self.tier else []
+
+    def gathered(self, now: timedelta) -> Gathered:
         """All that is known here of the others, put together."""
-        self.clean(now)
-        relays = self.relays.values()
-        fresh = [p for relay in relays for p in relay.newest if now - p.heard <= self.contact]
-        words = [(m.holder, m.piece) for members in (self.members, self.direct) for m in members.values()]
-        words += [(number, Shard(seq, p.heard, {}, held, p.lo, p.hi)) for p in fresh for number, seq, held in p.singles]
-        return gather([p for relay in relays for p in relay.standing], words, self.me, self._own)
+        self.neighbours.expire(now)
+        accepted = [shard for relay in self.neighbours.relays.values() for shard in relay.accepted]
+        return gather(accepted, self.neighbours.single_updates(now), self.holder, self.own.at)
 
-    def peers_in_flight(self, now, direct=()):
-        """What all others hold, or None while the direct words are what counts.
+    def peers_in_flight(self, now: timedelta, direct: Collection[str] = ()) -> InFlight | None:
+        """What all others hold, or None while only the direct updates count.
 
-        ``direct``: the keys of those whose direct words are fresh.
+        ``direct``: the keys of the nodes whose direct updates are fresh.
 
         >>> InFlightAggregator("a", 1, timedelta(seconds=3)).peers_in_flight(ZERO) is None
         True
         """
-        if self.is_relay and self._sure(now):
-            return self.gathered(now).held
-        self.total = [p for p in self.total if now - p.heard <= self.contact]
-        if not self.is_relay and self.parent.key is None and self.total and self.up.keys() <= set(direct):
-            self.total = []
-        if not self.total:
-            return self.gathered(now).held if self.is_relay else None
-        got = {}
-        for p in self.total:
-            got.update(p.held)
-        return got
-
-    def fleet_sizes(self, now):
-        """The least number that others divide by, as each of those heard tells it."""
+        if self.is_relay and self._has_heard_relays(now):
+            return self.gathered(now).in_flight
+        self.total.expire(now, self.contact_bound)
+        if not self.is_relay and self.parent.key is None and self.total.shards and self.routers.keys() <= set(direct):
+            self.total.shards = []
+        if not self.total.shards:
+            return self.gathered(now).in_flight if self.is_relay else None
+        return self.total.merged()
+
+    def fleet_sizes(self, now: timedelta) -> dict[str, int]:
+        """The least divisor that others use, by the key of the node that reported it."""
         if not self.is_relay:
-            return {self.teller[0]: self.total_crowd} if self.total and self.total_crowd else {}
-        members = {key: member.fleet_size for key, member in self.members.items()}
-        relays = {key: r.fleet_size for key, r in self.relays.items() if r.fleet_size and now - r.heard <= self.contact}
-        return members | relays
-
-    def due_messages(self, now):
-        """The words that are due, as a list of ``Send``; asked for some twenty times a second."""
-        self.clean(now)
-        if self.is_relay:
-            self._begin(now)
-            return self._as_relay(now)
-        out = []
-        if self.farewell:
-            out.append(self._say_farewell(now))
-        to = self.parent.key
-        if to and self._due(now, UP, (to, self.seq), self.reads):
-            word = MemberUpdate(
-                self.key, self.instance_id, self.seq, self.fleet_size, encode_in_flight(self.held), some(self.reads)
-            )
-            out.append(Send((to,), word))
-        if not self.reads:
-            self.urgent = None
-        return out
-
-    def _say_farewell(self, now):
-        """A relay that is one no more tells the others an empty sum."""
-        self.farewell -= 1
-        self.out_seq += 1
-        return Send(
-            self.others(now), GroupAggregate(self.key, self.instance_id, self.out_seq, 0, 0, LAST, [], b"", [], [])
-        )
-
-    def _due(self, now, what, state, hurry):
-        """Whether a kind of word goes out now: soon after a change of state, seldom without one."""
-        at, last = self.sent.get(what, (None, None))
-        span = BEAT if state != last else self.contact / 9
-        if at is not None and not hurry and now - at < span - SLACK:
-            return False
-        self.sent[what] = (now, state)
-        return True
-
-    def others(self, now):
-        """The other relays: those of the plan, and those that were heard as such."""
-        relays = {*(self.tier.relays if self.tier else ()), *self._heard_relays(now)}
-        return tuple(key for key in relays if key in self.up and key != self.key)
-
-    def _heard_relays(self, now):
-        return {
-            key
-            for key, relay in self.relays.items()
-            if now - relay.heard <= self.contact and any(p.cover or p.singles for p in relay.newest)
+            if self.total.sender and self.total.shards and self.total.fleet_size:
+                return {self.total.sender[0]: self.total.fleet_size}
+            return {}
+        members = {key: member.fleet_size for key, member in self.neighbours.members.items()}
+        relays = {
+            key: relay.fleet_size
+            for key, relay in self.neighbours.relays.items()
+            if relay.fleet_size and now - relay.received_at <= self.contact_bound
         }
+        return members | relays
 
-    def isolation_age(self, now):
+    def isolation_age(self, now: timedelta) -> timedelta:
         """For how long this relay has been out of touch with half of the relays.
 
         >>> InFlightAggregator("a", 1, timedelta(seconds=3)).isolation_age(ZERO)
         datetime.timedelta(0)
         """
-        begun = now if self.since is None else self.since
-        others = [key for key in (self.tier.relays if self.tier else ()) if key != self.key]
-        heard = [self.relays[key].heard if key in self.relays else begun for key in others]
-        ages = sorted([ZERO, *(now - at for at in heard)])
+        started_at = now if self.relay_since is None else self.relay_since
+        relays = self.neighbours.relays
+        heard = [relays[key].received_at if key in relays else started_at for key in self._planned_relays()]
+        ages = sorted([ZERO, *(now - received_at for received_at in heard)])
         return ages[-(-len(ages) // 2) - 1]
 
-    def _as_relay(self, now):
-        out, late = [], self.flush_delay(now)
-        hurry = late is not None and late <= ZERO
-        state = (self.seq, *(member.piece.seq for member in self.members.values()))
-        others = self.others(now)
-        if others and self._due(now, ACROSS, state, hurry and self.reads):
-            out += [Send(others, rec) for rec in sums(self, now)]
-        if self.members and self._sure(now):
-            heard = (state, *(p.seq for relay in self.relays.values() for p in relay.newest))
-            if self._due(now, DOWN, heard, hurry and self.down):
-                out += [Send(tuple(self.members), rec) for rec in totals(self, now)]
-        if hurry:
-            self.flushed = now
-            self.urgent = now if self.reads and others or self.down and self.members else None
-        return out
+    def due_messages(self, now: timedelta) -> list[Send]:
+        """The messages that are due; called some twenty times a second."""
+        self.neighbours.expire(now)
+        if self.is_relay:
+            self._become_relay(now)
+            return self._relay_messages(now)
+        return self._follower_messages(now)
+
+    def _follower_messages(self, now: timedelta) -> list[Send]:
+        messages = []
+        if self.leave_notices:
+            messages.append(self._leave_notice(now))
+        parent, output = self.parent.key, self.output
+        if parent and output.due(now, Direction.TO_RELAY, (parent, self.own.sequence), bool(output.placements)):
+            update = MemberUpdate(
+                self.key,
+                self.instance_id,
+                self.own.sequence,
+                self.own.fleet_size,
+                encode_in_flight(self.own.in_flight),
+                take_placements(output.placements),
+            )
+            messages.append(Send((parent,), update))
+        if not output.placements:
+            output.urgent_since = None
+        return messages
+
+    def _leave_notice(self, now: timedelta) -> Send:
+        """An empty aggregate: this node has no group any more."""
+        self.leave_notices -= 1
+        self.output_sequence += 1
+        empty = GroupAggregate(self.key, self.instance_id, self.output_sequence, 0, 0, LAST_RESOURCE, [], b"", [], [])
+        return Send(self._other_relays(now), empty)
+
+    def _other_relays(self, now: timedelta) -> tuple[str, ...]:
+        """The other relays: those of the plan, and those that were heard as such."""
+        relays = {*(self.tier.relays if self.tier else ()), *self.neighbours.active_relays(now)}
+        return tuple(key for key in relays if key in self.routers and key != self.key)
+
+    def _relay_messages(self, now: timedelta) -> list[Send]:
+        messages: list[Send] = []
+        output, members = self.output, self.neighbours.members
+        delay = self.flush_delay(now)
+        flushes = delay is not None and delay <= ZERO
+        state = (self.own.sequence, *(member.shard.sequence for member in members.values()))
+        others = self._other_relays(now)
+        if others and output.due(now, Direction.TO_RELAYS, state, flushes and bool(output.placements)):
+            messages += [Send(others, aggregate) for aggregate in group_aggregates(self, now)]
+        if members and self._has_heard_relays(now):
+            relays = self.neighbours.relays.values()
+            known = (state, *(shard.sequence for relay in relays for shard in relay.newest))
+            if output.due(now, Direction.TO_FOLLOWERS, known, flushes and bool(output.follower_placements)):
+                messages += [Send(tuple(members), total) for total in fleet_totals(self, now)]
+        if flushes:
+            output.flushed_at = now
+            remaining = (output.placements and others) or (output.follower_placements and members)
+            output.urgent_since = now if remaining else None
+        return messages
--- a/sparloom/aggregation/records.py
+++ b/sparloom/aggregation/records.py
@@ -1,7 +1,7 @@
-"""The words of the tier, and how they are kept small.
+"""The messages of the tier, and how they are kept small.
 
 A resource goes by the upper 32 bits of its number. Where two runners share
-them, a count holds for both: that errs towards shorter timeouts. Tokens go in
+them, a load holds for both: that errs towards shorter timeouts. Tokens go in
 units of 32, rounded up.
 """
 
@@ -10,86 +10,97 @@
 import struct
 from hashlib import blake2b
 from itertools import pairwise
+from typing import TYPE_CHECKING
 
 from sparloom.codec import DecodeError, Record, UInt16, UInt32, UInt64, record
 from sparloom.dynamic_timeout import PrefixPlacement
 
-UNIT = 32
-LAST = 0xFFFFFFFF
-ROOM = 1000
-_SHORT = struct.Struct("!I")
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from .shards import InFlight
+
+TOKEN_UNIT = 32
+LAST_RESOURCE = 0xFFFFFFFF
+# What a message should not exceed, so that it fits a datagram on any usual network.
+MAXIMUM_BYTES = 1000
+_SHORT_ID = struct.Struct("!I")
+# Variable-length integers: seven bits a byte, the lowest first; the highest bit says that more follow.
+_VARINT_BITS, _VARINT_MASK, _VARINT_MORE = 7, 0x7F, 0x80
+# The lowest bit of the calls says that the four rarer counts follow.
+_HAS_RARE_COUNTS = 1
 
 
 @record(83)
 class Coverage(Record):
-    """One instance of a holder, and which of its words is in a sum."""
+    """One instance of a holder, and which of its updates is in a sum (0: several)."""
 
     holder: UInt64
-    seq: UInt32
+    sequence: UInt32
 
 
 @record(84)
 class SoloUpdate(Record):
-    """A holder's own word, passed on as it is: it has not been in the group for long."""
+    """A holder's own update, forwarded as it is: it has not been in the group for long."""
 
     holder: UInt64
-    seq: UInt32
-    held: bytes
+    sequence: UInt32
+    in_flight: bytes
 
 
 @record(85)
 class MemberUpdate(Record):
-    """All that a follower has in flight, to its relay; ``placements``: long parts of prompts that it sent out."""
+    """A follower's whole load, to its relay; ``placements``: long prompts that it sent out."""
 
     key: str
     instance_id: UInt64
-    seq: UInt32
+    sequence: UInt32
     fleet_size: UInt16
-    held: bytes
+    in_flight: bytes
     placements: list[PrefixPlacement]
 
 
 @record(86)
 class GroupAggregate(Record):
-    """A relay's group, to the other relays: whom it covers, their sum, and those told one by one.
+    """A relay's group, to the other relays: whom it covers, their sum, and the solo updates.
 
-    ``lo`` to ``hi``: the resources that this piece tells of, both included.
-    ``fleet_size``: the least number that any of them divides by, 0 for none.
+    ``first`` to ``last``: the resources that this shard reports, both included.
+    ``fleet_size``: the least divisor that any of the group uses, 0 if unknown.
     """
 
     key: str
     instance_id: UInt64
-    seq: UInt32
+    sequence: UInt32
     fleet_size: UInt16
-    lo: UInt32
-    hi: UInt32
-    cover: list[Coverage]
-    held: bytes
-    singles: list[SoloUpdate]
+    first: UInt32
+    last: UInt32
+    coverage: list[Coverage]
+    in_flight: bytes
+    solo_updates: list[SoloUpdate]
     placements: list[PrefixPlacement]
 
 
 @record(87)
 class FleetTotal(Record):
-    """All that a relay knows, to its followers; ``cover``: which word of each follower is in it.
+    """All that a relay knows, to its followers; ``coverage``: which update of each follower is in it.
 
-    ``age``: for how many ms the relay has been out of touch with half of the relays.
+    ``isolation_ms``: for how long the relay has been out of touch with half of the relays.
     """
 
     key: str
     instance_id: UInt64
-    seq: UInt32
+    sequence: UInt32
     fleet_size: UInt16
-    age: UInt32
-    lo: UInt32
-    hi: UInt32
-    cover: list[Coverage]
-    held: bytes
+    isolation_ms: UInt32
+    first: UInt32
+    last: UInt32
+    coverage: list[Coverage]
+    in_flight: bytes
     placements: list[PrefixPlacement]
 
 
-def short_id(number):
-    """A resource's short number.
+def short_id(number: int) -> int:
+    """A resource's short id: the upper 32 bits of its number.
 
     >>> short_id(0xAABBCCDD11223344) == 0xAABBCCDD
     True
@@ -97,7 +108,7 @@
     return number >> 32
 
 
-def holder_id(key, instance_id):
+def holder_id(key: str, instance_id: int) -> int:
     """The number of one instance of a holder.
 
     >>> holder_id("a:1", 1) != holder_id("a:1", 2)
@@ -106,24 +117,25 @@
     return int.from_bytes(blake2b(f"{key}|{instance_id}".encode(), digest_size=8).digest())
 
 
-def _put(n, out):
-    while n > 127:
-        out.append(n & 127 | 128)
-        n >>= 7
-    out.append(n)
+def _put_varint(number: int, out: bytearray) -> None:
+    while number > _VARINT_MASK:
+        out.append(number & _VARINT_MASK | _VARINT_MORE)
+        number >>= _VARINT_BITS
+    out.append(number)
 
 
-def _take(raw, at):
-    n = shift = 0
+def _take_varint(raw: bytes, position: int) -> tuple[int, int]:
+    """A number, and the position after it."""
+    number = shift = 0
     while True:
-        b = raw[at]
-        n, at, shift = n | (b & 127) << shift, at + 1, shift + 7
-        if b < 128:
-            return n, at
+        byte = raw[position]
+        number, position, shift = number | (byte & _VARINT_MASK) << shift, position + 1, shift + _VARINT_BITS
+        if byte < _VARINT_MORE:
+            return number, position
 
 
-def encode_in_flight(held):
-    """Bytes for {short number: (calls, tokens, silent, good, bad, blamers)}.
+def encode_in_flight(in_flight: InFlight) -> bytes:
+    """The bytes of the load by short resource id.
 
     >>> decode_in_flight(encode_in_flight({7: (2, 33, 0, 0, 0, 0), 9: (1, 0, 1, 5, 2, 1)}))
     {7: (2, 64, 0, 0, 0, 0), 9: (1, 0, 1, 5, 2, 1)}
@@ -131,55 +143,63 @@
     6
     """
     out = bytearray()
-    for k, v in held.items():
-        more = any(v[2:])
-        out += _SHORT.pack(k)
-        _put(v[0] << 1 | more, out)
-        _put(-(-v[1] // UNIT), out)
-        if more:
-            for n in v[2:]:
-                _put(n, out)
+    for resource, load in in_flight.items():
+        rare = load[2:]
+        has_rare = any(rare)
+        out += _SHORT_ID.pack(resource)
+        _put_varint(load[0] << 1 | has_rare, out)
+        _put_varint(-(-load[1] // TOKEN_UNIT), out)
+        if has_rare:
+            for count in rare:
+                _put_varint(count, out)
     return bytes(out)
 
 
-def decode_in_flight(raw):
-    """The opposite of ``encode_in_flight``; raises DecodeError.
+def decode_in_flight(raw: bytes) -> InFlight:
+    """The load by short resource id, from the bytes of ``encode_in_flight``.
+
+    Raises
+    ------
+    DecodeError : the bytes end within an entry.
 
     >>> decode_in_flight(b"abc")
     Traceback (most recent call last):
     ...
     sparloom.codec.records.DecodeError: no counts
     """
-    out, at, size = {}, 0, len(raw)
+    in_flight: InFlight = {}
+    position, size = 0, len(raw)
     try:
-        while at < size:
-            (k,) = _SHORT.unpack_from(raw, at)
-            n, t = raw[at + 4], raw[at + 5]
-            at += 6
-            if n > 127 or t > 127:
-                n, at = _take(raw, at - 2)
-                t, at = _take(raw, at)
-            if n & 1:
-                rest = []
-                for _ in range(4):
-                    v, at = _take(raw, at)
-                    rest.append(v)
-                out[k] = (n >> 1, t * UNIT, *rest)
+        while position < size:
+            (resource,) = _SHORT_ID.unpack_from(raw, position)
+            # Nearly all numbers fit a byte each: read at once, as a relay spends much of its time here.
+            calls, tokens = raw[position + 4], raw[position + 5]
+            position += 6
+            if calls > _VARINT_MASK or tokens > _VARINT_MASK:
+                calls, position = _take_varint(raw, position - 2)
+                tokens, position = _take_varint(raw, position)
+            if calls & _HAS_RARE_COUNTS:
+                unresponsive, position = _take_varint(raw, position)
+                successes, position = _take_varint(raw, position)
+                failures, position = _take_varint(raw, position)
+                accusers, position = _take_varint(raw, position)
+                load = (calls >> 1, tokens * TOKEN_UNIT, unresponsive, successes, failures, accusers)
             else:
-                out[k] = (n >> 1, t * UNIT, 0, 0, 0, 0)
-    except (struct.error, IndexError) as e:
-        raise DecodeError("no counts") from e
-    return out
+                load = (calls >> 1, tokens * TOKEN_UNIT, 0, 0, 0, 0)
+            in_flight[resource] = load
+    except (struct.error, IndexError) as error:
+        raise DecodeError("no counts") from error
+    return in_flight
 
 
-def ranges(shorts, pieces):
-    """Cuts the resources into ranges of about as many each, the first from 0, the last to the end.
+def ranges(resources: Iterable[int], count: int) -> list[tuple[int, int]]:
+    """Cuts the resources into ``count`` ranges of about as many each, the first from 0, the last to the end.
 
     >>> ranges([1, 5, 9, 12], 2)
     [(0, 8), (9, 4294967295)]
     >>> ranges([], 1)
     [(0, 4294967295)]
     """
-    keys = sorted(shorts)
-    cuts = [0] + [keys[len(keys) * i // pieces] for i in range(1, pieces)] + [LAST + 1]
-    return [(a, b - 1) for a, b in pairwise(cuts) if a < b]
+    keys = sorted(resources)
+    cuts = [0] + [keys[len(keys) * i // count] for i in range(1, count)] + [LAST_RESOURCE + 1]
+    return [(start, end - 1) for start, end in pairwise(cuts) if start < end]
--- a/sparloom/aggregation/shards.py
+++ b/sparloom/aggregation/shards.py
@@ -1,151 +1,204 @@
-"""Pieces of knowledge, and how they are put together so that no call counts twice."""
+"""Shards of load, and how they are put together so that no call counts twice."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from attrs import define, evolve, field
 
-from .records import LAST
+from .records import LAST_RESOURCE
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+    from datetime import timedelta
 
-NONE = (0, 0, 0, 0, 0, 0)
+    from sparloom.dynamic_timeout import ResourceLoad
+
+    # The load by short resource id.
+    InFlight = dict[int, ResourceLoad]
+    # First resource, last resource, and the update of a holder that is counted there.
+    CountedRange = tuple[int, int, int]
 
 
 @define(frozen=True, slots=True, eq=False)
 class Shard:
-    """What some holders have in flight at the resources from ``lo`` to ``hi``.
-
-    ``cover``: each holder's number with the word of it that is in ``held``.
-    ``singles``: (holder, seq, held) of those that are told one by one.
+    """What some holders have in flight at the resources from ``first`` to ``last``.
+
+    Attributes
+    ----------
+    sequence : number of the message that it came in.
+    received_at : when it came.
+    coverage : each holder's number with the update of it that is in ``in_flight``.
+    in_flight : the summed load by resource.
+    solo_updates : (holder, sequence, load) of those that are reported one by one.
     """
 
-    seq: int
-    heard: object
-    cover: dict
-    held: dict
-    lo: int = 0
-    hi: int = LAST
-    singles: tuple = ()
+    sequence: int
+    received_at: timedelta
+    coverage: dict[int, int]
+    in_flight: InFlight
+    first: int = 0
+    last: int = LAST_RESOURCE
+    solo_updates: tuple[tuple[int, int, InFlight], ...] = ()
 
-    def without(self, lo, hi):
-        """What is left of it outside of a range.
+    def without(self, first: int, last: int) -> list[Shard]:
+        """What remains outside of a range.
 
-        >>> [(p.lo, p.hi, p.held) for p in Shard(1, 0, {}, {3: 1, 8: 2}, 0, 9).without(4, 6)]
+        >>> [(p.first, p.last, p.in_flight) for p in Shard(1, 0, {}, {3: 1, 8: 2}, 0, 9).without(4, 6)]
         [(0, 3, {3: 1}), (7, 9, {8: 2})]
         """
-        if hi < self.lo or lo > self.hi:
+        if last < self.first or first > self.last:
             return [self]
-        sides = ((self.lo, lo - 1), (hi + 1, self.hi))
-        return [self._cut(first, last) for first, last in sides if first <= last]
+        sides = ((self.first, first - 1), (last + 1, self.last))
+        return [self._restricted(start, end) for start, end in sides if start <= end]
 
-    def _cut(self, lo, hi):
-        singles = tuple((holder, seq, within(held, lo, hi)) for holder, seq, held in self.singles)
-        return evolve(self, lo=lo, hi=hi, held=within(self.held, lo, hi), singles=singles)
+    def _restricted(self, first: int, last: int) -> Shard:
+        solo_updates = tuple(
+            (holder, sequence, within(in_flight, first, last)) for holder, sequence, in_flight in self.solo_updates
+        )
+        return evolve(
+            self, first=first, last=last, in_flight=within(self.in_flight, first, last), solo_updates=solo_updates
+        )
 
-    def meets(self, other):
+    def overlaps(self, other: Shard) -> bool:
         """Whether both cover a holder for the same resources.
 
-        >>> Shard(1, 0, {5: 1}, {}).meets(Shard(1, 0, {5: 2, 6: 1}, {}))
+        >>> Shard(1, 0, {5: 1}, {}).overlaps(Shard(1, 0, {5: 2, 6: 1}, {}))
         True
         """
-        overlap = self.lo <= other.hi and other.lo <= self.hi
-        return overlap and not self.cover.keys().isdisjoint(other.cover)
+        overlap = self.first <= other.last and other.first <= self.last
+        return overlap and not self.coverage.keys().isdisjoint(other.coverage)
 
 
-def within(held, lo, hi):
+def within(in_flight: InFlight, first: int, last: int) -> InFlight:
     """The entries of a range.
 
     >>> within({3: "a", 8: "b"}, 4, 9)
     {8: 'b'}
     """
-    if lo == 0 and hi == LAST:
-        return held
-    return {resource: counts for resource, counts in held.items() if lo <= resource <= hi}
+    if first == 0 and last == LAST_RESOURCE:
+        return in_flight
+    return {resource: counts for resource, counts in in_flight.items() if first <= resource <= last}
 
 
-def add(total, held, sign=1):
-    """Adds counts to a total, or takes them off; none falls below nought.
+def add(total: InFlight, in_flight: InFlight, sign: int = 1) -> None:
+    """Adds loads to a total, or subtracts them (``sign`` -1); no count falls below zero.
 
     >>> t = {1: (2, 0, 0, 0, 0, 0)}; add(t, {1: (1, 5, 0, 0, 0, 0)}); add(t, {1: (1, 9, 0, 0, 0, 0)}, -1); t
     {1: (2, 0, 0, 0, 0, 0)}
     """
     if sign < 0:
-        _take_off(total, held)
+        _subtract(total, in_flight)
         return
-    for resource, b in held.items():
-        a = total.get(resource)
-        # Written out: most of a relay's time goes here.
-        total[resource] = (
-            b if a is None else (a[0] + b[0], a[1] + b[1], a[2] + b[2], a[3] + b[3], a[4] + b[4], a[5] + b[5])
-        )
-
-
-def _take_off(total, held):
-    for resource, counts in held.items():
+    for resource, new in in_flight.items():
+        old = total.get(resource)
+        if old is None:
+            total[resource] = new
+        else:
+            # Written out: most of a relay's time goes here.
+            total[resource] = (
+                old[0] + new[0],
+                old[1] + new[1],
+                old[2] + new[2],
+                old[3] + new[3],
+                old[4] + new[4],
+                old[5] + new[5],
+            )
+
+
+def _subtract(total: InFlight, in_flight: InFlight) -> None:
+    for resource, counts in in_flight.items():
         old = total.get(resource)
         if old is not None:
-            total[resource] = tuple(max(0, x - y) for x, y in zip(old, counts, strict=True))
+            total[resource] = (
+                max(0, old[0] - counts[0]),
+                max(0, old[1] - counts[1]),
+                max(0, old[2] - counts[2]),
+                max(0, old[3] - counts[3]),
+                max(0, old[4] - counts[4]),
+                max(0, old[5] - counts[5]),
+            )
 
 
-def replace(pieces, new):
-    """The pieces with a newer one in its range, or None when that is not newer.
+def replace(shards: Iterable[Shard], new: Shard) -> list[Shard] | None:
+    """The shards with a newer one in its range, or None when that is not newer.
 
     >>> replace([Shard(2, 0, {}, {})], Shard(1, 0, {}, {})) is None
     True
     """
-    if any(p.seq >= new.seq and p.lo <= new.hi and new.lo <= p.hi for p in pieces):
+    if any(p.sequence >= new.sequence and p.first <= new.last and new.first <= p.last for p in shards):
         return None
-    return [rest for piece in pieces for rest in piece.without(new.lo, new.hi)] + [new]
+    return [rest for shard in shards for rest in shard.without(new.first, new.last)] + [new]
 
 
 @define(slots=True)
 class Gathered:
-    """All that is known: counts by resource, and which word of each holder is in them (0: of several)."""
+    """All that is known: load by resource, and which update of each holder is in it (0: several)."""
 
-    held: dict = field(factory=dict)
-    seqs: dict = field(factory=dict)
+    in_flight: InFlight = field(factory=dict)
+    sequences: dict[int, int] = field(factory=dict)
 
 
-def gather(sums, words, me, own):
-    """Puts sums and single words together: each holder counts from one place at each resource.
+def gather(
+    sums: Iterable[Shard],
+    updates: Iterable[tuple[int, Shard]],
+    own_holder: int,
+    own_update: Callable[[int], InFlight | None],
+) -> Gathered:
+    """Puts sums and single updates together: each holder counts from one source at each resource.
 
-    ``sums``: pieces whose covers are disjoint. ``words``: (holder, piece) of
-    single holders; where a sum covers the holder they count nothing, else the
-    newest does. ``own(seq)``: this node's word of that number, which is taken
-    off where a sum has it.
+    Parameters
+    ----------
+    sums : shards whose coverages are disjoint.
+    updates : (holder, shard) of single holders; where a sum covers the holder
+        they count nothing, else the newest does.
+    own_holder : this node's number.
+    own_update : gives this node's update of a number, which is subtracted where a sum has it.
 
     >>> s, w = Shard(1, 0, {5: 3}, {7: (2, 0, 0, 0, 0, 0)}), Shard(4, 0, {}, {7: (9, 0, 0, 0, 0, 0)})
-    >>> gather([s], [(5, w), (6, w)], 0, None).held, gather([s], [], 5, lambda q: {7: (1, 0, 0, 0, 0, 0)}).held
-    ({7: (11, 0, 0, 0, 0, 0)}, {7: (1, 0, 0, 0, 0, 0)})
+    >>> gather([s], [(5, w), (6, w)], 0, None).in_flight
+    {7: (11, 0, 0, 0, 0, 0)}
+    >>> gather([s], [], 5, lambda sequence: {7: (1, 0, 0, 0, 0, 0)}).in_flight
+    {7: (1, 0, 0, 0, 0, 0)}
     """
-    gathered, counted = Gathered(), {}
-    for piece in sums:
-        add(gathered.held, piece.held)
-        for holder, seq in piece.cover.items():
-            counted.setdefault(holder, []).append((piece.lo, piece.hi, seq))
-        if me in piece.cover:
-            add(gathered.held, within(own(piece.cover[me]) or {}, piece.lo, piece.hi), -1)
-    for holder, pieces in _by_holder(words, me).items():
-        _add_words(gathered.held, pieces, counted.setdefault(holder, []))
-    for holder, spans in counted.items():
-        seqs = {seq for _, _, seq in spans}
-        gathered.seqs[holder] = seqs.pop() if len(seqs) == 1 else 0
+    gathered = Gathered()
+    counted: dict[int, list[CountedRange]] = {}
+    for shard in sums:
+        add(gathered.in_flight, shard.in_flight)
+        for holder, sequence in shard.coverage.items():
+            counted.setdefault(holder, []).append((shard.first, shard.last, sequence))
+        if own_holder in shard.coverage:
+            own = own_update(shard.coverage[own_holder]) or {}
+            add(gathered.in_flight, within(own, shard.first, shard.last), -1)
+    for holder, shards in _by_holder(updates, own_holder).items():
+        _add_updates(gathered.in_flight, shards, counted.setdefault(holder, []))
+    for holder, counted_ranges in counted.items():
+        sequences = {sequence for _, _, sequence in counted_ranges}
+        gathered.sequences[holder] = sequences.pop() if len(sequences) == 1 else 0
     return gathered
 
 
-def _by_holder(words, me):
-    """The pieces of each holder but this node."""
-    found = {}
-    for holder, piece in words:
-        if holder != me:
-            found.setdefault(holder, []).append(piece)
+def _by_holder(updates: Iterable[tuple[int, Shard]], own_holder: int) -> dict[int, list[Shard]]:
+    """The shards of each holder but this node."""
+    found: dict[int, list[Shard]] = {}
+    for holder, shard in updates:
+        if holder != own_holder:
+            found.setdefault(holder, []).append(shard)
     return found
 
 
-def _add_words(total, pieces, spans):
-    """Adds one holder's pieces, the newest first, where ``spans`` (lo, hi, seq) don't count it yet."""
-    for piece in sorted(pieces, key=lambda piece: -piece.seq) if len(pieces) > 1 else pieces:
-        if any(lo <= piece.lo and piece.hi <= hi for lo, hi, _ in spans):
+def _add_updates(total: InFlight, shards: list[Shard], counted: list[CountedRange]) -> None:
+    """Adds one holder's shards, the newest first, where ``counted`` doesn't hold it yet."""
+    for shard in sorted(shards, key=lambda shard: -shard.sequence) if len(shards) > 1 else shards:
+        if any(first <= shard.first and shard.last <= last for first, last, _ in counted):
             continue
-        add(total, _outside(piece.held, spans) if spans else piece.held)
-        spans.append((piece.lo, piece.hi, piece.seq))
+        add(total, _outside(shard.in_flight, counted) if counted else shard.in_flight)
+        counted.append((shard.first, shard.last, shard.sequence))
 
 
-def _outside(held, spans):
-    return {k: counts for k, counts in held.items() if not any(lo <= k <= hi for lo, hi, _ in spans)}
+def _outside(in_flight: InFlight, counted: list[CountedRange]) -> InFlight:
+    return {
+        resource: load
+        for resource, load in in_flight.items()
+        if not any(first <= resource <= last for first, last, _ in counted)
+    }
--- a/tests/aggregation/test_aggregator.py
+++ b/tests/aggregation/test_aggregator.py
@@ -15,18 +15,18 @@
     return {res: (n, 0, 0, 0, 0, 0)} if n else {}
 
 
-class Line:
-    """Relays a and b, followers f of a and g of b; a step: who beats, and who hears it."""
+class FourNodes:
+    """Relays a and b, followers f of a and g of b; a step: who sends, and who receives it."""
 
     def __init__(self):
         self.now = 0 * MS
         self.up = {"a": 1, "b": 1, "f": 1, "g": 1}
         self.parents = {"f": ("a", "b"), "g": ("b", "a")}
         self.nodes = {k: InFlightAggregator(k, 1, CONTACT) for k in self.up}
-        self.holds, self.cut, self.loose = {"a": 1, "b": 2, "f": 4, "g": 8}, set(), []
+        self.calls, self.partitioned = {"a": 1, "b": 2, "f": 4, "g": 8}, set()
 
     def advance(self, span, prefer=None):
-        """All beat each 50 ms; datagrams arrive at once, save those of a cut."""
+        """All send each 50 ms; datagrams arrive at once, save those of a partition."""
         end = self.now + span
         while self.now < end:
             self.now += 50 * MS
@@ -39,65 +39,68 @@
                         up,
                         (prefer or {}).get(k),
                     )
-                    s.update_in_flight(self.now, held(self.holds[k]), 4)
+                    s.update_in_flight(self.now, held(self.calls[k]), 4)
                     for m in s.due_messages(self.now):
                         for to in m.destinations:
-                            if (k, to) not in self.cut and to in self.nodes:
+                            if (k, to) not in self.partitioned and to in self.nodes:
                                 self.nodes[to].on_message(self.now, m.message)
 
     def counts(self):
         return {k: (s.peers_in_flight(self.now) or {}).get(7, (None,))[0] for k, s in self.nodes.items()}
 
 
-class Timelines(unittest.TestCase):
+class MovingMembers(unittest.TestCase):
     def setUp(self):
-        self.x = Line()
+        self.fleet = FourNodes()
 
     def test_each_counts_all_others_once(self):
-        self.x.advance(S)
+        self.fleet.advance(S)
         #                                      own 1    own 2    own 4    own 8
-        self.assertEqual(self.x.counts(), {"a": 14, "b": 13, "f": 11, "g": 7})
-        self.x.advance(9 * S)
-        self.assertTrue(all(p.cover for r in self.x.nodes["a"].relays.values() for p in r.standing))
-        self.assertEqual(self.x.counts(), {"a": 14, "b": 13, "f": 11, "g": 7})
+        self.assertEqual(self.fleet.counts(), {"a": 14, "b": 13, "f": 11, "g": 7})
+        self.fleet.advance(9 * S)
+        self.assertTrue(all(p.coverage for r in self.fleet.nodes["a"].neighbours.relays.values() for p in r.accepted))
+        self.assertEqual(self.fleet.counts(), {"a": 14, "b": 13, "f": 11, "g": 7})
 
     def test_a_follower_that_moves_counts_once_at_every_step(self):
-        self.x.advance(10 * S)
+        self.fleet.advance(10 * S)
         for _ in range(400):
-            self.x.advance(50 * MS, {"f": "b"})
-            self.assertEqual(self.x.counts(), {"a": 14, "b": 13, "f": 11, "g": 7})
-        self.assertEqual((set(self.x.nodes["a"].members), set(self.x.nodes["b"].members)), (set(), {"f", "g"}))
+            self.fleet.advance(50 * MS, {"f": "b"})
+            self.assertEqual(self.fleet.counts(), {"a": 14, "b": 13, "f": 11, "g": 7})
+        self.assertEqual(
+            (set(self.fleet.nodes["a"].neighbours.members), set(self.fleet.nodes["b"].neighbours.members)),
+            (set(), {"f", "g"}),
+        )
 
-    def test_it_moves_while_its_relays_do_not_hear_each_other(self):
+    def test_a_follower_moves_while_its_relays_are_partitioned_from_each_other(self):
         """b's claim does not reach a: a's sum with f's old word stands until a gives f up."""
-        self.x.advance(10 * S)
-        self.x.cut = {("b", "a")}
+        self.fleet.advance(10 * S)
+        self.fleet.partitioned = {("b", "a")}
         for _ in range(160):
-            self.x.advance(50 * MS, {"f": "b"})
-            got = self.x.counts()
+            self.fleet.advance(50 * MS, {"f": "b"})
+            got = self.fleet.counts()
             self.assertLessEqual(got["b"], 13)
             self.assertLessEqual(got["a"] or 0, 14)
             self.assertEqual(got["f"], 11)
-        self.x.cut = set()
-        self.x.advance(S)
-        self.assertEqual(self.x.counts(), {"a": 14, "b": 13, "f": 11, "g": 7})
+        self.fleet.partitioned = set()
+        self.fleet.advance(S)
+        self.assertEqual(self.fleet.counts(), {"a": 14, "b": 13, "f": 11, "g": 7})
 
-    def test_the_own_word_that_a_total_holds_is_taken_off_also_when_it_is_old(self):
-        self.x.advance(10 * S)
-        self.x.cut = {("f", "a")}
-        self.x.holds["f"] = 40
-        self.x.advance(500 * MS)
-        self.assertEqual(self.x.counts()["f"], 11)
+    def test_the_own_update_in_a_total_is_subtracted_even_when_it_is_old(self):
+        self.fleet.advance(10 * S)
+        self.fleet.partitioned = {("f", "a")}
+        self.fleet.calls["f"] = 40
+        self.fleet.advance(500 * MS)
+        self.assertEqual(self.fleet.counts()["f"], 11)
 
     def test_a_silent_relay_is_left_within_a_third_of_the_contact_bound(self):
-        self.x.advance(10 * S)
-        self.x.cut = {("a", k) for k in "bfg"} | {(k, "a") for k in "bfg"}
-        self.x.advance(CONTACT / 3 + 150 * MS)
-        self.assertIn("f", self.x.nodes["b"].members)
-        self.x.advance(CONTACT)
-        self.assertEqual(self.x.counts()["g"], 6)
-
-    def test_a_relay_that_hears_no_other_says_so(self):
+        self.fleet.advance(10 * S)
+        self.fleet.partitioned = {("a", k) for k in "bfg"} | {(k, "a") for k in "bfg"}
+        self.fleet.advance(CONTACT / 3 + 150 * MS)
+        self.assertIn("f", self.fleet.nodes["b"].neighbours.members)
+        self.fleet.advance(CONTACT)
+        self.assertEqual(self.fleet.counts()["g"], 6)
+
+    def test_a_relay_that_hears_no_other_reports_its_isolation(self):
         """Three relays: a is heard by f, and hears neither b nor c."""
         a, now = InFlightAggregator("a", 1, CONTACT), 10 * S
         a.update_membership(0 * S, RelayTier(("a", "b", "c"), (), True), {"b": 1, "c": 1, "f": 1})
@@ -105,20 +108,20 @@
         a.on_message(now, _sum("b", 1, {}, 0))
         self.assertEqual(a.isolation_age(now + S), S)
 
-    def test_a_gone_holders_slots_are_free_at_all(self):
-        self.x.advance(10 * S)
-        del self.x.up["f"], self.x.nodes["f"]
-        self.x.nodes["a"].on_departed("f")
-        self.x.advance(400 * MS)
-        self.assertEqual(self.x.counts(), {"a": 10, "b": 9, "g": 3})
-
-    def test_a_holder_that_is_silent_counts_for_one_contact_bound(self):
-        self.x.advance(10 * S)
-        del self.x.nodes["f"]
-        self.x.advance(CONTACT - 500 * MS)
-        self.assertEqual(self.x.counts(), {"a": 14, "b": 13, "g": 7})
-        self.x.advance(S)
-        self.assertEqual(self.x.counts(), {"a": 10, "b": 9, "g": 3})
+    def test_the_load_of_a_departed_node_is_dropped_everywhere(self):
+        self.fleet.advance(10 * S)
+        del self.fleet.up["f"], self.fleet.nodes["f"]
+        self.fleet.nodes["a"].on_departed("f")
+        self.fleet.advance(400 * MS)
+        self.assertEqual(self.fleet.counts(), {"a": 10, "b": 9, "g": 3})
+
+    def test_a_silent_node_counts_for_one_contact_bound(self):
+        self.fleet.advance(10 * S)
+        del self.fleet.nodes["f"]
+        self.fleet.advance(CONTACT - 500 * MS)
+        self.assertEqual(self.fleet.counts(), {"a": 14, "b": 13, "g": 7})
+        self.fleet.advance(S)
+        self.assertEqual(self.fleet.counts(), {"a": 10, "b": 9, "g": 3})
 
     def test_a_sum_that_overlaps_is_set_aside_and_the_one_before_stands(self):
         r = InFlightAggregator("r", 1, CONTACT)
@@ -131,14 +134,14 @@
         one("a", 2, {1: 1}, 1)
         self.assertEqual(r.peers_in_flight(S)[7][0], 10)
 
-    def test_the_least_number_that_others_divide_by_comes_through(self):
-        x = self.x
+    def test_the_least_divisor_of_the_others_is_reported(self):
+        x = self.fleet
         x.advance(S)
         self.assertEqual([set(s.fleet_sizes(x.now).values()) for s in x.nodes.values()], [{4}] * 4)
         x.nodes["g"].update_in_flight(x.now, held(8), 3)
-        x.cut = {("g", "b")}
+        x.partitioned = {("g", "b")}
         x.advance(S)
-        x.cut = set()
+        x.partitioned = set()
         x.nodes["b"].on_message(x.now, _up("g", 99, 3))
         x.advance(500 * MS)
         self.assertEqual(
@@ -160,8 +163,8 @@
     return MemberUpdate(key, 1, seq, crowd, encode_in_flight(held(8)), [])
 
 
-class Words(unittest.TestCase):
-    def test_what_is_coded_comes_back(self):
+class Messages(unittest.TestCase):
+    def test_encoded_load_is_decoded_unchanged(self):
         for seed in range(50):
             rng = random.Random(seed)
             d = {
@@ -174,7 +177,7 @@
             }
             self.assertEqual(decode_in_flight(encode_in_flight(d)), d)
 
-    def test_ten_thousand_runners_go_in_pieces_of_which_any_may_be_lost(self):
+    def test_ten_thousand_runners_go_in_shards_any_of_which_may_be_lost(self):
         a, f = InFlightAggregator("a", 1, CONTACT), InFlightAggregator("f", 1, CONTACT)
         tier = RelayTier(("a",), ("a",), False)
         rng = random.Random(1)
@@ -186,7 +189,7 @@
         for m in f.due_messages(0 * S):
             a.on_message(0 * S, m.message)
         first = [m.message for m in a.due_messages(0 * S)]
-        self.assertLess(max(len(r.held) for r in first), 1100)
+        self.assertLess(max(len(r.in_flight) for r in first), 1100)
         for rec in first:
             f.on_message(0 * S, rec)
         self.assertEqual(len(f.peers_in_flight(0 * S)), 10**4)
@@ -197,8 +200,8 @@
         self.assertEqual((len(got), {v[0] for v in got.values()}), (10**4, {1, 2}))
 
 
-def trouble(f, rng, kind):
-    """One trouble in a fleet; what it takes away comes back by itself."""
+def inject_fault(f, rng, kind):
+    """One fault in a fleet; what it takes away is restored by itself."""
     relays = [k for k in f.running() if f.nodes[k].is_relay] or f.running()
     k = rng.choice(relays)
     back = lambda k, ms: f.at(ms * MS, lambda: k in f.off and f.boot(k))
@@ -222,10 +225,10 @@
             back(r, 800)
 
 
-class Storms(unittest.TestCase):
+class RandomFaults(unittest.TestCase):
     KINDS = ("kill", "freeze", "deaf", "mute", "zone", "herd", "none")
 
-    def storm(self, n, seed, steps):
+    def run_faults(self, n, seed, steps):
         f, rng = Fleet(n, seed=seed), random.Random(seed)
         f.run(8 * S)
 
@@ -236,7 +239,7 @@
                 self.assertNotIn(f.nodes[k].instance_id, got, (seed, f.now, k))
 
         for _ in range(steps):
-            trouble(f, rng, rng.choice(self.KINDS))
+            inject_fault(f, rng, rng.choice(self.KINDS))
             f.run(S, check, 250 * MS)
         # The last frozen one thaws after 7 s at most; then a contact bound and a half of calm.
         f.run(7 * S + 1.5 * CONTACT, check, 500 * MS)
@@ -252,10 +255,10 @@
 
     def test_no_call_counts_twice_and_all_count_in_the_end(self):
         for seed in range(2):
-            self.storm(24, seed, 8)
+            self.run_faults(24, seed, 8)
 
     def test_in_a_fleet_of_eighty(self):
-        self.storm(80, 1, 3)
+        self.run_faults(80, 1, 3)
 
     def test_the_bound_after_a_loss(self):
         """Known gone, a third of the contact bound for the followers to move, and some beats: all is exact again."""
@@ -263,7 +266,7 @@
             f = Fleet(40, seed=seed)
             f.run(9 * S)
             relays = [k for k in f.names if f.nodes[k].is_relay]
-            group = sorted(f.nodes[relays[0]].members)
+            group = sorted(f.nodes[relays[0]].neighbours.members)
             for k in (relays[:lost] if lost else [k for k in relays if f.zone[k] == "z0"]) + group[:1]:
                 f.kill(k)
             f.run(0.7 * CONTACT + CONTACT / 3 + 400 * MS)
@@ -279,7 +282,7 @@
         return exact
 
 
-class Figures(unittest.TestCase):
+class MessageCost(unittest.TestCase):
     def test_messages_per_node_grow_no_faster_than_the_logarithm(self):
         """With the count of 20 nodes as the measure; each node's calls change all the time."""
         got = {}
