--- a/sparloom/admission/__init__.py
+++ b/sparloom/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Members' reserves: who a member is, what it may always have, and its line."""
+"""Admission control with reserves: who a member is, what is reserved for it, and its queue."""
 
 from .controller import AdmissionController, Admitted, Capacity, Demand, Queued, Rejected
 from .fleet_size import FleetSize
--- a/sparloom/admission/controller.py
+++ b/sparloom/admission/controller.py
@@ -1,25 +1,36 @@
-"""The gate of one service at one router: reserves, the common part, and a queue per member."""
+"""Admission of one service at one router: reserves, the common part, and a queue per member."""
+
+from __future__ import annotations
 
 from datetime import timedelta
+from typing import TYPE_CHECKING
 
 from attrs import define, field
 
-from .reserve import Reserves
+from .reserve import NO_EXCESS, NO_USAGE, Excess, Reserves, Usage
+
+if TYPE_CHECKING:
+    from collections.abc import Hashable, Iterable, Mapping
 
+# The member of all requests that no declared member owns.
 OTHERS = ""
-NONE = (0, 0)
+OTHERS_LABEL = "(others)"
+QUEUE_LIMIT = 64
+MINIMUM_RETRY_AFTER = timedelta(milliseconds=20)
+# The weight of the newest request in the mean duration.
+DURATION_WEIGHT = 0.1
 
 
 @define(frozen=True, slots=True)
 class Demand:
-    """What a request takes: a slot and some tokens."""
+    """What a request takes beside its slot: tokens of its prompt."""
 
     tokens: int = 0
 
 
 @define(frozen=True, slots=True)
 class Capacity:
-    """What this router may grant without asking: slots and tokens (0 tokens: not counted)."""
+    """What this router may admit on its own: slots and tokens (0 tokens: not counted)."""
 
     slots: int
     tokens: int = 0
@@ -27,50 +38,78 @@
 
 @define(frozen=True, slots=True)
 class Admitted:
-    """The request may be sent on; ``reserved``: out of its member's own reserve."""
+    """The request may be forwarded; ``reserved``: out of its member's own reserve."""
 
-    id: object
+    id: Hashable
     reserved: bool = False
 
 
 @define(frozen=True, slots=True)
 class Queued:
-    """The request stands in its member's queue."""
+    """The request waits in its member's queue."""
 
-    id: object
+    id: Hashable
 
 
 @define(frozen=True, slots=True)
 class Rejected:
-    """The request can't be served usefully: refused, with a time to come back."""
+    """The request can't be served in time; the client may retry after a while."""
 
-    id: object
+    id: Hashable
     retry_after: timedelta
 
 
 @define(slots=True)
 class _Request:
-    id: object
+    """A request that waits or is admitted; ``tokens``: what it was charged."""
+
+    id: Hashable
     member: str
     priority: int
-    came: timedelta
-    need: Demand
-    horizon: timedelta
-    began: timedelta = timedelta(0)
+    received_at: timedelta
+    demand: Demand
+    deadline: timedelta
+    admitted_at: timedelta = timedelta(0)
     tokens: int = 0
 
 
+@define(frozen=True, slots=True)
+class _Fit:
+    """What an admission would lead to: tokens charged, the member's usage, and all members' excess."""
+
+    tokens: int
+    usage: Usage
+    excess: Excess
+
+
+def _queue_order(request: _Request) -> tuple[int, timedelta]:
+    return request.priority, request.received_at
+
+
 @define(slots=True)
 class AdmissionController:
-    """Grants, queues and refusals.
+    """Admits, queues and rejects requests.
 
     A member's reserve is granted to it alone. What it uses beyond competes for
     the common part by priority and then age. Nothing is ever lent out of a
     reserve, so a flood fills the common part and its own reserve only.
     What all members together use beyond their reserves is kept as a running
-    sum, so that the cost of a grant grows with no number of members.
-    ``extra_slots`` slots are added to the common part while the fleet as a whole has
-    room (see the notes); none of them comes out of a reserve.
+    sum, so that the cost of an admission doesn't depend on the number of members.
+
+    Attributes
+    ----------
+    capacity : what this router may admit.
+    shares : each member's reserve as a share of the capacity (0 to 1).
+    queue_limit : requests that a member may have waiting.
+    admitted : requests in progress, by id.
+    usage : what each member uses; members that use nothing are left out.
+    queues : waiting requests by member, the next one first.
+    rejections : how many requests of each member were rejected.
+    mean_duration : moving average of how long requests hold a slot.
+    extra_slots : added to the common part while the fleet as a whole has
+        capacity left (``FleetSize.surplus``); none comes out of a reserve.
+    reserves : the capacity laid out.
+    excess : the running sum of what members use beyond their reserves.
 
     >>> g = AdmissionController(Capacity(4), {"a": 0.5, "b": 0.25}); now = timedelta(0)
     >>> [type(g.acquire(now, i, "b", 0, Demand(), timedelta(9))).__name__ for i in range(3)]
@@ -79,170 +118,215 @@
     'Admitted'
     """
 
-    room: Capacity
-    parts: dict
-    bound: int = 64
-    held: dict = field(factory=dict)
-    used: dict = field(factory=dict)
-    queues: dict = field(factory=dict)
-    refused: dict = field(factory=dict)
-    hold: timedelta = timedelta(0)
+    capacity: Capacity
+    shares: Mapping[str, float]
+    queue_limit: int = QUEUE_LIMIT
+    admitted: dict[Hashable, _Request] = field(factory=dict)
+    usage: dict[str, Usage] = field(factory=dict)
+    queues: dict[str, list[_Request]] = field(factory=dict)
+    rejections: dict[str, int] = field(factory=dict)
+    mean_duration: timedelta = timedelta(0)
     extra_slots: int = 0
-    kept: Reserves = field(init=False)
-    over: tuple = field(init=False, default=(0, 0, 0))
+    reserves: Reserves = field(init=False)
+    excess: Excess = field(init=False, default=NO_EXCESS)
 
-    def __attrs_post_init__(self):
+    def __attrs_post_init__(self) -> None:
         self._lay_out()
 
-    def _lay_out(self):
-        """Works out every reserve and the common part, once per change of room or parts."""
-        self.kept = Reserves.of(self.room.slots, self.room.tokens, self.parts)
-        overs = [self.kept.over(m, u) for m, u in self.used.items()]
-        self.over = tuple(sum(o[i] for o in overs) for i in range(3))
-
-    def _after(self, m, used):
-        """The running sum, were this member's use as told."""
-        was, new, sums = self.kept.over(m, self.used.get(m, NONE)), self.kept.over(m, used), self.over
-        return sums[0] - was[0] + new[0], sums[1] - was[1] + new[1], sums[2] - was[2] + new[2]
-
-    def _fit(self, m, need):
-        """A member's use and the running sum after a grant, or None where it doesn't fit.
-
-        A request that needs more tokens than its share could hold counts as all of it.
+    def _lay_out(self) -> None:
+        """Computes the reserves and the common part, once per change of capacity or shares."""
+        self.reserves = Reserves.of(self.capacity.slots, self.capacity.tokens, self.shares)
+        each = [self.reserves.excess(member, usage) for member, usage in self.usage.items()]
+        self.excess = Excess(
+            sum(excess.slots for excess in each),
+            sum(excess.fractions for excess in each),
+            sum(excess.tokens for excess in each),
+        )
+
+    def _usage_of(self, member: str) -> Usage:
+        return self.usage.get(member, NO_USAGE)
+
+    def _excess_with(self, member: str, usage: Usage) -> Excess:
+        """The running sum, were this member's usage the one given."""
+        total = self.excess
+        old, new = self.reserves.excess(member, self._usage_of(member)), self.reserves.excess(member, usage)
+        return Excess(
+            total.slots - old.slots + new.slots,
+            total.fractions - old.fractions + new.fractions,
+            total.tokens - old.tokens + new.tokens,
+        )
+
+    def _fit(self, member: str, demand: Demand) -> _Fit | None:
+        """What an admission would lead to, or None where it doesn't fit.
+
+        A request that needs more tokens than its member could ever have is charged all of these.
         """
-        kept, (slots, tokens) = self.kept, self.used.get(m, NONE)
-        take = min(need.tokens, kept.tokens.get(m, 0) + kept.common[1]) if self.room.tokens else 0
-        used = (slots + 1, tokens + take)
-        after = self._after(m, used)
-        common = kept.common_use(after)
-        if common > kept.common[0] + self.extra_slots and common > kept.common_use(self.over):
+        reserves, usage = self.reserves, self._usage_of(member)
+        token_limit = reserves.tokens.get(member, 0) + reserves.common.tokens
+        tokens = min(demand.tokens, token_limit) if self.capacity.tokens else 0
+        new_usage = Usage(usage.slots + 1, usage.tokens + tokens)
+        excess = self._excess_with(member, new_usage)
+        common = reserves.common_slots_used(excess)
+        # After a change of capacity the common part may be overdrawn: what takes nothing more of it fits still.
+        if common > reserves.common.slots + self.extra_slots and common > reserves.common_slots_used(self.excess):
             return None
-        if self.room.tokens and after[2] > kept.common[1] and after[2] > self.over[2]:
+        if self.capacity.tokens and excess.tokens > reserves.common.tokens and excess.tokens > self.excess.tokens:
             return None
-        return take, used, after
+        return _Fit(tokens, new_usage, excess)
 
-    def fits(self, m, need):
-        """Whether a request of a member may be granted now.
+    def fits(self, member: str, demand: Demand) -> bool:
+        """Whether a request of a member may be admitted now.
 
         >>> AdmissionController(Capacity(0), {}).fits("a", Demand())
         False
         """
-        return self._fit(m, need) is not None
+        return self._fit(member, demand) is not None
 
-    def is_saturated(self):
-        """Whether the common part is used up, so that only ``extra_slots`` slots are left.
+    def is_saturated(self) -> bool:
+        """Whether the common part is used up, so that only ``extra_slots`` are left.
 
         >>> AdmissionController(Capacity(1), {}).is_saturated()
         False
         """
-        return self.kept.common_use(self.over) >= self.kept.common[0]
+        return self.reserves.common_slots_used(self.excess) >= self.reserves.common.slots
 
-    def _wait_of(self, m):
-        return self.hold * ((len(self.queues.get(m, ())) + 1) / max(1, self.kept.most(m)))
+    def _expected_wait(self, member: str) -> timedelta:
+        queue_length = len(self.queues.get(member, ()))
+        return self.mean_duration * ((queue_length + 1) / max(1, self.reserves.maximum(member)))
 
-    def acquire(self, now, id, member, priority, need, horizon):
-        """A request comes: it is granted, waits, or is refused at once.
+    def acquire(
+        self, now: timedelta, id: Hashable, member: str, priority: int, demand: Demand, deadline: timedelta
+    ) -> Admitted | Queued | Rejected:
+        """Takes a new request: it is admitted, queued, or rejected at once.
+
+        Parameters
+        ----------
+        member : whose reserve it belongs to; an undeclared one has none.
+        priority : the lowest number goes first.
+        deadline : when the client stops waiting.
 
         >>> type(AdmissionController(Capacity(0), {}).acquire(timedelta(0), 1, "a", 0, Demand(), timedelta(0))).__name__
         'Rejected'
         """
-        m = member if member in self.parts else OTHERS
-        r = _Request(id, m, priority, now, need, horizon)
-        queue = self.queues.setdefault(m, [])
-        fit = None if queue else self._fit(m, need)
+        request = _Request(id, member if member in self.shares else OTHERS, priority, now, demand, deadline)
+        queue = self.queues.setdefault(request.member, [])
+        # Nobody overtakes the member's own queue.
+        fit = None if queue else self._fit(request.member, demand)
         if fit:
-            return self._grant(now, r, fit)
-        wait = self._wait_of(m)
-        if len(queue) >= self.bound or now + wait + self.hold / 2 >= horizon:
-            return self._refuse(r, wait)
-        queue.append(r)
-        queue.sort(key=lambda x: (x.priority, x.came))
+            return self._admit(now, request, fit)
+        wait = self._expected_wait(request.member)
+        if len(queue) >= self.queue_limit or now + wait + self.mean_duration / 2 >= deadline:
+            return self._reject(request, wait)
+        queue.append(request)
+        queue.sort(key=_queue_order)
         return Queued(id)
 
-    def _refuse(self, r, wait):
-        self.refused[r.member] = self.refused.get(r.member, 0) + 1
-        return Rejected(r.id, max(wait, timedelta(milliseconds=20)))
+    def _reject(self, request: _Request, wait: timedelta) -> Rejected:
+        self.rejections[request.member] = self.rejections.get(request.member, 0) + 1
+        return Rejected(request.id, max(wait, MINIMUM_RETRY_AFTER))
 
-    def _grant(self, now, r, fit):
-        r.began, reserved = now, self.kept.inside(r.member, self.used.get(r.member, NONE), self.over)
-        r.tokens, self.used[r.member], self.over = fit
-        self.held[r.id] = r
-        return Admitted(r.id, reserved)
+    def _admit(self, now: timedelta, request: _Request, fit: _Fit) -> Admitted:
+        member = request.member
+        reserved = self.reserves.covers_next_slot(member, self._usage_of(member), self.excess)
+        request.admitted_at, request.tokens = now, fit.tokens
+        self.usage[member], self.excess = fit.usage, fit.excess
+        self.admitted[request.id] = request
+        return Admitted(request.id, reserved)
 
-    def release(self, now, id):
-        """A request has ended, or its requester has gone; gives the grants that follow.
+    def release(self, now: timedelta, id: Hashable) -> list[Admitted]:
+        """A request has ended, or its client has gone; gives the admissions that follow.
 
         >>> AdmissionController(Capacity(0), {}).release(timedelta(0), 1)
         []
         """
-        r = self.held.pop(id, None)
-        if r is None:
-            self.queues = {m: [x for x in q if x.id != id] for m, q in self.queues.items()}
+        request = self.admitted.pop(id, None)
+        if request is None:
+            self.queues = {
+                member: [waiting for waiting in queue if waiting.id != id] for member, queue in self.queues.items()
+            }
             return []
-        s, t = self.used[r.member]
-        self.over = self._after(r.member, (s - 1, t - r.tokens))
-        if s > 1:
-            self.used[r.member] = (s - 1, t - r.tokens)
+        old = self.usage[request.member]
+        usage = Usage(old.slots - 1, old.tokens - request.tokens)
+        self.excess = self._excess_with(request.member, usage)
+        if usage.slots > 0:
+            self.usage[request.member] = usage
+        else:
+            del self.usage[request.member]
+        self._note_duration(now - request.admitted_at)
+        return self._admit_waiting(now)
+
+    def _note_duration(self, duration: timedelta) -> None:
+        if not self.mean_duration:
+            self.mean_duration = duration
         else:
-            del self.used[r.member]
-        took = now - r.began
-        self.hold = took if not self.hold else self.hold * 0.9 + took * 0.1
-        return self._next(now)
+            self.mean_duration = self.mean_duration * (1 - DURATION_WEIGHT) + duration * DURATION_WEIGHT
+
+    def _admission_order(self, request: _Request) -> tuple[bool, int, timedelta]:
+        """Requests that fit a reserve go first, then by priority and age."""
+        member = request.member
+        reserved = self.reserves.covers_next_slot(member, self._usage_of(member), self.excess)
+        return not reserved, request.priority, request.received_at
 
-    def _next(self, now):
-        out = []
+    def _admit_waiting(self, now: timedelta) -> list[Admitted]:
+        admissions = []
         while any(self.queues.values()):
-            heads = [q[0] for q in self.queues.values() if q]
-            heads.sort(
-                key=lambda r: (
-                    not self.kept.inside(r.member, self.used.get(r.member, NONE), self.over),
-                    r.priority,
-                    r.came,
-                )
-            )
-            r, fit = next(((h, f) for h in heads if (f := self._fit(h.member, h.need))), (None, None))
-            if r is None:
+            heads = sorted((queue[0] for queue in self.queues.values() if queue), key=self._admission_order)
+            fits = ((head, self._fit(head.member, head.demand)) for head in heads)
+            request, fit = next(((head, fit) for head, fit in fits if fit), (None, None))
+            if request is None or fit is None:
                 break
-            self.queues[r.member].pop(0)
-            out.append(self._grant(now, r, fit))
-        return out
+            self.queues[request.member].pop(0)
+            admissions.append(self._admit(now, request, fit))
+        return admissions
 
-    def tick(self, now, room=None, parts=None):
-        """Time moves on, or the room changes; gives grants and refusals.
+    def tick(
+        self, now: timedelta, capacity: Capacity | None = None, shares: Mapping[str, float] | None = None
+    ) -> list[Admitted | Rejected]:
+        """Time moves on, or the capacity or the shares change; gives the decisions that follow.
 
         >>> AdmissionController(Capacity(1), {}).tick(timedelta(0))
         []
         """
-        if (room or self.room, parts if parts is not None else self.parts) != (self.room, self.parts):
-            self.room, self.parts = room or self.room, self.parts if parts is None else parts
-            self._lay_out()
-            for m in [m for m in self.queues if m not in self.parts and m != OTHERS]:
-                moved = self.queues.pop(m)
-                for r in moved:
-                    r.member = OTHERS
-                self.queues[OTHERS] = sorted(self.queues.get(OTHERS, []) + moved, key=lambda x: (x.priority, x.came))
+        self._reconfigure(capacity or self.capacity, self.shares if shares is None else shares)
         if not any(self.queues.values()):
             return []
-        late = [r for q in self.queues.values() for r in q if now + self.hold / 2 >= r.horizon]
-        for r in late:
-            self.queues[r.member].remove(r)
-        return [self._refuse(r, self.hold) for r in late] + self._next(now)
+        margin = self.mean_duration / 2
+        late = [request for queue in self.queues.values() for request in queue if now + margin >= request.deadline]
+        for request in late:
+            self.queues[request.member].remove(request)
+        return [*(self._reject(request, self.mean_duration) for request in late), *self._admit_waiting(now)]
+
+    def _reconfigure(self, capacity: Capacity, shares: Mapping[str, float]) -> None:
+        if (capacity, shares) == (self.capacity, self.shares):
+            return
+        self.capacity, self.shares = capacity, shares
+        self._lay_out()
+        for member in [name for name in self.queues if name not in shares and name != OTHERS]:
+            self._move_to_others(self.queues.pop(member))
 
-    def statistics(self, now):
+    def _move_to_others(self, requests: Iterable[_Request]) -> None:
+        moved = list(requests)
+        for request in moved:
+            request.member = OTHERS
+        self.queues[OTHERS] = sorted(self.queues.get(OTHERS, []) + moved, key=_queue_order)
+
+    def statistics(self, now: timedelta) -> dict[str, dict[str, float]]:
         """What is seen from outside, per member; a reserve may be a fraction of a slot.
 
         >>> AdmissionController(Capacity(8), {"a": 0.5}).statistics(timedelta(0))["a"]["reserve"]
         4.0
         """
         return {
-            m or "(others)": {
-                "reserve": round(self.room.slots * self.parts.get(m, 0), 2),
-                "used": self.used.get(m, NONE)[0],
-                "queue": len(self.queues.get(m, ())),
-                "oldestMs": max(
-                    (int((now - r.came) / timedelta(milliseconds=1)) for r in self.queues.get(m, ())), default=0
-                ),
-                "refused": self.refused.get(m, 0),
-            }
-            for m in {**self.parts, **self.used}
+            member or OTHERS_LABEL: self._member_statistics(now, member) for member in {**self.shares, **self.usage}
+        }
+
+    def _member_statistics(self, now: timedelta, member: str) -> dict[str, float]:
+        queue = self.queues.get(member, ())
+        ages = (int((now - request.received_at) / timedelta(milliseconds=1)) for request in queue)
+        return {
+            "reserve": round(self.capacity.slots * self.shares.get(member, 0), 2),
+            "used": self._usage_of(member).slots,
+            "queue": len(queue),
+            "oldestMs": max(ages, default=0),
+            "refused": self.rejections.get(member, 0),
         }
--- a/sparloom/admission/member.py
+++ b/sparloom/admission/member.py
@@ -1,21 +1,49 @@
-"""Who a member is: a set of routes, declared by the operator or taken from the policy."""
+"""Who a member is: a set of routes, declared by the operator or taken from the configuration."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, Protocol
 
 from attrs import define
-from returns.result import Failure, Success
+from returns.result import Failure, Result, Success
+
+if TYPE_CHECKING:
+    from collections.abc import Collection, Iterable
+
+# The share of the capacity that is reserved for all hosts together where no members are declared.
+RESERVED_FOR_HOSTS = 0.125
+
+
+class NamedRoute(Protocol):
+    """What of a route says whose it is."""
+
+    @property
+    def name(self) -> str:
+        """The route's name."""
+
+    @property
+    def host(self) -> str:
+        """The host that it is called by."""
+
 
-KEPT = 0.125
+class HostTable(Protocol):
+    """What of a configuration gives members where none are declared."""
+
+    @property
+    def hosts(self) -> Collection[str]:
+        """All hosts that have routes."""
 
 
 @define(frozen=True, slots=True)
 class Member:
-    """A member and the part of each service's capacity that is kept for it."""
+    """A member; ``reserve``: the share of each service's capacity that is kept for it (0 to 1)."""
 
     name: str
     reserve: float
-    routes: frozenset = frozenset()
-    hosts: frozenset = frozenset()
+    routes: frozenset[str] = frozenset()
+    hosts: frozenset[str] = frozenset()
 
-    def owns(self, route):
+    def owns(self, route: NamedRoute) -> bool:
         """Whether a route is this member's.
 
         >>> Member("m", 0.1, hosts=frozenset(["h"])).owns(type("R", (), {"name": "r", "host": "h"}))
@@ -24,27 +52,51 @@
         return route.name in self.routes or route.host in self.hosts
 
 
-def _texts(val):
-    return isinstance(val, list) and all(isinstance(v, str) and v for v in val)
+def _is_list_of_names(value: object) -> bool:
+    return isinstance(value, list) and all(isinstance(name, str) and name for name in value)
 
 
-def _fault(name, d):
-    if not isinstance(d, dict):
+def _fault_of(name: str, declaration: object) -> str | None:
+    """What is wrong with one member's declaration, or None."""
+    if not isinstance(declaration, dict):
         return f"members.{name} must be a table."
     for key in ("routes", "hosts"):
-        if not _texts(d.get(key, [])):
+        if not _is_list_of_names(declaration.get(key, [])):
             return f"members.{name}.{key} must be a list of names."
-    if not d.get("routes") and not d.get("hosts"):
+    if not declaration.get("routes") and not declaration.get("hosts"):
         return f"members.{name} names neither routes nor hosts."
-    part = d.get("reserve", 0)
-    if type(part) not in (int, float):
+    reserve = declaration.get("reserve", 0)
+    # A bool is an int too, hence no isinstance.
+    if type(reserve) not in (int, float):
         return f"members.{name}.reserve must be a number."
-    if part < 0:
+    if reserve < 0:
         return f"members.{name}.reserve must not be negative."
     return None
 
 
-def parse_members(table):
+def _double_claim(table: dict[str, dict[str, Any]]) -> str | None:
+    """Says which two members claim the same route or host, or None."""
+    owners: dict[tuple[str, str], str] = {}
+    for member, declaration in table.items():
+        claims = [("route", route) for route in declaration.get("routes", [])]
+        claims += [("host", host.lower()) for host in declaration.get("hosts", [])]
+        for kind, name in claims:
+            owner = owners.setdefault((kind, name), member)
+            if owner != member:
+                return f"Members {owner} and {member} both claim the {kind} {name}."
+    return None
+
+
+def _from_declaration(name: str, declaration: dict[str, Any]) -> Member:
+    return Member(
+        name,
+        float(declaration.get("reserve", 0)),
+        frozenset(declaration.get("routes", [])),
+        frozenset(host.lower() for host in declaration.get("hosts", [])),
+    )
+
+
+def parse_members(table: object) -> Result[tuple[Member, ...], str]:
     """Checks the optional section ``members`` of the startup file.
 
     >>> parse_members({"a": {"hosts": ["x"], "reserve": 0.6}, "b": {"hosts": ["y"], "reserve": 0.6}}).failure()
@@ -54,44 +106,29 @@
     """
     if not isinstance(table, dict):
         return Failure("members must be a table.")
-    bad = next((f for f in (_fault(n, d) for n, d in table.items()) if f), None)
-    if bad:
-        return Failure(bad)
-    seen = {}
-    for n, d in table.items():
-        for what, v in [("route", v) for v in d.get("routes", [])] + [("host", v.lower()) for v in d.get("hosts", [])]:
-            if seen.setdefault((what, v), n) != n:
-                return Failure(f"Members {seen[what, v]} and {n} both claim the {what} {v}.")
-    total = sum(d.get("reserve", 0) for d in table.values())
+    faults = (_fault_of(name, declaration) for name, declaration in table.items())
+    fault = next((fault for fault in faults if fault), None) or _double_claim(table)
+    if fault:
+        return Failure(fault)
+    total = sum(declaration.get("reserve", 0) for declaration in table.values())
     if total > 1:
-        return Failure(
-            f"The reserves of members {', '.join(table)} add up to {round(total, 6):g}, more than the whole."
-        )
-    return Success(
-        tuple(
-            Member(
-                n,
-                float(d.get("reserve", 0)),
-                frozenset(d.get("routes", [])),
-                frozenset(h.lower() for h in d.get("hosts", [])),
-            )
-            for n, d in table.items()
-        )
-    )
+        names = ", ".join(table)
+        return Failure(f"The reserves of members {names} add up to {round(total, 6):g}, more than the whole.")
+    return Success(tuple(_from_declaration(name, declaration) for name, declaration in table.items()))
 
 
-def members_of(policy, told=()):
-    """The members in force: the declared ones; without any, one per host of the policy.
+def members_of(configuration: HostTable, declared: Iterable[Member] = ()) -> tuple[Member, ...]:
+    """The members in force: the declared ones; without any, one per host of the configuration.
 
     An eighth of the capacity is split among the hosts, the rest is common: a
-    policy also lists hosts that nobody calls, and what is kept for them is
-    kept from the others.
+    configuration also lists hosts that nobody calls, and what is reserved for
+    them is kept from the others.
     A route that no declared member owns competes for the common part only.
 
     >>> members_of(type("P", (), {"hosts": {"a": (), "b": ()}}))[0].reserve
     0.0625
     """
-    if told:
-        return tuple(told)
-    hosts = sorted(policy.hosts)
-    return tuple(Member(h, KEPT / len(hosts), hosts=frozenset([h])) for h in hosts)
+    if declared:
+        return tuple(declared)
+    hosts = sorted(configuration.hosts)
+    return tuple(Member(host, RESERVED_FOR_HOSTS / len(hosts), hosts=frozenset([host])) for host in hosts)
