--- a/sparloom/relay/upstream.py
+++ b/sparloom/relay/upstream.py
@@ -2,13 +2,16 @@
 
 Depth is at most one below a controller: only a router that follows a
 controller serves others, so no loop can form, whatever routers believe of the
-membership. A move is gentle unless the one followed is silent, stale or gone:
-what is wished must have stood for a while, and a random part is added so that
-many do not move at once.
+membership. Unless the node followed is silent, stale or gone, a router moves
+gently: the plan must have been the same for a while, and a random delay is
+added so that many routers don't move at once.
 """
 
+from __future__ import annotations
+
 from datetime import timedelta
 from enum import StrEnum
+from typing import TYPE_CHECKING
 
 from attrs import define, field
 
@@ -16,8 +19,14 @@
 
 from .plan import RelayTier
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+    from random import Random
+
 ZERO = timedelta(0)
 NO_TIER = RelayTier()
+# How many controllers are remembered as attempted, besides the present one.
+RECENT_CONTROLLERS = 8
 
 
 class LeaveReason(StrEnum):
@@ -38,23 +47,29 @@
 class UpstreamTiming:
     """How long to wait for what, derived from the contact bound.
 
-    A relay notices trouble before its followers do: it has found another
+    A relay notices a fault before its followers do: it has found another
     controller before they leave it. A follower has moved within a third of
     the bound: it notices, then dials. Who neither serves nor follows a relay
-    has no such hurry. ``single``: that case; ``relay``, ``follower``: silence
-    and age of news that are borne.
+    has no such hurry.
+    Attributes
+    ----------
+    contact : the contact bound.
+    single, relay, follower : the silence and the age of the source that a router tolerates
+        in each role; ``single`` neither serves others nor follows a relay.
+    dial : how long a relay may take to accept and send its first heartbeat.
+    relay_search : how long to look for a relay before turning to controllers.
     """
 
     contact: timedelta
-    single: tuple
-    relay: tuple
-    follower: tuple
+    single: tuple[timedelta, timedelta]
+    relay: tuple[timedelta, timedelta]
+    follower: tuple[timedelta, timedelta]
     dial: timedelta
-    alone: timedelta
+    relay_search: timedelta
 
     @classmethod
-    def from_contact_bound(cls, contact):
-        """The spans for a contact bound.
+    def from_contact_bound(cls, contact: timedelta) -> UpstreamTiming:
+        """The timing for a contact bound.
 
         >>> UpstreamTiming.from_contact_bound(timedelta(seconds=6)).dial
         datetime.timedelta(microseconds=500000)
@@ -71,225 +86,289 @@
 
 @define(slots=True)
 class Upstream:
-    """One router's place in the tier; time and messages in, decisions out.
-
-    >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1))
+    """Whom one router follows; time and messages in, decisions out.
+
+    Attributes
+    ----------
+    me : this router's key.
+    tier, suspects : the plan of relays, and the members that are suspected; those are tried last.
+    tracker : how fresh the node is that is followed.
+    parent : the key of that node; None while not connected.
+    direct : whether it is a controller.
+    follows_relays : whether this router belongs under a relay by the plan.
+    stay_until : until when it keeps its present kind of upstream after the plan has changed.
+    move_at : when to leave a relay that the plan no longer names, or one of another zone.
+    relays_lost_at : since when no relay has answered; None while one does.
+    fresh_at : when the last heartbeat came that was fresh enough.
+    stale_timeout : without a fresh heartbeat for so long it turns to controllers.
+    stale_relays : how many relays were left as stale since the last fresh heartbeat.
+    avoided_until : relays that are not to be tried again before a time.
+    attempted : the last controllers connected to, oldest first; the others go first.
+
+    >>> from random import Random
+    >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
+    >>> u = Upstream("r:1", timing, Random(1))
     >>> u.choose(ZERO, ("c:1", "d:1")), u.can_serve()
     ('c:1', True)
     """
 
     me: str
     timing: UpstreamTiming
-    rng: object
+    rng: Random
     tier: RelayTier = NO_TIER
-    suspects: frozenset = frozenset()
-    tracker: SourceTracker = None
+    suspects: frozenset[str] = frozenset()
+    tracker: SourceTracker = field(init=False)
     parent: str | None = None
     direct: bool = True
-    under: bool = False
-    wished: timedelta = ZERO
-    stay: timedelta = ZERO
-    odd: timedelta | None = None
-    alone: timedelta | None = None
-    fresh: timedelta = ZERO
-    patience: timedelta = ZERO
-    stales: int = 0
-    avoid: dict = field(factory=dict)
-    tried: list = field(factory=list)
-
-    def __attrs_post_init__(self):
+    follows_relays: bool = False
+    stay_until: timedelta = ZERO
+    move_at: timedelta | None = None
+    relays_lost_at: timedelta | None = None
+    fresh_at: timedelta = ZERO
+    stale_timeout: timedelta = field(init=False)
+    stale_relays: int = 0
+    avoided_until: dict[str, timedelta] = field(factory=dict)
+    attempted: list[str] = field(factory=list)
+
+    def __attrs_post_init__(self) -> None:
         self.tracker = SourceTracker(*self.timing.single)
-        self._patience()
+        self._draw_stale_timeout()
 
-    def _some(self, least, more):
-        return self.timing.contact * (least + more * self.rng.random())
+    def _random_delay(self, minimum: float, spread: float) -> timedelta:
+        """A delay of ``minimum`` to ``minimum + spread`` contact bounds, so that many routers don't move at once."""
+        return self.timing.contact * (minimum + spread * self.rng.random())
 
-    def _patience(self):
-        self.patience = self._some(1, 1)
+    def _draw_stale_timeout(self) -> None:
+        self.stale_timeout = self._random_delay(1, 1)
 
-    # -- what membership says ------------------------------------------------
-    def update_tier(self, now, tier, suspects=frozenset()):
+    def update_tier(self, now: timedelta, tier: RelayTier, suspects: frozenset[str] = frozenset()) -> None:
         """Takes the tier as membership has it now; ``suspects`` are tried last.
 
-        >>> Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)).update_tier(ZERO, RelayTier())
+        >>> from random import Random
+        >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
+        >>> u = Upstream("r:1", timing, Random(1))
+        >>> u.update_tier(ZERO, RelayTier())
         """
         self.suspects = suspects
-        self.avoid = {k: t for k, t in self.avoid.items() if t > now}
-        under = tier.exists and not tier.is_relay
-        if under != self.under:
-            # A relay that others follow leaves last; a new one is wanted soon.
-            self.under, self.wished = under, now
-            self.stay = now + (
-                self._some(2, 1) if self.tier.is_relay else self._some(1, 1) if under else self._some(0.5, 0.5)
-            )
+        self.avoided_until = {key: until for key, until in self.avoided_until.items() if until > now}
+        follows_relays = tier.exists and not tier.is_relay
+        if follows_relays != self.follows_relays:
+            self.follows_relays = follows_relays
+            self.stay_until = now + self._stay_after_change()
         self.tier = tier
-        self._bear()
+        self._update_limits()
 
-    def _bear(self):
-        """What silence and age it bears hangs on its duty."""
-        sp = self.timing
+    def _update_limits(self) -> None:
+        """Sets the silence and the age that are tolerated, by this router's role."""
+        timing = self.timing
         self.tracker.silence, self.tracker.doubt = (
-            sp.follower if not self.direct else sp.relay if self.tier.is_relay else sp.single
+            timing.follower if not self.direct else timing.relay if self.tier.is_relay else timing.single
         )
 
-    def can_serve(self):
+    def _stay_after_change(self) -> timedelta:
+        """How long to keep the present kind of upstream after the plan has changed."""
+        if self.tier.is_relay:
+            # Others may follow this router still: it leaves last.
+            return self._random_delay(2, 1)
+        if self.follows_relays:
+            return self._random_delay(1, 1)
+        # A new relay is needed soon.
+        return self._random_delay(0.5, 0.5)
+
+    def can_serve(self) -> bool:
         """Whether this router may serve followers: only one that follows a controller.
 
-        >>> Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)).can_serve()
+        >>> from random import Random
+        >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
+        >>> u = Upstream("r:1", timing, Random(1))
+        >>> u.can_serve()
         True
         """
         return self.direct
 
     @property
-    def depth(self):
+    def depth(self) -> int:
         """Hops to the controller: 1, or 2 under a relay.
 
-        >>> Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)).depth
+        >>> from random import Random
+        >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
+        >>> u = Upstream("r:1", timing, Random(1))
+        >>> u.depth
         1
         """
         return 1 if self.direct else 2
 
-    def follower_limit(self):
+    def follower_limit(self) -> int:
         """How many followers it takes at most: two groups, since relays stand in for each other.
 
         There are about as many routers in a group as there are relays. More
         would fill a thin link for long with one large change.
 
-        >>> Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)).follower_limit()
+        >>> from random import Random
+        >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
+        >>> u = Upstream("r:1", timing, Random(1))
+        >>> u.follower_limit()
         2
         """
         return 2 * max(1, len(self.tier.relays))
 
-    # -- whom to follow ------------------------------------------------------
-    def _may_follow_relays(self, now):
-        return self.under and (not self.direct or now >= self.stay)
+    def _may_follow_relays(self, now: timedelta) -> bool:
+        return self.follows_relays and (not self.direct or now >= self.stay_until)
 
-    def _relays(self, now):
-        free = [k for k in self.tier.parents if self.avoid.get(k, ZERO) <= now]
-        return sorted(free, key=lambda k: k in self.suspects)
+    def _available_relays(self, now: timedelta) -> list[str]:
+        available = [key for key in self.tier.parents if self._is_available(key, now)]
+        return sorted(available, key=lambda key: key in self.suspects)
 
-    def _old(self, now):
-        return bool(self.stales) and now - self.fresh > self.patience
+    def _is_available(self, key: str, now: timedelta) -> bool:
+        return self.avoided_until.get(key, ZERO) <= now
 
-    def choose(self, now, controllers):
+    def _all_relays_stale(self, now: timedelta) -> bool:
+        return bool(self.stale_relays) and now - self.fresh_at > self.stale_timeout
+
+    def choose(self, now: timedelta, controllers: Iterable[str]) -> str | None:
         """Whom to follow next; ``controllers``: keys, the best ones first.
 
         Controllers are the last resort of one that belongs under a relay: only
-        when no relay has answered for a moment, or none had fresh news for
-        long.
+        when no relay has answered for a moment, or none was fresh for long.
         """
         if self._may_follow_relays(now):
-            lost = self.alone is not None and now - self.alone >= self.timing.alone
-            free = self._relays(now)
-            if free and not lost and not self._old(now):
-                return free[0]
-            if not lost and not self._old(now) and self.stales and self.tier.parents:
-                return min(self.tier.parents, key=lambda k: self.avoid.get(k, ZERO))
-        best = sorted(controllers, key=lambda c: c in self.tried and self.tried.index(c) + 1)
-        return best[0] if best else None
-
-    def on_connecting(self, now, to):
-        """A pipe to ``to`` is being opened.
-
-        >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1))
+            lost = self.relays_lost_at is not None and now - self.relays_lost_at >= self.timing.relay_search
+            if not lost and not self._all_relays_stale(now):
+                available = self._available_relays(now)
+                if available:
+                    return available[0]
+                if self.stale_relays and self.tier.parents:
+                    return min(self.tier.parents, key=lambda key: self.avoided_until.get(key, ZERO))
+        # Those never attempted go first, then those attempted longest ago.
+        order = sorted(controllers, key=lambda key: self.attempted.index(key) + 1 if key in self.attempted else 0)
+        return order[0] if order else None
+
+    def on_connecting(self, now: timedelta, target: str) -> None:
+        """A connection to ``target`` is being opened.
+
+        >>> from random import Random
+        >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
+        >>> u = Upstream("r:1", timing, Random(1))
         >>> u.on_connecting(ZERO, "c:1"); u.parent
         'c:1'
         """
-        self.parent, self.direct = to, to not in self.tier.parents
+        self.parent, self.direct = target, target not in self.tier.parents
         if self.direct:
-            self.tried = [c for c in self.tried if c != to][-8:] + [to]
-            if self.under and now >= self.stay:
-                self.stay = now + self._some(1, 1)
-        self._bear()
-        self.odd = None
+            self.attempted = [key for key in self.attempted if key != target][-RECENT_CONTROLLERS:] + [target]
+            if self.follows_relays and now >= self.stay_until:
+                self.stay_until = now + self._random_delay(1, 1)
+        self._update_limits()
+        self.move_at = None
         self.tracker.start(now)
 
-    # -- what comes from there -----------------------------------------------
-    def on_heartbeat(self, now, age, sent=None):
-        """A pulse came: ``age`` in ms since the primary was confirmed, ``sent`` in ms of the sender's clock.
+    def on_heartbeat(self, now: timedelta, age: int, sent: int | None = None) -> None:
+        """A heartbeat came; ``age``: ms since the primary was confirmed, ``sent``: ms of the sender's clock.
 
-        >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)); u.on_connecting(ZERO, "c:1")
-        >>> u.on_heartbeat(ZERO, 20); u.fresh == ZERO
+        >>> from random import Random
+        >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
+        >>> u = Upstream("r:1", timing, Random(1))
+        >>> u.on_connecting(ZERO, "c:1")
+        >>> u.on_heartbeat(ZERO, 20); u.fresh_at == ZERO
         True
         """
         self.tracker.pulse(now, age, sent)
-        self.alone = None
-        sure = self.tracker.sureness(now)
-        if sure is not None and sure <= self.tracker.doubt:
-            self.fresh, self.stales = now, 0
-            self._patience()
+        self.relays_lost_at = None
+        confirmation_age = self.tracker.sureness(now)
+        if confirmation_age is not None and confirmation_age <= self.tracker.doubt:
+            self.fresh_at, self.stale_relays = now, 0
+            self._draw_stale_timeout()
 
-    def on_change(self, now):
+    def on_change(self, now: timedelta) -> None:
         """A change came.
 
-        >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)); u.on_change(ZERO)
+        >>> from random import Random
+        >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
+        >>> u = Upstream("r:1", timing, Random(1))
+        >>> u.on_change(ZERO)
         """
         self.tracker.change(now)
 
-    def next_check_delay(self, now):
-        """How long it may wait for the next record before ``leave_reason`` must be asked again.
+    def next_check_delay(self, now: timedelta) -> timedelta:
+        """How long to wait for the next record before ``leave_reason`` must be called again.
 
-        >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)); u.on_connecting(ZERO, "c:1")
+        >>> from random import Random
+        >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
+        >>> u = Upstream("r:1", timing, Random(1))
+        >>> u.on_connecting(ZERO, "c:1")
         >>> u.next_check_delay(ZERO)
         datetime.timedelta(seconds=1, microseconds=1000)
         """
         return self.tracker.due(now, first=self.timing.dial if not self.direct else None)
 
-    def leave_reason(self, now):
-        """Why to leave the one that is followed, or None.
+    def leave_reason(self, now: timedelta) -> LeaveReason | None:
+        """Why to leave the upstream node, or None.
 
-        >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)); u.on_connecting(ZERO, "c:1")
+        >>> from random import Random
+        >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
+        >>> u = Upstream("r:1", timing, Random(1))
+        >>> u.on_connecting(ZERO, "c:1")
         >>> u.leave_reason(ZERO), u.leave_reason(timedelta(seconds=2))
         (None, <LeaveReason.SILENT: 'silent'>)
         """
-        tr = self.tracker
-        if now - tr.heard > tr.silence or not self.direct and not tr.pulses and now - tr.since > self.timing.dial:
+        tracker = self.tracker
+        if now - tracker.heard > tracker.silence:
             return LeaveReason.SILENT
-        sure = tr.sureness(now)
-        if (
-            not self.direct
-            and tr.pulses
-            and (sure is None or sure > tr.doubt)
-            and self.stales
-            and self.stales <= self.tier.local_parents
-        ):
-            return LeaveReason.STALE
-        if tr.move_on(now):
+        if not self.direct and not tracker.pulses and now - tracker.since > self.timing.dial:
+            return LeaveReason.SILENT
+        if self._is_next_relay_stale(now) or tracker.move_on(now):
             return LeaveReason.STALE
-        return LeaveReason.GENTLE if self._restless(now) else None
+        return LeaveReason.GENTLE if self._wants_to_move(now) else None
 
-    def _restless(self, now):
+    def _is_next_relay_stale(self, now: timedelta) -> bool:
+        """Whether this relay is stale like the ones before it; it is left at once while others of the zone are untried."""
+        if self.direct or not self.tracker.pulses or not 0 < self.stale_relays <= self.tier.local_parents:
+            return False
+        confirmation_age = self.tracker.sureness(now)
+        return confirmation_age is None or confirmation_age > self.tracker.doubt
+
+    def _wants_to_move(self, now: timedelta) -> bool:
+        """Whether the plan has named a better kind of upstream, or a nearer relay, for long enough."""
         if self.direct:
-            return self.under and now >= self.stay and not self._old(now) and bool(self._relays(now))
-        if not self.under:
-            return now >= self.stay
-        near = self.tier.parents[: self.tier.local_parents]
-        far = (
-            bool(near)
-            and self.parent not in near
-            and any(self.avoid.get(k, ZERO) <= now and k not in self.suspects for k in near)
-        )
-        if self.parent in self.tier.parents and not far:
-            self.odd = None
+            return (
+                self.follows_relays
+                and now >= self.stay_until
+                and not self._all_relays_stale(now)
+                and bool(self._available_relays(now))
+            )
+        if not self.follows_relays:
+            return now >= self.stay_until
+        is_planned = self.parent in self.tier.parents
+        if is_planned and not self._has_nearer_relay(now):
+            self.move_at = None
             return False
-        if self.odd is None:
-            self.odd = now + (self._some(2, 4) if self.parent in self.tier.parents else self._some(1, 1))
-        return now >= self.odd
+        if self.move_at is None:
+            self.move_at = now + (self._random_delay(2, 4) if is_planned else self._random_delay(1, 1))
+        return now >= self.move_at
+
+    def _has_nearer_relay(self, now: timedelta) -> bool:
+        """Whether a relay of another zone is followed while one of this zone is available."""
+        local = self.tier.parents[: self.tier.local_parents]
+        if self.parent in local:
+            return False
+        return any(self._is_available(key, now) and key not in self.suspects for key in local)
 
-    def on_disconnected(self, now, why):
-        """The pipe has ended, or none came about.
+    def on_disconnected(self, now: timedelta, reason: LeaveReason) -> None:
+        """The connection has ended, or none was established.
 
-        >>> u = Upstream("r:1", UpstreamTiming.from_contact_bound(timedelta(seconds=3)), __import__("random").Random(1)); u.on_connecting(ZERO, "c:1")
+        >>> from random import Random
+        >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
+        >>> u = Upstream("r:1", timing, Random(1))
+        >>> u.on_connecting(ZERO, "c:1")
         >>> u.on_disconnected(ZERO, LeaveReason.GONE); u.parent is None
         True
         """
         key, self.parent = self.parent, None
-        if self.direct:
-            return
-        if why == LeaveReason.GENTLE:
+        if self.direct or reason == LeaveReason.GENTLE:
             return
-        self.avoid[key] = now + self._some(0.5, 0.5)
-        if why == LeaveReason.STALE:
-            self.stales += 1
-        elif self.alone is None:
-            self.alone = now
+        avoided_until = now + self._random_delay(0.5, 0.5)
+        if key is not None:
+            self.avoided_until[key] = avoided_until
+        if reason == LeaveReason.STALE:
+            self.stale_relays += 1
+        elif self.relays_lost_at is None:
+            self.relays_lost_at = now
