--- a/sparloom/relay/upstream.py
+++ b/sparloom/relay/upstream.py
@@ -320,7 +320,7 @@
         return LeaveReason.GENTLE if self._wants_to_move(now) else None
 
     def _is_next_relay_stale(self, now: timedelta) -> bool:
-        """Whether this relay is stale like the ones before it; it is left at once while others of the zone are untried."""
+        """Whether this relay is stale like those before it; it is left at once while others of the zone are untried."""
         if self.direct or not self.tracker.pulses or not 0 < self.stale_relays <= self.tier.local_parents:
             return False
         confirmation_age = self.tracker.sureness(now)
--- a/sparloom/router/admission_queues.py
+++ b/sparloom/router/admission_queues.py
@@ -1,130 +1,221 @@
-"""The lines in front of the runners: one gate per service, and those that wait at it."""
+"""Admission control of a router: one controller per service, and the requests that wait at it."""
+
+from __future__ import annotations
 
 import asyncio
 from datetime import timedelta
 from itertools import count
+from typing import TYPE_CHECKING, NamedTuple
 
 from sparloom.admission import AdmissionController, Admitted, Capacity, Demand, Queued, Rejected, members_of
 from sparloom.transport import monotonic
 
 from .timeout_buckets import most
 
-TOLD = timedelta(milliseconds=200)
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Sequence
+
+    from sparloom.admission import Member
+    from sparloom.configuration import Configuration, Route, Service
+
+    from .backends import Backend
+    from .request import Request
+    from .router_state import RouterState
+
+# How often the other routers' requests in flight are summed anew: as often as they report them.
+PEERS_SUM_INTERVAL = timedelta(milliseconds=200)
+# Connections to each runner of a service without a configured limit.
+DEFAULT_CONNECTION_LIMIT = 64
+
+
+class _MembersCache(NamedTuple):
+    """Members, and from which configuration and declaration they were derived."""
+
+    configuration: Configuration
+    declared: Sequence[Member]
+    shares: dict[str, float]
+    owners: dict[str, str]
+
+
+class _CapacityCache(NamedTuple):
+    """A service's capacity, and what it was computed from."""
+
+    backends: Sequence[Backend]
+    service: Service | None
+    divisor: int
+    admitting: bool
+    total_slots: int
+    capacity: Capacity
+
+
+class _ConnectionsCache(NamedTuple):
+    """A service's connection limits by runner id, and what they were computed from."""
+
+    backends: Sequence[Backend]
+    service: Service | None
+    divisor: int
+    index: int
+    limits: dict[str, int]
 
 
 class AdmissionQueues:
-    """All gates of this router."""
-
-    def __init__(self, know):
-        self.know, self.gates, self.waits, self.ids = know, {}, {}, count(1)
-        self.told, self.members, self.parts, self.owners = (None, ()), (), {}, {}
-        self.rooms, self.cons, self.wholes, self.others = {}, {}, {}, {}
-
-    def _parts(self):
-        policy, declared = self.know.policy, self.know.up.members
-        if self.told[0] is not policy or self.told[1] is not declared:
-            self.told = (policy, declared)
-            self.members = members_of(policy, declared)
-            self.parts = {m.name: m.reserve for m in self.members}
-            self.owners = (
-                {r.name: next((m.name for m in self.members if m.owns(r)), "") for r in policy.routes}
-                if declared
-                else {}
-            )
-        return self.parts
-
-    def _room(self, service):
-        """This router's room, worked out anew only after news; snapshots are swapped whole, so their identity tells."""
-        k = self.know
-        posts, s = k.fleet.of(service), k.policy.services.get(service)
-        old = self.rooms.get(service)
-        if old and old[0] is posts and old[1] is s and old[2:4] == (k.crowd.divisor, k.crowd.admitting):
-            return old[4]
-        slots = sum(most(p.slots or (s.slots if s else 0)) for p in posts)
-        self.wholes[service] = slots
-        room = Capacity(k.crowd.share(slots), k.crowd.share(s.cache_tokens * len(posts)) if s else 0)
-        self.rooms[service] = (posts, s, k.crowd.divisor, k.crowd.admitting, room)
-        return room
-
-    def connections(self, service):
-        """How many connections this router may hold to each runner of a service, by id; one each where there would be none at all."""
-        k = self.know
-        posts, s, c = k.fleet.of(service), k.policy.services.get(service), k.crowd
-        old = self.cons.get(service)
-        if old and old[0] is posts and old[1] is s and old[2:4] == (c.divisor, c.index):
-            return old[4]
-        cons = {p.id: c.indivisible_share(s.pipe_limit if s else 64, p.number) for p in posts}
-        cons = cons if any(cons.values()) else dict.fromkeys(cons, 1)
-        self.cons[service] = (posts, s, c.divisor, c.index, cons)
-        return cons
-
-    def gate(self, service):
-        """The gate of a service, with the room of this moment."""
-        g = self.gates.get(service)
-        if g is None:
-            g = self.gates[service] = AdmissionController(self._room(service), dict(self._parts()))
-        return g
-
-    def member(self, route):
+    """All admission controllers of this router.
+
+    Capacity, connection limits and members are computed anew only after a
+    change. Snapshots are replaced whole, so their identity shows a change.
+
+    Attributes
+    ----------
+    state : the router's state: configuration, backends, fleet size, requests in flight.
+    controllers : the admission controller of each service.
+    waiting : the future of each request in a queue, by request id.
+    """
+
+    def __init__(self, state: RouterState) -> None:
+        self.state = state
+        self.controllers: dict[str, AdmissionController] = {}
+        self.waiting: dict[int, asyncio.Future[Admitted | Rejected]] = {}
+        self._ids = count(1)
+        self._members: _MembersCache | None = None
+        self._capacities: dict[str, _CapacityCache] = {}
+        self._connections: dict[str, _ConnectionsCache] = {}
+        # Per service: when the other routers' requests were summed, and the sum.
+        self._peers_in_flight: dict[str, tuple[timedelta, int]] = {}
+
+    def _current_members(self) -> _MembersCache:
+        configuration, declared = self.state.policy, self.state.up.members
+        known = self._members
+        if known and known.configuration is configuration and known.declared is declared:
+            return known
+        members = members_of(configuration, declared)
+        owners = {}
+        if declared:
+            for route in configuration.routes:
+                owners[route.name] = next((member.name for member in members if member.owns(route)), "")
+        shares = {member.name: member.reserve for member in members}
+        self._members = _MembersCache(configuration, declared, shares, owners)
+        return self._members
+
+    def _capacity(self, service_name: str) -> _CapacityCache:
+        state, fleet_size = self.state, self.state.crowd
+        backends, service = state.fleet.of(service_name), state.policy.services.get(service_name)
+        known = self._capacities.get(service_name)
+        divided_by = (fleet_size.divisor, fleet_size.admitting)
+        if (
+            known
+            and known.backends is backends
+            and known.service is service
+            and (known.divisor, known.admitting) == divided_by
+        ):
+            return known
+        default_slots = service.slots if service else 0
+        total_slots = sum(most(backend.slots or default_slots) for backend in backends)
+        tokens = fleet_size.share(service.cache_tokens * len(backends)) if service else 0
+        capacity = Capacity(fleet_size.share(total_slots), tokens)
+        cache = _CapacityCache(backends, service, fleet_size.divisor, fleet_size.admitting, total_slots, capacity)
+        self._capacities[service_name] = cache
+        return cache
+
+    def connections(self, service_name: str) -> dict[str, int]:
+        """How many connections this router may hold to each runner of a service, by runner id.
+
+        Where this router's share is none at any runner, it may hold one to each.
+        """
+        state, fleet_size = self.state, self.state.crowd
+        backends, service = state.fleet.of(service_name), state.policy.services.get(service_name)
+        known = self._connections.get(service_name)
+        position = (fleet_size.divisor, fleet_size.index)
+        if (
+            known
+            and known.backends is backends
+            and known.service is service
+            and (known.divisor, known.index) == position
+        ):
+            return known.limits
+        limit = service.pipe_limit if service else DEFAULT_CONNECTION_LIMIT
+        limits = {backend.id: fleet_size.indivisible_share(limit, backend.number) for backend in backends}
+        if not any(limits.values()):
+            limits = dict.fromkeys(limits, 1)
+        self._connections[service_name] = _ConnectionsCache(
+            backends, service, fleet_size.divisor, fleet_size.index, limits
+        )
+        return limits
+
+    def controller(self, service_name: str) -> AdmissionController:
+        """The admission controller of a service; made at the first request for it."""
+        controller = self.controllers.get(service_name)
+        if controller is None:
+            capacity, shares = self._capacity(service_name).capacity, self._current_members().shares
+            controller = self.controllers[service_name] = AdmissionController(capacity, dict(shares))
+        return controller
+
+    def member(self, route: Route) -> str:
         """The name of the member that a route belongs to."""
-        self._parts()
-        return self.owners.get(route.name, "" if self.know.up.members else route.host)
-
-    async def enter(self, service, ask):
-        """Waits for a place; gives Granted or Away."""
-        id = next(self.ids)
-        gate, need = self.gate(service), Demand(sum(n for _, n in ask.parts))
-        self._step(service, gate)
-        got = gate.acquire(monotonic(), id, self.member(ask.route), ask.route.priority, need, ask.horizon)
-        if not isinstance(got, Queued):
-            return got
-        fut = self.waits[id] = asyncio.get_running_loop().create_future()
+        owners = self._current_members().owners
+        return owners.get(route.name, "" if self.state.up.members else route.host)
+
+    async def enter(self, service_name: str, request: Request) -> Admitted | Rejected:
+        """Waits until a request is admitted or rejected."""
+        request_id = next(self._ids)
+        controller, demand = self.controller(service_name), Demand(sum(tokens for _, tokens in request.parts))
+        self._tick(service_name, controller)
+        route = request.route
+        decision = controller.acquire(
+            monotonic(), request_id, self.member(route), route.priority, demand, request.horizon
+        )
+        if not isinstance(decision, Queued):
+            return decision
+        future = self.waiting[request_id] = asyncio.get_running_loop().create_future()
         try:
-            return await fut
+            return await future
         except asyncio.CancelledError:
-            self.leave(service, id)
+            # The client has gone; the request may have been admitted just before.
+            self.leave(service_name, request_id)
             raise
         finally:
-            self.waits.pop(id, None)
-
-    def leave(self, service, id):
-        """An ask has ended; those that wait may follow."""
-        self._heed(self.gates[service].release(monotonic(), id))
-
-    def tick(self):
-        """Time moves on for all lines."""
-        if self.know.policy is not None:
-            for s, g in self.gates.items():
-                self._step(s, g)
-
-    def _step(self, service, gate):
-        now, k, room = monotonic(), self.know, self._room(service)
-        whole, gate.extra_slots = self.wholes[service], 0
-        if gate.is_saturated():
-            gate.extra_slots = k.crowd.surplus(whole, whole * sum(self._parts().values()), self._in_use(service, now))
-        self._heed(gate.tick(now, room, self._parts()))
-
-    def _in_use(self, service, now):
-        """Requests in flight at a service over all routers: this one's as they are, the others' added up anew as often as they tell."""
-        k = self.know
-        posts = k.fleet.of(service)
-        own = sum(k.counts.own.get(p.id, 0) for p in posts)
-        at, told = self.others.get(service, (None, 0))
-        if at is None or now - at >= TOLD:
-            told = sum(k.counts.count(p.id, now) for p in posts) - own
-            self.others[service] = (now, told)
-        return own + told
-
-    def _heed(self, acts):
-        for a in acts:
-            fut = self.waits.get(a.id)
-            if fut is not None and not fut.done():
-                fut.set_result(a)
-
-    def statistics(self):
-        """Every gate's figures."""
+            self.waiting.pop(request_id, None)
+
+    def leave(self, service_name: str, request_id: int) -> None:
+        """A request has ended; those that wait may follow."""
+        self._notify(self.controllers[service_name].release(monotonic(), request_id))
+
+    def tick(self) -> None:
+        """Time moves on for all queues."""
+        if self.state.policy is not None:
+            for service_name, controller in self.controllers.items():
+                self._tick(service_name, controller)
+
+    def _tick(self, service_name: str, controller: AdmissionController) -> None:
+        now, known = monotonic(), self._capacity(service_name)
+        shares = self._current_members().shares
+        controller.extra_slots = 0
+        if controller.is_saturated():
+            reserved = known.total_slots * sum(shares.values())
+            in_flight = self._in_flight(service_name, now)
+            controller.extra_slots = self.state.crowd.surplus(known.total_slots, reserved, in_flight)
+        self._notify(controller.tick(now, known.capacity, shares))
+
+    def _in_flight(self, service_name: str, now: timedelta) -> int:
+        """Requests in flight at a service over all routers: this one's are exact, the others' as last summed."""
+        in_flight, backends = self.state.counts, self.state.fleet.of(service_name)
+        own = sum(in_flight.own.get(backend.id, 0) for backend in backends)
+        summed_at, peers = self._peers_in_flight.get(service_name, (None, 0))
+        if summed_at is None or now - summed_at >= PEERS_SUM_INTERVAL:
+            peers = sum(in_flight.count(backend.id, now) for backend in backends) - own
+            self._peers_in_flight[service_name] = (now, peers)
+        return own + peers
+
+    def _notify(self, decisions: Iterable[Admitted | Rejected]) -> None:
+        """Wakes the requests that were decided on."""
+        for decision in decisions:
+            future = self.waiting.get(decision.id)
+            if future is not None and not future.done():
+                future.set_result(decision)
+
+    def statistics(self) -> dict[str, dict[str, dict[str, float]]]:
+        """The statistics of each service, by member."""
         now = monotonic()
-        return {s: g.statistics(now) for s, g in self.gates.items()}
+        return {service_name: controller.statistics(now) for service_name, controller in self.controllers.items()}
 
 
 __all__ = ["AdmissionQueues", "Admitted", "Rejected"]
