--- a/sparloom/aggregation/__init__.py
+++ b/sparloom/aggregation/__init__.py
@@ -1,8 +1,19 @@
-"""In-flight counts through the tier of relays: sums up, across and down, no call counted twice."""
+"""In-flight counts through the tier of relays: summed per group and over the fleet, no call counted twice."""
 
-from .aggregator import InFlightAggregator, Send
+from .aggregator import InFlightAggregator
 from .parent import Parent
-from .records import Coverage, FleetTotal, GroupAggregate, MemberUpdate, SoloUpdate, coded, decoded, holder, short
+from .records import (
+    Coverage,
+    FleetTotal,
+    GroupAggregate,
+    MemberUpdate,
+    SoloUpdate,
+    decode_in_flight,
+    encode_in_flight,
+    holder_id,
+    short_id,
+)
+from .relay_messages import Send
 
 __all__ = [
     "Coverage",
@@ -13,8 +24,8 @@
     "Parent",
     "Send",
     "SoloUpdate",
-    "coded",
-    "decoded",
-    "holder",
-    "short",
+    "decode_in_flight",
+    "encode_in_flight",
+    "holder_id",
+    "short_id",
 ]
