--- a/simulator/simulated_router.py
+++ b/simulator/simulated_router.py
@@ -44,7 +44,7 @@
 
     parts: tuple
     route: object
-    horizon: timedelta
+    deadline: timedelta
 
 
 class HollowRouter(RouterState):
--- a/sparloom/router/admission_queues.py
+++ b/sparloom/router/admission_queues.py
@@ -7,7 +7,7 @@
 from sparloom.admission import AdmissionController, Admitted, Capacity, Demand, Queued, Rejected, members_of
 from sparloom.transport import monotonic
 
-from .timeout_buckets import most
+from .timeout_buckets import maximum_in_flight
 
 TOLD = timedelta(milliseconds=200)
 
@@ -40,7 +40,7 @@
         old = self.rooms.get(service)
         if old and old[0] is posts and old[1] is s and old[2:4] == (k.crowd.divisor, k.crowd.open):
             return old[4]
-        slots = sum(most(p.slots or (s.slots if s else 0)) for p in posts)
+        slots = sum(maximum_in_flight(p.slots or (s.slots if s else 0)) for p in posts)
         self.wholes[service] = slots
         room = Capacity(k.crowd.part(slots), k.crowd.part(s.cache_tokens * len(posts)) if s else 0)
         self.rooms[service] = (posts, s, k.crowd.divisor, k.crowd.open, room)
@@ -75,7 +75,7 @@
         id = next(self.ids)
         gate, need = self.gate(service), Demand(sum(n for _, n in ask.parts))
         self._step(service, gate)
-        got = gate.enter(monotonic(), id, self.member(ask.route), ask.route.priority, need, ask.horizon)
+        got = gate.enter(monotonic(), id, self.member(ask.route), ask.route.priority, need, ask.deadline)
         if not isinstance(got, Queued):
             return got
         fut = self.waits[id] = asyncio.get_running_loop().create_future()
--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -9,8 +9,8 @@
 from sparloom.retry import MAY_HAVE_RUN, NOT_RUN, judge_head
 from sparloom.transport import monotonic
 
-from . import request as names
 from .inactivity_timer import InactivityTimer
+from .request import response_head, upstream_headers
 from .target import url_for
 
 REFUSAL_BODY = timedelta(milliseconds=50)
@@ -26,7 +26,8 @@
     ``on_silence``: called when the runner has said nothing for the call's timeout.
     """
 
-    def __init__(self, know, ask, post, slot, on_silence):
+    def __init__(self, know, ask, post, slot, on_silence, yields):
+        self.yields = yields
         self.know, self.ask, self.post, self.slot = know, ask, post, slot
         self.response, self.connected = None, True
         post.open += 1
@@ -62,14 +63,14 @@
             ask.method,
             url_for(self.post.address, ask.path),
             data=ask.body or None,
-            headers=names.onward(ask, self.post, monotonic(), last_event_id),
+            headers=upstream_headers(ask, self.post, monotonic(), last_event_id, self.yields),
             allow_redirects=False,
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_within),
         )
 
     async def _judge(self):
         response, post = self.response, self.post
-        head = names.head_of(response, self.ask.id)
+        head = response_head(response, self.ask.attempt_id)
         verdict, good = judge_head(head)
         if "Keep-Alive" in response.headers and head.belongs:
             post.heed(response.headers["Keep-Alive"])
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -13,7 +13,7 @@
 from sparloom.retry import MAY_HAVE_RUN, NOT_RUN, RAN, GiveUp, Retry, RetryContext, next_step
 from sparloom.transport import monotonic
 
-from . import request as names
+from . import headers as names
 from .admission_queues import Rejected
 from .attempt import RUNNER_FAILURES, Attempt
 from .outcomes import Outcome
@@ -67,14 +67,14 @@
         self.thread = ResumableStream()
         self.service = self._choose_service()
         self.attempts, self.tried, self.reserved = 0, set(), False
-        self.worst, self.allowed = NOT_RUN, None
+        self.worst, self.allowed, self.deadline = NOT_RUN, None, ask.deadline
         self.limit = self.ahead = None
-        self.expired = False
+        self.expired = self.yields = False
         self.outcome = Outcome.UNANSWERED
 
     def left(self):
         """How much of its time is left."""
-        return self.ask.horizon - monotonic()
+        return self.deadline - monotonic()
 
     # -- choosing -----------------------------------------------------------
     def _runners(self):
@@ -99,7 +99,7 @@
         return next(n for n, w in reversed(split) if w > 0)
 
     def _stands(self, posts, now):
-        c, parts, key = self.know.counts, self.ask.parts, self.ask.key
+        c, parts, key = self.know.counts, self.ask.parts, self.ask.affinity_key
         return [
             Candidate(
                 p.id,
@@ -128,7 +128,7 @@
                 continue
             slot = self.know.counts.take(p.id, buckets_for(self.ask.route, p.slots, self.reserved), now, s.unread)
             if slot:
-                self.ask.yields = is_heavy_prefill(s.unread, p.kept.room, p.slots)
+                self.yields = is_heavy_prefill(s.unread, p.kept.room, p.slots)
                 p.kept.saw(self.ask.parts)
                 self.know.tell.sent(p, self.ask.parts[:-1])
                 self.know.prefixes.sent(p, self.ask.parts[:-1])
@@ -146,7 +146,7 @@
             self.know.budget(self.service).spend(monotonic())
         self.attempts += 1
         count_event("attempts")
-        return Attempt(self.know, self.ask, post, slot, self._look_elsewhere)
+        return Attempt(self.know, self.ask, post, slot, self._look_elsewhere, self.yields)
 
     def _plan(self, verdict):
         r = self.ask.route
@@ -215,7 +215,7 @@
     def expire(self):
         """This router ends: what can still be answered is answered now."""
         self.expired = True
-        self.ask.horizon = monotonic()
+        self.deadline = monotonic()
         self._drop_ahead()
         if self.limit is not None:
             self._end_at(asyncio.get_running_loop().time())
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -14,8 +14,9 @@
 from .client_connections import LEAST_IDLE, ClientServer
 from .forwarding import RequestForwarder
 from .graceful_shutdown import GracefulShutdown
+from .headers import time_remaining
 from .outcomes import Outcome, Outcomes
-from .request import make, time_left
+from .request import parse_request
 
 IDLE_SWEEP = timedelta(seconds=1)
 DRAIN_POLL = timedelta(milliseconds=25)
@@ -117,7 +118,7 @@
 
     async def _take(self, req):
         now, k = monotonic(), self.know
-        await k.wait_known(time_left(req.headers, self.up.bounds.contact))
+        await k.wait_known(time_remaining(req.headers, self.up.bounds.contact))
         policy = k.policy
         if policy is None:
             return web.Response(status=503, headers={"Retry-After": NOT_KNOWN_YET})
@@ -130,14 +131,14 @@
         route = k.policy.match(req.headers.get("Host", ""), req.raw_path.partition("?")[0])
         if route is None:
             return web.Response(status=404)
-        ask = make(req, body, route, k.policy, now, k.lines.member(route), self.up.isolation)
+        ask = parse_request(req, body, route, now, k.lines.member(route), self.up.isolation)
         return await self._forward(RequestForwarder(k, req, ask, lambda: self.stopping))
 
     async def _forward(self, forwarding):
         """Forwards a request, or refuses it where this router ends before it may."""
         self.forwarding.add(forwarding)
         try:
-            if self.ending and not self.ending.admits(monotonic(), forwarding.ask.horizon):
+            if self.ending and not self.ending.admits(monotonic(), forwarding.ask.deadline):
                 return forwarding.refuse()
             return await forwarding.run()
         finally:
@@ -147,7 +148,7 @@
     def _count(self, forwarding):
         self.outcomes.add(forwarding.outcome)
         if forwarding.outcome is Outcome.UNANSWERED:
-            logging.warning("front: request %s ended without an answer.", forwarding.ask.id)
+            logging.warning("front: request %s ended without an answer.", forwarding.ask.attempt_id)
 
     async def _body(self, req, caps):
         if (req.content_length or 0) > caps.body:
--- a/sparloom/router/request.py
+++ b/sparloom/router/request.py
@@ -1,150 +1,149 @@
-"""An ask as a router takes it, and the heads that go on."""
+"""A client's request as the router holds it, and the headers that go upstream with it."""
 
-from datetime import timedelta
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from attrs import define
-from multidict import CIMultiDict
 
 from sparloom.isolation import part_ids
 from sparloom.load_balancing import parse_parts
 from sparloom.retry.verdict import ResponseHead
 
-HOP = frozenset(
-    (
-        "connection",
-        "keep-alive",
-        "proxy-connection",
-        "proxy-authenticate",
-        "proxy-authorization",
-        "te",
-        "trailer",
-        "transfer-encoding",
-        "upgrade",
-        "content-length",
-        "expect",
-    )
-)
-ID, LEFT, SEAL = "X-Sparloom-Attempt-Id", "X-Sparloom-Deadline-Remaining", "X-Sparloom-Runner-Seal"
-EXPECT, NOT_RUN, PARTS = "X-Sparloom-Expected-Instance", "X-Sparloom-Not-Run", "X-Sparloom-Prompt-Prefix"
-URGENCY, LAST = "X-Sparloom-Request-Urgency", "Last-Event-Id"
-MS = timedelta(milliseconds=1)
+from . import headers as names
+from .headers import MILLISECOND, end_to_end, time_remaining
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+    from datetime import timedelta
 
-@define(slots=True)
-class Request:
-    """One ask, read whole."""
+    from aiohttp import ClientResponse
+    from aiohttp.web import BaseRequest
+    from multidict import CIMultiDict
 
-    id: str
-    method: str
-    path: str
-    heads: CIMultiDict
-    body: bytes
-    route: object
-    policy: object
-    came: timedelta
-    horizon: timedelta
-    parts: tuple
-    member: str = ""
-    part_ids: tuple = ()
-    yields: bool = False
+    from sparloom.configuration import Route
+    from sparloom.isolation import Isolation
 
-    @property
-    def key(self):
-        """The number of the prefix by which runners are chosen: the longest shared part."""
-        shared = self.parts[:-1] or self.parts
-        return max(shared, key=lambda p: p[1])[0] if shared else int.from_bytes(self.id.encode()[-8:])
+    from .backends import Backend
 
+# Urgency counts from 0, the most urgent, to 9.
+LEAST_URGENT = 9
+# So many bytes at the end of an attempt id stand in for the key of a request without a prompt.
+KEY_BYTES = 8
+STATUSES_WITHOUT_BODY = (204, 304)
 
-def end_to_end(raw):
-    """Drops the heads that concern one pipe only.
 
-    >>> list(end_to_end([(b"Connection", b"x-a"), (b"X-A", b"1"), (b"X-B", b"2")]).items())
-    [('X-B', '2')]
+@define(frozen=True, slots=True, eq=False)
+class Request:
+    """One request, its body read whole; nothing changes it while it is forwarded.
+
+    Attributes
+    ----------
+    attempt_id: the client's id of it, "" where it names none.
+    path: the request target, byte for byte.
+    headers: the client's end-to-end headers.
+    route: the route that it matched.
+    deadline: when the client or the route stops waiting, on the monotonic clock.
+    parts: the prompt's prefixes, as (hash of the prefix, tokens of its last part).
+    member: the name of the member whose share it counts against.
+    part_ids: the ids of the prompt's parts; empty without isolation.
     """
-    named = {t.strip().lower() for k, v in raw if k.lower() == b"connection" for t in v.decode("latin-1").split(",")}
-    pairs = ((k.decode("latin-1"), v.decode("utf-8", "surrogateescape")) for k, v in raw)
-    return CIMultiDict((k, v) for k, v in pairs if k.lower() not in HOP and k.lower() not in named)
-
-
-def head_of(answer, id):
-    """What judges a runner's answer to the request with an attempt id ('' for none)."""
-    ids = answer.headers.getall(ID, [])
-    coding = answer.headers.get("Transfer-Encoding")
-    framed = coding is None and ("Content-Length" in answer.headers or answer.status in (204, 304))
-    return ResponseHead(
-        status=answer.status,
-        not_run=NOT_RUN in answer.headers,
-        sealed=SEAL in answer.headers,
-        id_fits=bool(id) and ids == [id],
-        framed=framed or coding is not None and coding.strip().lower() == "chunked",
-        nameless=not id and not ids,
-    )
 
+    attempt_id: str
+    method: str
+    path: str
+    headers: CIMultiDict[str]
+    body: bytes
+    route: Route
+    deadline: timedelta
+    parts: tuple[tuple[int, int], ...]
+    member: str = ""
+    part_ids: tuple[str, ...] = ()
 
-def time_left(headers, most):
-    """How long the client still waits by its own word, and ``most`` where that is less or it says nothing usable.
+    @property
+    def shared_parts(self) -> tuple[tuple[int, int], ...]:
+        """The parts that other prompts may begin with too: all but the last."""
+        return self.parts[:-1]
 
-    >>> time_left({LEFT: "250"}, timedelta(seconds=1)), time_left({LEFT: "soon"}, timedelta(seconds=1))
-    (datetime.timedelta(microseconds=250000), datetime.timedelta(seconds=1))
-    >>> time_left({LEFT: "-1"}, timedelta(seconds=1)), time_left({}, timedelta(seconds=1))
-    (datetime.timedelta(0), datetime.timedelta(seconds=1))
+    @property
+    def affinity_key(self) -> int:
+        """The hash by which backends are ranked: that of the longest shared part."""
+        candidates = self.shared_parts or self.parts
+        if not candidates:
+            return int.from_bytes(self.attempt_id.encode()[-KEY_BYTES:])
+        return max(candidates, key=lambda part: part[1])[0]
+
+
+def deadline_of(headers: Mapping[str, str], route: Route, now: timedelta) -> timedelta:
+    """Return when the client or the route stops waiting, on the monotonic clock."""
+    return now + time_remaining(headers, route.timeout)
+
+
+def parse_request(
+    http_request: BaseRequest,
+    body: bytes,
+    route: Route,
+    now: timedelta,
+    member: str = "",
+    isolation: Isolation | None = None,
+) -> Request:
+    """Build a request from what the server has read.
+
+    With isolation the prompt's parts are hashed under the key of its member,
+    so that equal prompts of two members have nothing in common.
     """
-    try:
-        return min(max(0.0, float(headers[LEFT])) * MS, most)
-    except (KeyError, ValueError, OverflowError):
-        return most
-
-
-def horizon_of(headers, route, now):
-    """When the client or the route stops waiting."""
-    return now + time_left(headers, route.timeout)
-
-
-def make(req, body, route, policy, now, member="", isolation=None):
-    """An ask from what the server read; with isolation its parts are numbered under its member's key."""
-    heads = end_to_end(req.raw_headers)
-    prompt = heads.get(PARTS)
+    headers = end_to_end(http_request.raw_headers)
+    prompt = headers.get(names.PROMPT_PREFIX)
     return Request(
-        heads.get(ID, ""),
-        req.method,
-        req.raw_path,
-        heads,
-        body,
-        route,
-        policy,
-        now,
-        horizon_of(heads, route, now),
-        parse_parts(prompt, isolation.newest.part_key(member) if isolation else b""),
-        member,
-        part_ids(prompt) if isolation else (),
+        attempt_id=headers.get(names.ATTEMPT_ID, ""),
+        method=http_request.method,
+        path=http_request.raw_path,
+        headers=headers,
+        body=body,
+        route=route,
+        deadline=deadline_of(headers, route, now),
+        parts=parse_parts(prompt, isolation.newest.part_key(member) if isolation else b""),
+        member=member,
+        part_ids=part_ids(prompt) if isolation else (),
     )
 
 
-def onward(ask, post, now, last):
-    """The headers for one attempt: each filter edits them in place.
+def upstream_headers(
+    request: Request,
+    backend: Backend,
+    now: timedelta,
+    last_event_id: str | None,
+    yields: bool = False,
+) -> CIMultiDict[str]:
+    """Return the headers of one attempt.
 
-    The urgency is the route's priority, one less urgent for a prompt so heavy
-    that it lets others go first. The runner is named so that an address that
-    has passed to another one turns the ask away.
+    The backend's instance is named, so that an address that has passed to
+    another instance rejects the request. The urgency is the route's priority,
+    one less urgent if the request ``yields`` (its prefill is heavy, so that
+    others go first). ``last_event_id`` says where a stream is to be resumed.
     """
-    h = ask.heads.copy()
-    for edit in (_left, _name, _urge, _resume):
-        edit(h, ask, post, now, last)
-    return h
-
-
-def _left(h, ask, post, now, last):
-    h[LEFT] = str(max(1, int((ask.horizon - now) / MS)))
-
-
-def _name(h, ask, post, now, last):
-    h[EXPECT] = post.id
-
-
-def _urge(h, ask, post, now, last):
-    h[URGENCY] = str(min(9, ask.route.priority + ask.yields))
-
-
-def _resume(h, ask, post, now, last):
-    if last is not None:
-        h[LAST] = last
+    headers = request.headers.copy()
+    headers[names.DEADLINE_REMAINING] = str(max(1, int((request.deadline - now) / MILLISECOND)))
+    headers[names.EXPECTED_INSTANCE] = backend.id
+    headers[names.REQUEST_URGENCY] = str(min(LEAST_URGENT, request.route.priority + yields))
+    if last_event_id is not None:
+        headers[names.LAST_EVENT_ID] = last_event_id
+    return headers
+
+
+def response_head(response: ClientResponse, attempt_id: str) -> ResponseHead:
+    """Return what of a backend's response judges the attempt at the request with that id ("" for none)."""
+    response_ids = response.headers.getall(names.ATTEMPT_ID, [])
+    encoding = response.headers.get("Transfer-Encoding")
+    if encoding is None:
+        framed = "Content-Length" in response.headers or response.status in STATUSES_WITHOUT_BODY
+    else:
+        framed = encoding.strip().lower() == "chunked"
+    return ResponseHead(
+        status=response.status,
+        not_run=names.NOT_RUN in response.headers,
+        sealed=names.RUNNER_SEAL in response.headers,
+        id_fits=bool(attempt_id) and response_ids == [attempt_id],
+        framed=framed,
+        nameless=not attempt_id and not response_ids,
+    )
--- a/sparloom/router/target.py
+++ b/sparloom/router/target.py
@@ -1,23 +1,32 @@
-"""Sends a request target byte for byte, also where the URL library would tidy it."""
+"""Sends a request target byte for byte, also where the URL library would normalize it."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, cast
 
 from aiohttp import ClientRequest
 from yarl import URL
 
-MARK = "raw:"
+if TYPE_CHECKING:
+    from aiohttp import ClientResponse
+    from aiohttp.connector import Connection
+
+RAW_TARGET_PREFIX = "raw:"
 
 
-class _Target:
-    """A URL whose request target is given; all else is the URL's own."""
+class _RawTargetUrl:
+    """A URL with a request target of its own; all else is taken from the URL."""
 
-    def __init__(self, url, target):
-        self._url, self.raw_path_qs = url, target
+    def __init__(self, url: URL, target: str) -> None:
+        self._url = url
+        self.raw_path_qs = target
 
-    def __getattr__(self, name):
+    def __getattr__(self, name: str) -> Any:
         return getattr(self._url, name)
 
 
-def url_for(address, target):
-    """A URL for a raw target; one that the library would change rides in the fragment.
+def url_for(address: str, target: str) -> URL:
+    """Return a URL for a raw target; one that the library would change goes into the fragment.
 
     >>> url_for("h:1", "/a?b").raw_path_qs, url_for("h:1", "/a?").raw_fragment
     ('/a?b', 'raw:/a?')
@@ -25,15 +34,15 @@
     url = URL(f"http://{address}{target}", encoded=True)
     if url.raw_path_qs == target:
         return url
-    return URL(f"http://{address}/#{MARK}{target}", encoded=True)
+    return URL(f"http://{address}/#{RAW_TARGET_PREFIX}{target}", encoded=True)
 
 
 class RawTargetRequest(ClientRequest):
-    """A request that honours such a fragment."""
+    """An outgoing request that takes its target from such a fragment."""
 
-    async def send(self, conn):
-        """Sends with the raw target."""
-        raw = self.original_url.raw_fragment
-        if raw.startswith(MARK):
-            self.url = _Target(self.url, raw[len(MARK) :])
+    async def send(self, conn: Connection) -> ClientResponse:
+        """Send the request with its raw target."""
+        fragment = self.original_url.raw_fragment
+        if fragment.startswith(RAW_TARGET_PREFIX):
+            self.url = cast("URL", _RawTargetUrl(self.url, fragment[len(RAW_TARGET_PREFIX) :]))
         return await super().send(conn)
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -17,7 +17,7 @@
     parse_members,
 )
 from sparloom.configuration import Route
-from sparloom.router.timeout_buckets import buckets_for, most
+from sparloom.router.timeout_buckets import buckets_for, maximum_in_flight
 from tests.support.aggregation_fleet import Fleet as Sums
 
 MS = timedelta(milliseconds=1)
@@ -258,7 +258,7 @@
     SLOTS, RUNNERS, ROUTERS = 64, 6, 8
 
     def flood(self, seed, steps=60):
-        rng, whole, parts = random.Random(seed), self.RUNNERS * most(self.SLOTS), {"a": 0.2, "b": 0.1}
+        rng, whole, parts = random.Random(seed), self.RUNNERS * maximum_in_flight(self.SLOTS), {"a": 0.2, "b": 0.1}
         crowds = [FleetSize(3 * S, divisor=self.ROUTERS, index=i) for i in range(self.ROUTERS)]
         gates = [AdmissionController(Capacity(c.part(whole)), parts) for c in crowds]
         route = Route("r", "h", "/", "safe", (), 9 * S, S, S)
--- a/tests/golden_names.py
+++ b/tests/golden_names.py
@@ -26,10 +26,11 @@
 from sparloom.isolation import part_ids
 from sparloom.load_balancing import parse_parts
 from sparloom.prefix_cache import PlacementTable
-from sparloom.router import request as ask
+from sparloom.router import headers
 from sparloom.router.backends import number
 from sparloom.router.outcomes import Outcome
 from sparloom.router.program import Router
+from sparloom.router.request import parse_request, upstream_headers
 from sparloom.settings import checks, from_dict, read
 from sparloom.transport import Frames
 
@@ -51,12 +52,21 @@
     "unpack",
 ]
 
-HEADER_NAMES = (ask.ID, ask.LEFT, ask.SEAL, ask.EXPECT, ask.NOT_RUN, ask.PARTS, ask.URGENCY, ask.LAST)
+HEADER_NAMES = (
+    headers.ATTEMPT_ID,
+    headers.DEADLINE_REMAINING,
+    headers.RUNNER_SEAL,
+    headers.EXPECTED_INSTANCE,
+    headers.NOT_RUN,
+    headers.PROMPT_PREFIX,
+    headers.REQUEST_URGENCY,
+    headers.LAST_EVENT_ID,
+)
 FILE_NAMES = (store.FILE, store.SET_ASIDE, remember.FILE)
 START_PLACES = (checks.VARIABLE, checks.DEFAULT)
 LARGEST_BODY = control.MOST_BODY_BYTES
 RETRY_AFTER = control.RETRY_AFTER
-HOP_HEADERS = ask.HOP
+HOP_HEADERS = headers.HOP_BY_HOP
 OUTCOMES = [outcome.value for outcome in Outcome]
 
 
@@ -167,8 +177,8 @@
     heads = {key.decode(): value.decode() for key, value in raw}
     request = SimpleNamespace(raw_headers=raw, headers=heads, method="POST", raw_path="/x?y")
     route = SimpleNamespace(timeout=timedelta(seconds=9), priority=3)
-    made = ask.make(request, b"abc", route, None, timedelta(seconds=1), "m")
-    sent = ask.onward(made, SimpleNamespace(id="i-1"), timedelta(seconds=2), "17")
+    made = parse_request(request, b"abc", route, timedelta(seconds=1), "m")
+    sent = upstream_headers(made, SimpleNamespace(id="i-1"), timedelta(seconds=2), "17")
     return [[key, value] for key, value in sent.items()]
 
 
--- a/tests/router/test_frontend.py
+++ b/tests/router/test_frontend.py
@@ -157,17 +157,18 @@
 
     async def test_what_has_no_time_left_is_not_sent_on(self):
         with mock.patch.object(AdmissionQueues, "enter", self.late(AdmissionQueues.enter)):
-            a = await self.rig.send("/once/x")
+            a = await self.rig.send("/once/x", left=50)
         self.assertEqual((a.status, self.got), (503, []))
 
     @staticmethod
     def late(enter):
-        """A place in line that comes only when the time is over."""
+        """An admission that comes only when the deadline has passed."""
 
-        async def after_the_deadline(lines, service, ask):
-            place = await enter(lines, service, ask)
-            ask.horizon = monotonic()
-            return place
+        async def after_the_deadline(queues, service, request):
+            admission = await enter(queues, service, request)
+            while monotonic() < request.deadline:
+                await asyncio.sleep(0.001)
+            return admission
 
         return after_the_deadline
 
