--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -1,7 +1,10 @@
-"""One attempt at a runner: its slot, its call, and the judgement of its response's head."""
+"""One attempt at a backend: its slot, its HTTP call, and the verdict on the head of its response."""
+
+from __future__ import annotations
 
 import asyncio
 from datetime import timedelta
+from typing import TYPE_CHECKING
 
 import aiohttp
 from absl import logging
@@ -13,90 +16,124 @@
 from .request import response_head, upstream_headers
 from .target import url_for
 
-REFUSAL_BODY = timedelta(milliseconds=50)
-# What a runner that fails in some way costs it, as a part of the contact bound.
-NOT_CONNECTED, BROKE_OFF, SILENT, MOVED, REFUSED = 1 / 3, 1 / 6, 1 / 6, 1, 1 / 30
-NO_CONNECTION = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-RUNNER_FAILURES = (aiohttp.ClientError, OSError, ValueError)
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
+    from sparloom.retry import Verdict
 
-class Attempt:
-    """One send of a request to a runner that has a slot for it.
+    from .backend_choice import BackendChoice
+    from .request import Request
+    from .router_state import RouterState
 
-    ``on_silence``: called when the runner has said nothing for the call's timeout.
-    """
+REJECTION_BODY_TIMEOUT = timedelta(milliseconds=50)
+MINIMUM_CONNECT_TIMEOUT_S = 0.05
+# A connection must be there within this part of the route's latency target.
+CONNECT_TIMEOUT_PART = 1 / 3
+MISDIRECTED = 421
+# For how long a backend is suspected after a fault, as a part of the contact bound.
+NOT_CONNECTED = 1 / 3
+BROKE_OFF = 1 / 6
+UNRESPONSIVE = 1 / 6
+OTHER_INSTANCE = 1
+REJECTED = 1 / 30
+CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+BACKEND_ERRORS = (aiohttp.ClientError, OSError, ValueError)
 
-    def __init__(self, know, ask, post, slot, on_silence, yields):
-        self.yields = yields
-        self.know, self.ask, self.post, self.slot = know, ask, post, slot
-        self.response, self.connected = None, True
-        post.open += 1
-        self.watch = InactivityTimer(post, slot, lambda post: self._strike(SILENT), on_silence)
 
-    def _strike(self, part):
-        self.post.strike(monotonic(), self.know.up.bounds.contact * part)
+class Attempt:
+    """One send of a request to a backend on which a slot was taken for it.
+
+    Parameters
+    ----------
+    on_unresponsive: called when the backend has sent nothing for the slot's time-out.
+
+    Attributes
+    ----------
+    response: the backend's response, once its head has come.
+    connected: whether the request may have left the router.
+    inactivity: the timer of the backend's silence.
+    """
 
-    async def open(self, last_event_id):
-        """Sends the request; None once a head has come that may be passed on, else a verdict."""
-        self.watch.arm(self.slot.grant.timeout)
+    def __init__(
+        self,
+        state: RouterState,
+        request: Request,
+        choice: BackendChoice,
+        on_unresponsive: Callable[[], None],
+    ) -> None:
+        self._state = state
+        self._request = request
+        self._yields = choice.yields
+        self.backend = choice.backend
+        self.slot = choice.slot
+        self.response: aiohttp.ClientResponse | None = None
+        self.connected = True
+        self.backend.open += 1
+        self.inactivity = InactivityTimer(self.backend, self.slot, lambda: self._suspect(UNRESPONSIVE), on_unresponsive)
+
+    def _suspect(self, part: float) -> None:
+        self.backend.strike(monotonic(), self._state.up.bounds.contact * part)
+
+    async def open(self, last_event_id: str | None) -> Verdict | None:
+        """Send the request; None once a head has come that may be relayed, else the verdict."""
+        self.inactivity.arm(self.slot.grant.timeout)
         try:
-            self.response = await self._call(last_event_id)
-        except NO_CONNECTION:
-            # Not a byte of the request has left.
+            self.response = await self._send(last_event_id)
+        except CONNECT_ERRORS:
+            # Not a byte of the request has left the router.
             self.connected = False
-            self._strike(NOT_CONNECTED)
+            self._suspect(NOT_CONNECTED)
             return NOT_RUN
-        except RUNNER_FAILURES as error:
+        except BACKEND_ERRORS as error:
             return self.broke_off(error)
-        return await self._judge()
-
-    def broke_off(self, error):
-        """The runner ended the connection, or sent what is no answer."""
-        self._strike(BROKE_OFF)
-        logging.info("forward: %s broke off (%s).", self.post.id, type(error).__name__)
-        return MAY_HAVE_RUN
-
-    def _call(self, last_event_id):
-        ask = self.ask
-        connect_within = max(0.05, ask.route.target.total_seconds() / 3)
-        return self.post.pipes().request(
-            ask.method,
-            url_for(self.post.address, ask.path),
-            data=ask.body or None,
-            headers=upstream_headers(ask, self.post, monotonic(), last_event_id, self.yields),
+        return await self._judge(self.response)
+
+    async def _send(self, last_event_id: str | None) -> aiohttp.ClientResponse:
+        request = self._request
+        connect_timeout = max(MINIMUM_CONNECT_TIMEOUT_S, request.route.target.total_seconds() * CONNECT_TIMEOUT_PART)
+        return await self.backend.pipes().request(
+            request.method,
+            url_for(self.backend.address, request.path),
+            data=request.body or None,
+            headers=upstream_headers(request, self.backend, monotonic(), last_event_id, self._yields),
             allow_redirects=False,
-            timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_within),
+            timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_timeout),
         )
 
-    async def _judge(self):
-        response, post = self.response, self.post
-        head = response_head(response, self.ask.attempt_id)
-        verdict, good = judge_head(head)
+    def broke_off(self, error: Exception) -> Verdict:
+        """Return the verdict after the backend closed the connection or sent an invalid response."""
+        self._suspect(BROKE_OFF)
+        logging.info("attempt: backend %s broke off (%s).", self.backend.id, type(error).__name__)
+        return MAY_HAVE_RUN
+
+    async def _judge(self, response: aiohttp.ClientResponse) -> Verdict | None:
+        head = response_head(response, self._request.attempt_id)
+        verdict, may_relay = judge_head(head)
         if "Keep-Alive" in response.headers and head.belongs:
-            post.heed(response.headers["Keep-Alive"])
+            self.backend.heed(response.headers["Keep-Alive"])
         if verdict is NOT_RUN:
-            self._strike(MOVED if response.status == 421 else REFUSED)
-            await self._finish_refusal()
+            self._suspect(OTHER_INSTANCE if response.status == MISDIRECTED else REJECTED)
+            await self._drain_rejection(response)
             return NOT_RUN
-        if not good:
+        if not may_relay:
             response.close()
             return MAY_HAVE_RUN
-        post.clear()
+        self.backend.clear()
         return None
 
-    async def _finish_refusal(self):
-        """Reads what is left of a refusal, so that its connection can be kept; its head has proved enough."""
+    async def _drain_rejection(self, response: aiohttp.ClientResponse) -> None:
+        """Read the rest of a rejection, so that its connection can be reused; the verdict needs only the head."""
         try:
-            async with asyncio.timeout(REFUSAL_BODY.total_seconds()):
-                await self.response.read()
+            async with asyncio.timeout(REJECTION_BODY_TIMEOUT.total_seconds()):
+                await response.read()
         except (TimeoutError, aiohttp.ClientError, OSError):
-            self.response.close()
+            response.close()
 
-    def end(self):
-        """Frees the slot and the connection; what is unread of a response ends its connection."""
-        self.watch.stop()
+    def end(self) -> None:
+        """Free the slot and the connection; a response not read whole closes its connection."""
+        self.inactivity.stop()
         if self.response is not None:
             self.response.release()
         if self.slot.open:
-            self.post.open -= 1
+            self.backend.open -= 1
             self.slot.free(monotonic())
--- /dev/null
+++ b/sparloom/router/backend_choice.py
@@ -0,0 +1,154 @@
+"""Chooses the service and the backend of each attempt, and takes a slot there."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from attrs import define
+
+from sparloom.load_balancing import Candidate, choose, is_heavy_prefill, rendezvous_weight
+from sparloom.metrics import count_event
+from sparloom.transport import monotonic
+
+from .timeout_buckets import buckets_for
+
+if TYPE_CHECKING:
+    from datetime import timedelta
+
+    from sparloom.dynamic_timeout import Slot
+    from sparloom.isolation import Isolation
+
+    from .backends import Backend
+    from .request import Request
+    from .router_state import RouterState
+
+# A candidate's penalty adds these up; any sum ranks behind all lower ones, whatever the load.
+UNRESPONSIVE_FOR_PEERS = 1
+SUSPECTED_HERE = 2
+ALREADY_TRIED = 4
+
+
+@define(frozen=True, slots=True, eq=False)
+class BackendChoice:
+    """A backend for one attempt, and the slot taken there.
+
+    ``yields``: the prefill is heavy there, so the request lets others go first.
+    """
+
+    backend: Backend
+    slot: Slot
+    yields: bool
+
+
+@define(frozen=True, slots=True, eq=False)
+class _Eligible:
+    """The backends that may serve a request, and the snapshots that this was worked out from."""
+
+    backends: tuple[Backend, ...]
+    isolation: Isolation
+    allowed: tuple[Backend, ...]
+
+
+def choose_service(request: Request, state: RouterState) -> str:
+    """Draw one of the route's services by weight; a route with a single service draws nothing."""
+    split = request.route.split
+    if len(split) == 1:
+        return split[0][0]
+    remaining = state.rng.random() * sum(weight for _, weight in split)
+    for name, weight in split:
+        remaining -= weight
+        if remaining < 0 and weight > 0:
+            return name
+    # Rounding may leave a little over: the last service with any weight takes it.
+    return next(name for name, weight in reversed(split) if weight > 0)
+
+
+class BackendChooser:
+    """Chooses the backends of one request's attempts, each backend at most once.
+
+    Attributes
+    ----------
+    service: the service that the request goes to.
+    tried: ids of the backends that an attempt was made at.
+    """
+
+    def __init__(self, state: RouterState, request: Request) -> None:
+        self._state = state
+        self._request = request
+        self._eligible: _Eligible | None = None
+        self.service = choose_service(request, state)
+        self.tried: set[str] = set()
+
+    def eligible(self) -> tuple[Backend, ...]:
+        """Return the backends that may serve the request; fewer where members' prompts are isolated."""
+        backends = self._state.fleet.of(self.service)
+        isolation = self._state.up.isolation
+        if isolation is None:
+            return backends
+        cached = self._eligible
+        if cached is None or cached.backends is not backends or cached.isolation is not isolation:
+            allowed = isolation.allowed(self._request.member, self._request.part_ids, backends)
+            cached = self._eligible = _Eligible(backends, isolation, allowed)
+        return cached.allowed
+
+    def has_untried(self) -> bool:
+        """Whether a backend is left that no attempt was made at."""
+        return any(backend.id not in self.tried for backend in self.eligible())
+
+    def take(self, reserved: bool) -> BackendChoice | None:
+        """Take a slot at the best backend with capacity that was not tried yet; None where there is none.
+
+        ``reserved``: the request was admitted from its member's reserve.
+        """
+        now = monotonic()
+        backends = {backend.id: backend for backend in self.eligible()}
+        connection_limits = self._state.lines.connections(self.service)
+        count_event("weighed runners", len(backends))
+        candidates = [self._candidate(backend, now) for backend in backends.values()]
+        shared_tokens = sum(tokens for _, tokens in self._request.shared_parts)
+        for candidate in choose(candidates, shared_tokens):
+            backend = backends[candidate.id]
+            if backend.id in self.tried or backend.open >= connection_limits[backend.id]:
+                continue
+            choice = self._take_slot(backend, candidate.unread, now, reserved)
+            if choice is not None:
+                self.tried.add(backend.id)
+                self._announce_prompt(backend)
+                return choice
+        return None
+
+    def _candidate(self, backend: Backend, now: timedelta) -> Candidate:
+        counts = self._state.counts
+        return Candidate(
+            backend.id,
+            backend.kept.unread(self._request.parts),
+            counts.tokens(backend.id, now),
+            counts.count(backend.id, now),
+            backend.slots,
+            backend.cold,
+            self._penalty(backend, now),
+            backend.zone == self._state.up.zone,
+            backend.warm(),
+            rendezvous_weight(self._request.affinity_key, backend.number),
+        )
+
+    def _penalty(self, backend: Backend, now: timedelta) -> int:
+        return (
+            SUSPECTED_HERE * backend.doubted(now)
+            + UNRESPONSIVE_FOR_PEERS * (self._state.counts.silent(backend.id, now) > 0)
+            + ALREADY_TRIED * (backend.id in self.tried)
+        )
+
+    def _take_slot(self, backend: Backend, prefill_tokens: int, now: timedelta, reserved: bool) -> BackendChoice | None:
+        buckets = buckets_for(self._request.route, backend.slots, reserved)
+        slot = self._state.counts.take(backend.id, buckets, now, prefill_tokens)
+        if slot is None:
+            return None
+        return BackendChoice(backend, slot, is_heavy_prefill(prefill_tokens, backend.kept.room, backend.slots))
+
+    def _announce_prompt(self, backend: Backend) -> None:
+        """Note that the backend will have the prompt cached, here, at the other routers and at a controller."""
+        shared = self._request.shared_parts
+        backend.kept.saw(self._request.parts)
+        self._state.tell.sent(backend, shared)
+        self._state.prefixes.sent(backend, shared)
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -1,172 +1,87 @@
-"""Forwards one request: choose a runner, take a slot, send, relay, recover."""
+"""Forwards one request. Its steps, in order, each in a module of its own:
+
+parse (``request``), match (``frontend``), admit (``admission_queues``), choose
+(``backend_choice``), attempt (``attempt``), hedge (``hedging``), relay
+(``response_relay``), and where nothing can be relayed, refuse (``refusal``).
+"""
+
+from __future__ import annotations
 
 import asyncio
 from datetime import timedelta
+from typing import TYPE_CHECKING
 
-import aiohttp
-from aiohttp import web
 from attrs import evolve
 
-from sparloom.event_stream import EventSplitter, ResumableStream
-from sparloom.load_balancing import Candidate, choose, is_heavy_prefill, rendezvous_weight
 from sparloom.metrics import count_event
-from sparloom.retry import MAY_HAVE_RUN, NOT_RUN, RAN, GiveUp, Retry, RetryContext, next_step
+from sparloom.retry import MAY_HAVE_RUN, NOT_RUN, GiveUp, Retry, RetryContext, next_step
 from sparloom.transport import monotonic
 
-from . import headers as names
+from . import refusal
 from .admission_queues import Rejected
-from .attempt import RUNNER_FAILURES, Attempt
+from .attempt import BACKEND_ERRORS, Attempt
+from .backend_choice import BackendChooser
+from .hedging import Hedging
 from .outcomes import Outcome
-from .timeout_buckets import buckets_for
-
-ZERO = timedelta(0)
+from .response_relay import OK, ClientDisconnectedError, ResponseRelay
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
-class ClientDisconnectedError(Exception):
-    """The client's connection takes no more bytes."""
+    from aiohttp import ClientResponse, web
 
+    from sparloom.retry import Verdict
 
-class HedgedAttempt:
-    """An attempt that is opened while an earlier one is silent; ``opened``: called once it has, or has failed."""
+    from .request import Request
+    from .router_state import RouterState
 
-    def __init__(self, attempt, last_event_id, within, opened):
-        self.attempt = attempt
-        self.task = asyncio.ensure_future(self._open(last_event_id, within))
-        self.task.add_done_callback(lambda task: opened())
-
-    async def _open(self, last_event_id, within):
-        try:
-            async with asyncio.timeout(within.total_seconds()):
-                return await self.attempt.open(last_event_id)
-        except TimeoutError:
-            return MAY_HAVE_RUN
-
-    @property
-    def response(self):
-        """The response, once a head has come that may be passed on; else None."""
-        task = self.task
-        opened = task.done() and not task.cancelled() and not task.exception() and task.result() is None
-        return self.attempt.response if opened else None
-
-    def drop(self):
-        """It is not needed any more."""
-        self.task.cancel()
-        self.attempt.end()
+ZERO = timedelta(0)
+FIRST_SERVER_ERROR = 500
 
 
 class RequestForwarder:
     """The way of one request through this router.
 
-    ``closing()``: whether the client's connection is to end with this request.
-    ``outcome``: how it ended, once it has.
+    Parameters
+    ----------
+    closing: whether the client's connection is to end with this request.
+
+    Attributes
+    ----------
+    request: the request, as parsed.
+    outcome: how it ended, once it has.
     """
 
-    def __init__(self, know, req, ask, closing):
-        self.know, self.req, self.ask, self.closing = know, req, ask, closing
-        self.out = None
-        self.thread = ResumableStream()
-        self.service = self._choose_service()
-        self.attempts, self.tried, self.reserved = 0, set(), False
-        self.worst, self.allowed, self.deadline = NOT_RUN, None, ask.deadline
-        self.limit = self.ahead = None
-        self.expired = self.yields = False
+    def __init__(
+        self,
+        state: RouterState,
+        http_request: web.BaseRequest,
+        request: Request,
+        closing: Callable[[], bool],
+    ) -> None:
+        self._state = state
+        self.request = request
         self.outcome = Outcome.UNANSWERED
-
-    def left(self):
-        """How much of its time is left."""
-        return self.deadline - monotonic()
-
-    # -- choosing -----------------------------------------------------------
-    def _runners(self):
-        """The runners of the service that may take this request; fewer where members' prompts are kept apart."""
-        runners, isolation = self.know.fleet.of(self.service), self.know.up.isolation
-        if isolation is None:
-            return runners
-        if self.allowed is None or self.allowed[0] is not runners or self.allowed[1] is not isolation:
-            allowed = isolation.allowed(self.ask.member, self.ask.part_ids, runners)
-            self.allowed = (runners, isolation, allowed)
-        return self.allowed[2]
-
-    def _choose_service(self):
-        split = self.ask.route.split
-        if len(split) == 1:
-            return split[0][0]
-        at = self.know.rng.random() * sum(w for _, w in split)
-        for name, w in split:
-            at -= w
-            if at < 0 and w > 0:
-                return name
-        return next(n for n, w in reversed(split) if w > 0)
-
-    def _stands(self, posts, now):
-        c, parts, key = self.know.counts, self.ask.parts, self.ask.affinity_key
-        return [
-            Candidate(
-                p.id,
-                p.kept.unread(parts),
-                c.tokens(p.id, now),
-                c.count(p.id, now),
-                p.slots,
-                p.cold,
-                2 * p.doubted(now) + (c.silent(p.id, now) > 0) + 4 * (p.id in self.tried),
-                p.zone == self.know.up.zone,
-                p.warm(),
-                rendezvous_weight(key, p.number),
-            )
-            for p in posts
-        ]
-
-    def _pick(self):
-        """The best runner with room, and a slot there."""
-        now = monotonic()
-        posts = {p.id: p for p in self._runners()}
-        pipes = self.know.lines.connections(self.service)
-        count_event("weighed runners", len(posts))
-        for s in choose(self._stands(posts.values(), now), sum(n for _, n in self.ask.parts[:-1])):
-            p = posts[s.id]
-            if p.id in self.tried or p.open >= pipes[p.id]:
-                continue
-            slot = self.know.counts.take(p.id, buckets_for(self.ask.route, p.slots, self.reserved), now, s.unread)
-            if slot:
-                self.yields = is_heavy_prefill(s.unread, p.kept.room, p.slots)
-                p.kept.saw(self.ask.parts)
-                self.know.tell.sent(p, self.ask.parts[:-1])
-                self.know.prefixes.sent(p, self.ask.parts[:-1])
-                return p, slot
-        return None
-
-    def _next_attempt(self):
-        """An attempt at the best runner that was not tried yet, counted; None where none has room."""
-        picked = self._pick()
-        if picked is None:
-            return None
-        post, slot = picked
-        self.tried.add(post.id)
-        if self.attempts:
-            self.know.budget(self.service).spend(monotonic())
-        self.attempts += 1
-        count_event("attempts")
-        return Attempt(self.know, self.ask, post, slot, self._look_elsewhere, self.yields)
-
-    def _plan(self, verdict):
-        r = self.ask.route
-        return RetryContext(
-            r.repeatable,
-            r.max_attempts,
-            self.attempts,
-            verdict,
-            self.out is not None,
-            self.left(),
-            self.attempts == 0 or self.know.budget(self.service).allowed(monotonic(), self.know.nodes()),
-            any(p.id not in self.tried for p in self._runners()),
-        )
-
-    # -- the whole way ------------------------------------------------------
-    async def run(self):
-        """Brings the reply, whatever it is."""
-        self.know.budget(self.service).asked(monotonic())
+        self._chooser = BackendChooser(state, request)
+        self._relay = ResponseRelay(http_request, request, self._on_progress, self._on_prefilled, closing)
+        self._hedging = Hedging(self._is_preferable, self._end_wait, self._uncount_attempt)
+        self._deadline = request.deadline
+        self._attempts = 0
+        self._reserved = False
+        self._worst_verdict: Verdict = NOT_RUN
+        self._wait: asyncio.Timeout | None = None
+        self._expired = False
+
+    async def forward(self) -> web.StreamResponse:
+        """Return the response, a backend's or the router's own, once it has been sent as far as it can be.
+
+        Raises
+        ------
+        asyncio.CancelledError: the client has left.
+        """
+        self._state.budget(self._chooser.service).asked(monotonic())
         try:
-            return await self._run()
+            return await self._admit()
         except ClientDisconnectedError as error:
             self.outcome = Outcome.CLIENT_LEFT
             raise asyncio.CancelledError from error
@@ -174,227 +89,179 @@
             self.outcome = Outcome.CLIENT_LEFT
             raise
         finally:
-            self._drop_ahead()
+            self._hedging.drop()
 
-    async def _run(self):
-        if not self._runners():
-            return self._give_up(GiveUp(503))
+    async def _admit(self) -> web.StreamResponse:
+        """Wait for admission, then forward."""
+        if not self._chooser.eligible():
+            return self._give_up(GiveUp(refusal.UNAVAILABLE))
+        service, queues = self._chooser.service, self._state.lines
         try:
-            async with asyncio.timeout(None) as self.limit:
-                place = await self.know.lines.enter(self.service, self.ask)
+            # Only expire() sets an end to this wait: the queue itself rejects what waits too long.
+            async with asyncio.timeout(None) as self._wait:
+                admission = await queues.enter(service, self.request)
         except TimeoutError:
-            return self._give_up(GiveUp(503))
-        if isinstance(place, Rejected):
-            return self._give_up(GiveUp(503), place.back)
-        self.reserved = place.reserved
+            return self._give_up(GiveUp(refusal.UNAVAILABLE))
+        if isinstance(admission, Rejected):
+            return self._give_up(GiveUp(refusal.UNAVAILABLE), admission.back)
+        self._reserved = admission.reserved
         try:
-            return await self._try()
+            return await self._attempt_until_done()
         finally:
-            self.know.lines.leave(self.service, place.id)
+            queues.leave(service, admission.id)
 
-    async def _try(self):
-        if self.left() <= ZERO:
-            return self._give_up(GiveUp(503))
-        verdict, attempt = NOT_RUN, self._next_attempt()
+    async def _attempt_until_done(self) -> web.StreamResponse:
+        """Make attempts until one is complete or no further one is allowed."""
+        if self._time_left() <= ZERO:
+            return self._give_up(GiveUp(refusal.UNAVAILABLE))
+        verdict: Verdict | None = NOT_RUN
+        attempt = self._next_attempt()
         while attempt is not None:
             verdict = await self._carry_out(attempt)
             if verdict is None:
                 self.outcome = Outcome.ANSWERED
-                return self.out
+                return self._relay.response
             if verdict is not NOT_RUN:
-                self.worst = verdict
-            attempt = await self._opened_ahead()
+                self._worst_verdict = verdict
+            attempt = await self._hedging.take_over(self._seconds_left())
             if attempt is not None:
                 continue
-            step = next_step(self._plan(verdict if self.ask.route.repeatable else self.worst))
+            step = next_step(self._retry_context(verdict if self.request.route.repeatable else self._worst_verdict))
             if isinstance(step, GiveUp):
                 return self._give_up(step)
             attempt = self._next_attempt()
-        return self._give_up(next_step(evolve(self._plan(verdict), others=False)))
-
-    def expire(self):
-        """This router ends: what can still be answered is answered now."""
-        self.expired = True
-        self.deadline = monotonic()
-        self._drop_ahead()
-        if self.limit is not None:
-            self._end_at(asyncio.get_running_loop().time())
-
-    def _end_at(self, when):
-        """Sets when the present wait ends, unless it has ended."""
-        try:
-            self.limit.reschedule(when)
-        except RuntimeError:
-            pass
+        # No backend has capacity.
+        return self._give_up(next_step(evolve(self._retry_context(verdict), others=False)))
+
+    # -- attempts -----------------------------------------------------------------
+    def _next_attempt(self) -> Attempt | None:
+        """Start an attempt at the best backend not tried yet; None where none has capacity."""
+        choice = self._chooser.take(self._reserved)
+        if choice is None:
+            return None
+        if self._attempts:
+            self._state.budget(self._chooser.service).spend(monotonic())
+        self._attempts += 1
+        count_event("attempts")
+        return Attempt(self._state, self.request, choice, self._hedge)
 
-    # -- giving up ------------------------------------------------------------
-    def refuse(self):
-        """The refusal of a request that this router can't carry before it ends."""
-        refusal = self._give_up(GiveUp(503))
-        self.outcome = Outcome.REFUSED_AT_END
-        return refusal
-
-    def _give_up(self, step, back=ZERO):
-        if self.out is not None or step.cut:
-            return self._cut()
-        status = 502 if step.status == 503 and self.worst is not NOT_RUN else step.status
-        self.outcome = Outcome.REFUSED if status == 503 else Outcome.FAILED
-        heads = {"Retry-After": f"{max(self._come_back(), back.total_seconds()):.2f}"} if status == 503 else {}
-        return web.Response(status=status, headers=heads, text="")
-
-    def _come_back(self):
-        return max(0.02, self.ask.route.target.total_seconds() / 16)
-
-    def _cut(self):
-        """Ends a reply that can't be completed: its runner broke off, its time is over, or this router ends."""
-        if self.expired:
-            self.outcome = Outcome.BROKEN_OFF_AT_END
-        else:
-            self.outcome = Outcome.TIME_OVER if self.left() <= ZERO else Outcome.RUNNER_BROKE_OFF
-        if self.req.transport is not None:
-            self.req.transport.close()
-        return self.out
-
-    # -- one attempt ----------------------------------------------------------
-    async def _carry_out(self, attempt):
-        """None once the reply is through; else a verdict."""
+    async def _carry_out(self, attempt: Attempt) -> Verdict | None:
+        """Open an attempt, unless it is open, and relay its response; None once that is complete."""
         try:
-            async with asyncio.timeout(max(0.0, self.left().total_seconds())) as self.limit:
-                verdict = None if attempt.response is not None else await attempt.open(self.thread.last)
-                if verdict is None and not self._fits(attempt.response):
-                    verdict = MAY_HAVE_RUN
-                return verdict or await self._relay(attempt)
+            async with asyncio.timeout(self._seconds_left()) as self._wait:
+                if attempt.response is None:
+                    verdict = await attempt.open(self._relay.last_event_id)
+                    if verdict is not None:
+                        return verdict
+                if not self._may_relay(attempt.response):
+                    return MAY_HAVE_RUN
+                return await self._relay.relay(attempt)
         except TimeoutError:
             return MAY_HAVE_RUN
-        except RUNNER_FAILURES as error:
+        except BACKEND_ERRORS as error:
             return attempt.broke_off(error)
         finally:
             if not attempt.connected:
-                self.attempts -= 1
+                self._uncount_attempt()
             attempt.end()
 
-    def _fits(self, response):
-        """Whether a response that may be passed on is wanted: no failure in the middle of a reply, or while another runner may do better."""
-        if self.out is not None:
-            return response.status == 200
-        if response.status < 500 or not self.ask.route.repeatable:
+    def _uncount_attempt(self) -> None:
+        """An attempt that never left the router is none of the route's attempts."""
+        self._attempts -= 1
+
+    def _may_relay(self, response: ClientResponse) -> bool:
+        """Whether a valid response is relayed: no error amid a stream, nor where a retry may do better."""
+        if self._relay.begun:
+            return response.status == OK
+        if response.status < FIRST_SERVER_ERROR or not self.request.route.repeatable:
             return True
-        return not isinstance(next_step(self._plan(MAY_HAVE_RUN)), Retry)
+        return not self._may_retry()
 
-    # -- silence --------------------------------------------------------------
-    def _look_elsewhere(self):
-        """The runner is silent: a repeatable request is opened at another one as well.
+    def _may_retry(self) -> bool:
+        """Whether a further attempt is allowed after one that may have run."""
+        return isinstance(next_step(self._retry_context(MAY_HAVE_RUN)), Retry)
 
-        The silent one is left only when the other has begun to answer, so
-        silence by itself ends no answer.
-        """
-        if self.ahead is not None or not self.ask.route.repeatable:
-            return
-        if not isinstance(next_step(self._plan(MAY_HAVE_RUN)), Retry):
+    def _retry_context(self, verdict: Verdict | None) -> RetryContext:
+        route, state = self.request.route, self._state
+        budget = state.budget(self._chooser.service)
+        return RetryContext(
+            repeatable=route.repeatable,
+            max_attempts=route.max_attempts,
+            attempts=self._attempts,
+            verdict=verdict,
+            began=self._relay.begun,
+            left=self._time_left(),
+            within_budget=self._attempts == 0 or budget.allowed(monotonic(), state.nodes()),
+            others=self._chooser.has_untried(),
+        )
+
+    # -- hedging ------------------------------------------------------------------
+    def _hedge(self) -> None:
+        """The backend is unresponsive: an idempotent request is opened at another one as well."""
+        if self._hedging.active or not self.request.route.repeatable or not self._may_retry():
             return
         attempt = self._next_attempt()
         if attempt is not None:
-            self.ahead = HedgedAttempt(attempt, self.thread.last, self.left(), self._ahead_opened)
-
-    def _ahead_opened(self):
-        """The other runner has answered: it takes over, unless it refuses or fails."""
-        if self.ahead is None:
-            return
-        if self._better(self.ahead.response):
-            self._end_at(asyncio.get_running_loop().time())
-        else:
-            self._settle_ahead()
+            self._hedging.start(attempt, self._relay.last_event_id, self._time_left())
 
-    def _better(self, response):
-        """Whether a response is worth leaving a silent runner for."""
-        return response is not None and (response.status == 200 if self.out is not None else response.status < 500)
+    def _is_preferable(self, response: ClientResponse) -> bool:
+        """Whether a response is worth leaving an unresponsive backend for."""
+        return response.status == OK if self._relay.begun else response.status < FIRST_SERVER_ERROR
 
-    async def _opened_ahead(self):
-        """The attempt that was opened meanwhile, if its runner answers; it takes over."""
-        if self.ahead is None:
-            return None
-        await asyncio.wait({self.ahead.task}, timeout=max(0.0, self.left().total_seconds()))
-        return self._settle_ahead()
+    def _on_progress(self, attempt: Attempt) -> None:
+        """The backend has sent something: it keeps the request."""
+        attempt.inactivity.progressed()
+        if self._hedging.active:
+            self._hedging.drop()
+            # The hedged attempt may already have ended this wait; it goes on to the deadline.
+            self._end_wait(self._seconds_left())
 
-    def _settle_ahead(self):
-        """Takes the attempt that was opened ahead, or drops it and gives None."""
-        ahead, self.ahead = self.ahead, None
-        if ahead is None:
-            return None
-        if self._better(ahead.response):
-            return ahead.attempt
-        if not ahead.attempt.connected:
-            self.attempts -= 1
-        ahead.drop()
-        return None
-
-    def _drop_ahead(self):
-        if self.ahead is not None:
-            self.ahead.drop()
-            self.ahead = None
-
-    def _heard(self, attempt):
-        """The runner has spoken: it keeps the request."""
-        attempt.watch.heard()
-        if self.ahead is not None:
-            self._drop_ahead()
-            self._end_at(asyncio.get_running_loop().time() + max(0.0, self.left().total_seconds()))
-
-    # -- relaying -------------------------------------------------------------
-    async def _relay(self, attempt):
-        if self.ask.route.kind == "streaming" and 200 <= attempt.response.status < 300:
-            return await self._relay_stream(attempt)
-        body = await attempt.response.read()
-        self._heard(attempt)
-        await self._begin(attempt.response, str(len(body)))
-        await self._write(body)
-        return await self._finish()
-
-    async def _relay_stream(self, attempt):
-        response, split = attempt.response, EventSplitter()
-        joined = self.ask.route.repeatable
-        length = None if joined else response.headers.get("Content-Length")
-        async for raw in response.content.iter_any():
-            self._heard(attempt)
-            if self.out is None:
-                self.know.tell.was_read(attempt.slot)
-                await self._begin(response, length)
-            keep = b"".join(ev for ev in split.feed(raw) if self.thread.take(ev)) if joined else raw
-            if self.thread.broken:
-                response.close()
-                return RAN
-            if keep:
-                await self._write(keep)
-            attempt.watch.arm()
-        if self.out is None:
-            await self._begin(response, length)
-        if split.rest:
-            await self._write(split.rest)
-        return await self._finish()
-
-    async def _begin(self, response, length):
-        """Sends the head of the reply."""
-        self.out = out = web.StreamResponse(status=response.status, reason=response.reason)
-        for k, v in names.end_to_end(response.raw_headers).items():
-            out.headers.add(k, v)
-        if length is not None:
-            out.headers["Content-Length"] = length
-        else:
-            out.enable_chunked_encoding()
-        if self.closing():
-            out.force_close()
-        await self._to_client(out.prepare(self.req))
+    def _on_prefilled(self, attempt: Attempt) -> None:
+        self._state.tell.was_read(attempt.slot)
 
-    async def _write(self, data):
-        await self._to_client(self.out.write(data))
+    # -- time ---------------------------------------------------------------------
+    def _time_left(self) -> timedelta:
+        return self._deadline - monotonic()
 
-    async def _finish(self):
-        await self._to_client(self.out.write_eof())
+    def _seconds_left(self) -> float:
+        return max(0.0, self._time_left().total_seconds())
 
-    @staticmethod
-    async def _to_client(sending):
-        """Sends towards the client; what fails here is held against no runner."""
+    def _end_wait(self, seconds: float = 0.0) -> None:
+        """Let the present wait end after some seconds, unless it has ended."""
+        if self._wait is None:
+            return
         try:
-            await sending
-        except (aiohttp.ClientError, OSError) as error:
-            raise ClientDisconnectedError from error
+            self._wait.reschedule(asyncio.get_running_loop().time() + seconds)
+        except RuntimeError:
+            pass
+
+    def expire(self) -> None:
+        """End the request now, since this router ends; what can still be answered is."""
+        self._expired = True
+        self._deadline = monotonic()
+        self._hedging.drop()
+        self._end_wait()
+
+    # -- giving up ----------------------------------------------------------------
+    def refuse(self) -> web.StreamResponse | None:
+        """Return the refusal of a request that could not end before this router does."""
+        response = self._give_up(GiveUp(refusal.UNAVAILABLE))
+        self.outcome = Outcome.REFUSED_AT_END
+        return response
+
+    def _give_up(self, step: GiveUp, retry_after: timedelta = ZERO) -> web.StreamResponse | None:
+        if self._relay.begun or step.cut:
+            return self._abort()
+        status = refusal.status_of(step, self._worst_verdict)
+        self.outcome = refusal.outcome_of(status)
+        return refusal.refusal_response(status, self.request.route, retry_after)
+
+    def _abort(self) -> web.StreamResponse | None:
+        """End a response that can't be completed."""
+        if self._expired:
+            self.outcome = Outcome.BROKEN_OFF_AT_END
+        elif self._time_left() <= ZERO:
+            self.outcome = Outcome.TIME_OVER
+        else:
+            self.outcome = Outcome.RUNNER_BROKE_OFF
+        return self._relay.abort()
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -138,9 +138,9 @@
         """Forwards a request, or refuses it where this router ends before it may."""
         self.forwarding.add(forwarding)
         try:
-            if self.ending and not self.ending.admits(monotonic(), forwarding.ask.deadline):
+            if self.ending and not self.ending.admits(monotonic(), forwarding.request.deadline):
                 return forwarding.refuse()
-            return await forwarding.run()
+            return await forwarding.forward()
         finally:
             self.forwarding.discard(forwarding)
             self._count(forwarding)
@@ -148,7 +148,7 @@
     def _count(self, forwarding):
         self.outcomes.add(forwarding.outcome)
         if forwarding.outcome is Outcome.UNANSWERED:
-            logging.warning("front: request %s ended without an answer.", forwarding.ask.attempt_id)
+            logging.warning("front: request %s ended without an answer.", forwarding.request.attempt_id)
 
     async def _body(self, req, caps):
         if (req.content_length or 0) > caps.body:
--- a/sparloom/router/inactivity_timer.py
+++ b/sparloom/router/inactivity_timer.py
@@ -1,51 +1,71 @@
-"""Notices that a runner has been silent for the call's timeout."""
+"""Notices that a backend has sent nothing for an attempt's time-out."""
+
+from __future__ import annotations
 
 import asyncio
 from datetime import timedelta
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from sparloom.dynamic_timeout import Slot
+
+    from .backends import Backend
 
 
 class InactivityTimer:
-    """The timeout of one call, from sign to sign of its runner.
+    """The time-out of one attempt, from one sign of its backend to the next.
 
-    Its end marks the runner as doubtful, and ``on_silence`` is called, again
-    after each further span. It never ends the call by itself.
+    When it fires, the backend counts as unresponsive and ``suspect`` is called
+    once; ``on_unresponsive`` is called then and after each further time-out.
+    The timer never ends the attempt.
     """
 
-    def __init__(self, post, slot, strike_span, on_silence):
-        self.post, self.slot = post, slot
-        self.strike_span, self.on_silence = strike_span, on_silence
-        self.timer, self.span = None, timedelta(0)
-        self.quiet = False
+    def __init__(
+        self,
+        backend: Backend,
+        slot: Slot,
+        suspect: Callable[[], None],
+        on_unresponsive: Callable[[], None],
+    ) -> None:
+        self._backend = backend
+        self._slot = slot
+        self._suspect = suspect
+        self._on_unresponsive = on_unresponsive
+        self._timer: asyncio.TimerHandle | None = None
+        self._timeout = timedelta(0)
+        self._fired = False
 
-    def arm(self, span=None):
-        """Waits for the next sign, for the span given now or before."""
-        self.span = span or self.span
+    def arm(self, timeout: timedelta | None = None) -> None:
+        """Wait for the next sign, for the time-out given now or before."""
+        self._timeout = timeout or self._timeout
         self._cancel()
-        self.timer = asyncio.get_running_loop().call_later(self.span.total_seconds(), self._out)
+        self._timer = asyncio.get_running_loop().call_later(self._timeout.total_seconds(), self._on_timeout)
 
-    def heard(self):
-        """A sign came. Nothing is waited for until it is armed again."""
-        if self.quiet:
-            self.post.clear()
+    def progressed(self) -> None:
+        """The backend has sent something; nothing is waited for until the timer is armed again."""
+        if self._fired:
+            self._backend.clear()
         self.stop()
 
-    def stop(self):
-        """The call has ended, or its runner is not waited for."""
+    def stop(self) -> None:
+        """The attempt has ended, or its backend isn't waited for."""
         self._cancel()
-        if self.quiet:
-            self.quiet = False
-            self.post.silent -= 1
-
-    def _cancel(self):
-        if self.timer:
-            self.timer.cancel()
-            self.timer = None
-
-    def _out(self):
-        self.slot.timed_out = True
-        if not self.quiet:
-            self.quiet = True
-            self.post.silent += 1
-            self.strike_span(self.post)
+        if self._fired:
+            self._fired = False
+            self._backend.silent -= 1
+
+    def _cancel(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+    def _on_timeout(self) -> None:
+        self._slot.timed_out = True
+        if not self._fired:
+            self._fired = True
+            self._backend.silent += 1
+            self._suspect()
         self.arm()
-        self.on_silence()
+        self._on_unresponsive()
