--- a/simulator/host.py
+++ b/simulator/host.py
@@ -94,7 +94,7 @@
             "ready": len(ready),
             "whole": sum(r.nodes() == nodes for r in ready),
             "see": sorted({r.nodes() for r in ready}),
-            "list": sorted({len(r.fleet.posts) for r in ready}),
+            "list": sorted({len(r.backends.by_id) for r in ready}),
         }
 
     async def kill(self, ips):
@@ -102,7 +102,7 @@
         now = monotonic().total_seconds()
         for ip in ips:
             r = self.routers.pop(ip)
-            r.net.close()
+            r.datagrams.close()
             await r.stop()
         return now
 
@@ -141,7 +141,7 @@
     async def listed(self, runner, since, most):
         """Seconds until all routers here had a runner in their list, or None."""
         while (now := monotonic().total_seconds() - since) < most:
-            if all(runner in r.fleet.posts for r in self.routers.values()):
+            if all(runner in r.backends.by_id for r in self.routers.values()):
                 return round(now, 3)
             await asyncio.sleep(STEP)
         return None
--- a/simulator/pieces.py
+++ b/simulator/pieces.py
@@ -73,7 +73,7 @@
         "renewUs": timed(lambda: fleet.renew(listed.runners, lambda s: 378959)),
         "fleetBytes": memory(lambda: BackendTable().renew(listed.runners, lambda s: 378959)),
         "chooseUs": timed(lambda: choose(stands)),
-        "homeUs": timed(lambda: max(rendezvous_weight(7, p.number) for p in fleet.posts.values())),
+        "homeUs": timed(lambda: max(rendezvous_weight(7, p.number) for p in fleet.by_id.values())),
         "countUs": timed(lambda: [counts.count(i, timedelta(0)) for i in range(len(held))]),
     }
 
--- a/simulator/simulated_router.py
+++ b/simulator/simulated_router.py
@@ -59,12 +59,12 @@
     def renew(self):
         """Notes when a revision came into force here."""
         super().renew()
-        if self.policy is not None:
-            self.seen.setdefault(self.policy.revision, monotonic())
+        if self.configuration is not None:
+            self.seen.setdefault(self.configuration.revision, monotonic())
 
     @Service.task
     async def _call_often(self):
-        await self.known.wait()
+        await self.prefixes_known.wait()
         while not self.should_stop:
             await asyncio.sleep(self.luck.expovariate(self.load.rate) if self.load.rate else 3600.0)
             if self.ready():
@@ -78,7 +78,7 @@
         await super().on_stop()
 
     def _ask(self):
-        pool = self.policy.routes[:1]
+        pool = self.configuration.routes[:1]
         n = 2048 if self.luck.random() < self.load.long else 200
         parts = ((self.luck.randrange(self.load.prefixes), n), (self.luck.getrandbits(60), 300))
         return Ask(parts, pool[0], monotonic() + pool[0].timeout)
@@ -88,30 +88,30 @@
         service = ask.route.split[0][0]
         self.calls += 1
         self.budget(service).asked(monotonic())
-        place = await self.lines.enter(service, ask)
+        place = await self.queues.enter(service, ask)
         if not hasattr(place, "id") or hasattr(place, "back"):
             self.refused += 1
             return
         try:
             await self._hold(service, ask)
         finally:
-            self.lines.leave(service, place.id)
+            self.queues.leave(service, place.id)
 
     async def _hold(self, service, ask):
-        posts = self.fleet.of(service)
+        posts = self.backends.of(service)
         if not posts:
             return
         most = self.load.runners or len(posts)
         post = posts[self.luck.randrange(min(most, len(posts)))]
         tokens = sum(n for _, n in ask.parts)
-        slot = self.counts.take(post.id, buckets_for(ask.route, post.slots), monotonic(), tokens)
+        slot = self.in_flight.take(post.id, buckets_for(ask.route, post.slots), monotonic(), tokens)
         if slot is None:
             self.refused += 1
             return
-        self.tell.sent(post, ask.parts[:-1])
+        self.gossip.on_prompt_sent(post, ask.parts[:-1])
         try:
             await asyncio.sleep(min(0.3, self.load.hold / 4))
-            self.tell.was_read(slot)
+            self.gossip.on_prefilled(slot)
             await asyncio.sleep(self.luck.expovariate(1 / self.load.hold))
         finally:
             slot.free(monotonic())
--- a/sparloom/router/admission_queues.py
+++ b/sparloom/router/admission_queues.py
@@ -15,13 +15,13 @@
 class AdmissionQueues:
     """All gates of this router."""
 
-    def __init__(self, know):
-        self.know, self.gates, self.waits, self.ids = know, {}, {}, count(1)
+    def __init__(self, state):
+        self.state, self.gates, self.waits, self.ids = state, {}, {}, count(1)
         self.told, self.members, self.parts, self.owners = (None, ()), (), {}, {}
         self.rooms, self.cons, self.wholes, self.others = {}, {}, {}, {}
 
     def _parts(self):
-        policy, declared = self.know.policy, self.know.up.members
+        policy, declared = self.state.configuration, self.state.settings.members
         if self.told[0] is not policy or self.told[1] is not declared:
             self.told = (policy, declared)
             self.members = members_of(policy, declared)
@@ -35,21 +35,21 @@
 
     def _room(self, service):
         """This router's room, worked out anew only after news; snapshots are swapped whole, so their identity tells."""
-        k = self.know
-        posts, s = k.fleet.of(service), k.policy.services.get(service)
+        k = self.state
+        posts, s = k.backends.of(service), k.configuration.services.get(service)
         old = self.rooms.get(service)
-        if old and old[0] is posts and old[1] is s and old[2:4] == (k.crowd.divisor, k.crowd.open):
+        if old and old[0] is posts and old[1] is s and old[2:4] == (k.fleet_size.divisor, k.fleet_size.open):
             return old[4]
         slots = sum(most(p.slots or (s.slots if s else 0)) for p in posts)
         self.wholes[service] = slots
-        room = Capacity(k.crowd.part(slots), k.crowd.part(s.cache_tokens * len(posts)) if s else 0)
-        self.rooms[service] = (posts, s, k.crowd.divisor, k.crowd.open, room)
+        room = Capacity(k.fleet_size.part(slots), k.fleet_size.part(s.cache_tokens * len(posts)) if s else 0)
+        self.rooms[service] = (posts, s, k.fleet_size.divisor, k.fleet_size.open, room)
         return room
 
     def connections(self, service):
         """How many connections this router may hold to each runner of a service, by id; one each where there would be none at all."""
-        k = self.know
-        posts, s, c = k.fleet.of(service), k.policy.services.get(service), k.crowd
+        k = self.state
+        posts, s, c = k.backends.of(service), k.configuration.services.get(service), k.fleet_size
         old = self.cons.get(service)
         if old and old[0] is posts and old[1] is s and old[2:4] == (c.divisor, c.index):
             return old[4]
@@ -68,7 +68,7 @@
     def member(self, route):
         """The name of the member that a route belongs to."""
         self._parts()
-        return self.owners.get(route.name, "" if self.know.up.members else route.host)
+        return self.owners.get(route.name, "" if self.state.settings.members else route.host)
 
     async def enter(self, service, ask):
         """Waits for a place; gives Granted or Away."""
@@ -93,25 +93,25 @@
 
     def tick(self):
         """Time moves on for all lines."""
-        if self.know.policy is not None:
+        if self.state.configuration is not None:
             for s, g in self.gates.items():
                 self._step(s, g)
 
     def _step(self, service, gate):
-        now, k, room = monotonic(), self.know, self._room(service)
+        now, k, room = monotonic(), self.state, self._room(service)
         whole, gate.extra = self.wholes[service], 0
         if gate.tight():
-            gate.extra = k.crowd.extra(whole, whole * sum(self._parts().values()), self._in_use(service, now))
+            gate.extra = k.fleet_size.extra(whole, whole * sum(self._parts().values()), self._in_use(service, now))
         self._heed(gate.tick(now, room, self._parts()))
 
     def _in_use(self, service, now):
         """Requests in flight at a service over all routers: this one's as they are, the others' added up anew as often as they tell."""
-        k = self.know
-        posts = k.fleet.of(service)
-        own = sum(k.counts.own.get(p.id, 0) for p in posts)
+        k = self.state
+        posts = k.backends.of(service)
+        own = sum(k.in_flight.own.get(p.id, 0) for p in posts)
         at, told = self.others.get(service, (None, 0))
         if at is None or now - at >= TOLD:
-            told = sum(k.counts.count(p.id, now) for p in posts) - own
+            told = sum(k.in_flight.count(p.id, now) for p in posts) - own
             self.others[service] = (now, told)
         return own + told
 
--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -26,14 +26,14 @@
     ``on_silence``: called when the runner has said nothing for the call's timeout.
     """
 
-    def __init__(self, know, ask, post, slot, on_silence):
-        self.know, self.ask, self.post, self.slot = know, ask, post, slot
+    def __init__(self, state, ask, post, slot, on_silence):
+        self.state, self.ask, self.post, self.slot = state, ask, post, slot
         self.response, self.connected = None, True
-        post.open += 1
+        post.open_calls += 1
         self.watch = InactivityTimer(post, slot, lambda post: self._strike(SILENT), on_silence)
 
     def _strike(self, part):
-        self.post.strike(monotonic(), self.know.up.bounds.contact * part)
+        self.post.record_failure(monotonic(), self.state.settings.bounds.contact * part)
 
     async def open(self, last_event_id):
         """Sends the request; None once a head has come that may be passed on, else a verdict."""
@@ -58,7 +58,7 @@
     def _call(self, last_event_id):
         ask = self.ask
         connect_within = max(0.05, ask.route.target.total_seconds() / 3)
-        return self.post.pipes().request(
+        return self.post.session().request(
             ask.method,
             url_for(self.post.address, ask.path),
             data=ask.body or None,
@@ -72,7 +72,7 @@
         head = names.head_of(response, self.ask.id)
         verdict, good = judge_head(head)
         if "Keep-Alive" in response.headers and head.belongs:
-            post.heed(response.headers["Keep-Alive"])
+            post.apply_keep_alive(response.headers["Keep-Alive"])
         if verdict is NOT_RUN:
             self._strike(MOVED if response.status == 421 else REFUSED)
             await self._finish_refusal()
@@ -80,7 +80,7 @@
         if not good:
             response.close()
             return MAY_HAVE_RUN
-        post.clear()
+        post.record_success()
         return None
 
     async def _finish_refusal(self):
@@ -97,5 +97,5 @@
         if self.response is not None:
             self.response.release()
         if self.slot.open:
-            self.post.open -= 1
+            self.post.open_calls -= 1
             self.slot.free(monotonic())
--- a/sparloom/router/backends.py
+++ b/sparloom/router/backends.py
@@ -44,69 +44,73 @@
     zone: str
     slots: int
     draining: bool
-    cold: bool
+    warming_up: bool
     number: int
-    kept: CachedPrefixes
-    session: object = None
-    doubt_till: timedelta = NONE
+    cached: CachedPrefixes
+    client_session: object = None
+    suspected_until: timedelta = NONE
     strikes: int = 0
-    silent: int = 0
-    gone: bool = False
-    open: int = 0
-    rest: float = 4.0
+    unresponsive_calls: int = 0
+    departed: bool = False
+    open_calls: int = 0
+    idle_timeout: float = 4.0
 
-    def doubted(self, now):
+    def is_suspected(self, now):
         """Whether traffic says to avoid it for now.
 
-        >>> Backend("i", "s", "h:1", "z", 1, False, False, 0, None).doubted(timedelta(seconds=1))
+        >>> Backend("i", "s", "h:1", "z", 1, False, False, 0, None).is_suspected(timedelta(seconds=1))
         False
         """
-        return now < self.doubt_till
+        return now < self.suspected_until
 
-    def strike(self, now, span):
+    def record_failure(self, now, span):
         """An attempt failed here: avoid it, longer each time."""
         self.strikes = min(self.strikes + 1, 4)
-        self.doubt_till = max(self.doubt_till, now + span * 2 ** (self.strikes - 1))
+        self.suspected_until = max(self.suspected_until, now + span * 2 ** (self.strikes - 1))
 
-    def clear(self):
+    def record_success(self):
         """It answered: nothing is held against it."""
-        self.strikes, self.doubt_till = 0, NONE
+        self.strikes, self.suspected_until = 0, NONE
 
-    def pipes(self):
+    def session(self):
         """The session that holds the pipes to this life of the runner."""
-        if self.session is None or self.session.closed:
+        if self.client_session is None or self.client_session.closed:
             connector = Connector(
                 limit=0,
                 ttl_dns_cache=None,
-                keepalive_timeout=self.rest,
+                keepalive_timeout=self.idle_timeout,
                 socket_factory=_socket,
                 enable_cleanup_closed=False,
             )
-            self.session = open_session(
+            self.client_session = open_session(
                 connector,
                 request_class=RawTargetRequest,
                 auto_decompress=False,
                 timeout=aiohttp.ClientTimeout(total=None),
                 skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
             )
-        return self.session
+        return self.client_session
 
-    def warm(self):
+    def has_idle_connection(self):
         """Whether an open connection waits unused: no new one is needed.
 
-        >>> Backend("i", "s", "h:1", "z", 1, False, False, 0, None).warm()
+        >>> Backend("i", "s", "h:1", "z", 1, False, False, 0, None).has_idle_connection()
         False
         """
-        return self.session is not None and not self.session.closed and self.session.connector.has_idle()
+        return (
+            self.client_session is not None
+            and not self.client_session.closed
+            and self.client_session.connector.has_idle()
+        )
 
-    def heed(self, text):
+    def apply_keep_alive(self, text):
         """Takes the runner's ``Keep-Alive`` to heart: pipes are given up before it does so."""
         for item in text.split(","):
             k, _, v = item.strip().partition("=")
             if k.lower() == "timeout" and v.isdigit():
-                self.rest = max(0.05, int(v) * 0.7)
-                if self.session:
-                    self.session.connector.keep_idle(self.rest)
+                self.idle_timeout = max(0.05, int(v) * 0.7)
+                if self.client_session:
+                    self.client_session.connector.keep_idle(self.idle_timeout)
 
 
 @define(frozen=True, slots=True)
@@ -117,9 +121,9 @@
     ()
     """
 
-    posts: dict = field(factory=dict)
+    by_id: dict = field(factory=dict)
     services: dict = field(factory=dict)
-    numbers: dict = field(factory=dict)
+    ids_by_number: dict = field(factory=dict)
 
     def of(self, service):
         """The runners of a service that take new asks."""
@@ -132,7 +136,7 @@
         """
         posts = {}
         for r in runners:
-            old = self.posts.get(r.id)
+            old = self.by_id.get(r.id)
             if old is None or (old.address, old.service) != (r.address, r.service):
                 old = Backend(
                     r.id,
@@ -145,11 +149,11 @@
                     number(r.id),
                     CachedPrefixes(room(r.service)),
                 )
-            old.draining, old.cold, old.slots = r.draining, bool(r.cold), r.slots
-            old.kept.room = room(r.service)
+            old.draining, old.warming_up, old.slots = r.draining, bool(r.cold), r.slots
+            old.cached.room = room(r.service)
             posts[r.id] = old
-        for p in self.posts.values():
-            p.gone = posts.get(p.id) is not p
+        for p in self.by_id.values():
+            p.departed = posts.get(p.id) is not p
         names = {p.service for p in posts.values()}
         return BackendTable(
             posts,
--- a/sparloom/router/feed_client.py
+++ b/sparloom/router/feed_client.py
@@ -21,22 +21,22 @@
 class FeedClient(Service):
     """Follows one controller or relay at a time; ``Upstream`` says which, and when to leave."""
 
-    def __init__(self, know):
+    def __init__(self, state):
         super().__init__()
-        self.know = know
+        self.router_state = state
         self.shelf, self.bell = VersionedStore(), ChangeSignal()
-        self.upstream = Upstream(know.key, UpstreamTiming.of(know.up.bounds.contact), know.rng)
-        self.dialing = DialTimeout(know.up.bounds.contact / 40, self.upstream.spans.dial)
+        self.upstream = Upstream(state.key, UpstreamTiming.of(state.settings.bounds.contact), state.random)
+        self.dialing = DialTimeout(state.settings.bounds.contact / 40, self.upstream.spans.dial)
         self.raw, self.afresh = None, set()
         self.told = news.ZERO
 
     def _controllers(self):
         """Controllers to follow: near ones first."""
-        k = self.know
+        k = self.router_state
         found = {p.key: p.zone for p in k.swim.alive() if p.role == CONTROLLER}
         for s in k.seeds:
             found.setdefault(s, "")
-        return sorted(found, key=lambda c: (found[c] != k.up.zone, k.rng.random()))
+        return sorted(found, key=lambda c: (found[c] != k.settings.zone, k.random.random()))
 
     @Service.task
     async def _follow(self):
@@ -51,14 +51,14 @@
                 except (OSError, EOFError, DecodeError, TimeoutError):
                     pass
                 up.ended(monotonic(), why)
-            await asyncio.sleep(0.02 + 0.04 * self.know.rng.random())
+            await asyncio.sleep(0.02 + 0.04 * self.router_state.random.random())
 
     async def _from(self, to):
         host, _, port = to.rpartition(":")
         up = self.upstream
         frames = await self.dialing.dial(host, int(port))
         try:
-            await frames.write(self.shelf.follow(self.know.up.node, self.afresh))
+            await frames.write(self.shelf.follow(self.router_state.settings.node, self.afresh))
             up.tracker.start(monotonic())
             logging.info("feed: follows %s at depth %d.", to, up.depth)
             while True:
@@ -84,7 +84,7 @@
     async def _read(self, frames, wait):
         """The next record, or None when none came in time; one that is on its way may take longer."""
         loop, begun = asyncio.get_running_loop(), []
-        more = self.know.up.bounds.contact.total_seconds() / 3
+        more = self.router_state.settings.bounds.contact.total_seconds() / 3
         try:
             async with asyncio.timeout(wait.total_seconds()) as limit:
                 return await frames.read(lambda: begun.append(limit.reschedule(loop.time() + more)))
@@ -99,17 +99,17 @@
 
     def _sure(self, rec):
         """A pulse makes this router sure only when it holds the policy that the pulse speaks of."""
-        k = self.know
-        known = k.listed is not None and k.policy is not None
+        k = self.router_state
+        known = k.endpoint_list is not None and k.configuration is not None
         up_to_date = self.shelf.stamp(CONFIGURATION) >= self.newest_policy()
-        k.sure = k.sure or known and up_to_date and rec.age < self.upstream.tracker.doubt / MS
+        k.confirmed = k.confirmed or known and up_to_date and rec.age < self.upstream.tracker.doubt / MS
 
     def _state(self, topic):
-        return self.raw if topic == CONFIGURATION else self.know.listed
+        return self.raw if topic == CONFIGURATION else self.router_state.endpoint_list
 
     def _take(self, c):
         """Whether the change was taken or known. The whole state's bytes are made again when asked for."""
-        k = self.know
+        k = self.router_state
         if c.topic not in TOPICS:
             raise DecodeError("a change of no known topic")
         self.upstream.change(monotonic())
@@ -124,10 +124,10 @@
             self.afresh.add(c.topic)
             return False
         if c.topic == CONFIGURATION:
-            self.raw, k.policy = new, build(new)
-            logging.info("feed: revision %d is in force.", k.policy.revision)
+            self.raw, k.configuration = new, build(new)
+            logging.info("feed: revision %d is in force.", k.configuration.revision)
         else:
-            k.listed = new
+            k.endpoint_list = new
             k.count()
         k.renew()
         if c.base == news.ZERO:
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -61,8 +61,8 @@
     ``outcome``: how it ended, once it has.
     """
 
-    def __init__(self, know, req, ask, closing):
-        self.know, self.req, self.ask, self.closing = know, req, ask, closing
+    def __init__(self, state, req, ask, closing):
+        self.state, self.req, self.ask, self.closing = state, req, ask, closing
         self.out = None
         self.thread = ResumableStream()
         self.service = self._choose_service()
@@ -79,7 +79,7 @@
     # -- choosing -----------------------------------------------------------
     def _runners(self):
         """The runners of the service that may take this request; fewer where members' prompts are kept apart."""
-        runners, isolation = self.know.fleet.of(self.service), self.know.up.isolation
+        runners, isolation = self.state.backends.of(self.service), self.state.settings.isolation
         if isolation is None:
             return runners
         if self.allowed is None or self.allowed[0] is not runners or self.allowed[1] is not isolation:
@@ -91,7 +91,7 @@
         split = self.ask.route.split
         if len(split) == 1:
             return split[0][0]
-        at = self.know.rng.random() * sum(w for _, w in split)
+        at = self.state.random.random() * sum(w for _, w in split)
         for name, w in split:
             at -= w
             if at < 0 and w > 0:
@@ -99,18 +99,18 @@
         return next(n for n, w in reversed(split) if w > 0)
 
     def _stands(self, posts, now):
-        c, parts, key = self.know.counts, self.ask.parts, self.ask.key
+        c, parts, key = self.state.in_flight, self.ask.parts, self.ask.key
         return [
             Candidate(
                 p.id,
-                p.kept.unread(parts),
+                p.cached.unread(parts),
                 c.tokens(p.id, now),
                 c.count(p.id, now),
                 p.slots,
-                p.cold,
-                2 * p.doubted(now) + (c.silent(p.id, now) > 0) + 4 * (p.id in self.tried),
-                p.zone == self.know.up.zone,
-                p.warm(),
+                p.warming_up,
+                2 * p.is_suspected(now) + (c.silent(p.id, now) > 0) + 4 * (p.id in self.tried),
+                p.zone == self.state.settings.zone,
+                p.has_idle_connection(),
                 rendezvous_weight(key, p.number),
             )
             for p in posts
@@ -120,18 +120,18 @@
         """The best runner with room, and a slot there."""
         now = monotonic()
         posts = {p.id: p for p in self._runners()}
-        pipes = self.know.lines.connections(self.service)
+        pipes = self.state.queues.connections(self.service)
         count_event("weighed runners", len(posts))
         for s in choose(self._stands(posts.values(), now), sum(n for _, n in self.ask.parts[:-1])):
             p = posts[s.id]
-            if p.id in self.tried or p.open >= pipes[p.id]:
+            if p.id in self.tried or p.open_calls >= pipes[p.id]:
                 continue
-            slot = self.know.counts.take(p.id, buckets_for(self.ask.route, p.slots, self.reserved), now, s.unread)
+            slot = self.state.in_flight.take(p.id, buckets_for(self.ask.route, p.slots, self.reserved), now, s.unread)
             if slot:
-                self.ask.yields = is_heavy_prefill(s.unread, p.kept.room, p.slots)
-                p.kept.saw(self.ask.parts)
-                self.know.tell.sent(p, self.ask.parts[:-1])
-                self.know.prefixes.sent(p, self.ask.parts[:-1])
+                self.ask.yields = is_heavy_prefill(s.unread, p.cached.room, p.slots)
+                p.cached.saw(self.ask.parts)
+                self.state.gossip.on_prompt_sent(p, self.ask.parts[:-1])
+                self.state.prefix_recall.on_prompt_sent(p, self.ask.parts[:-1])
                 return p, slot
         return None
 
@@ -143,10 +143,10 @@
         post, slot = picked
         self.tried.add(post.id)
         if self.attempts:
-            self.know.budget(self.service).spend(monotonic())
+            self.state.budget(self.service).spend(monotonic())
         self.attempts += 1
         count_event("attempts")
-        return Attempt(self.know, self.ask, post, slot, self._look_elsewhere)
+        return Attempt(self.state, self.ask, post, slot, self._look_elsewhere)
 
     def _plan(self, verdict):
         r = self.ask.route
@@ -157,14 +157,14 @@
             verdict,
             self.out is not None,
             self.left(),
-            self.attempts == 0 or self.know.budget(self.service).allowed(monotonic(), self.know.nodes()),
+            self.attempts == 0 or self.state.budget(self.service).allowed(monotonic(), self.state.nodes()),
             any(p.id not in self.tried for p in self._runners()),
         )
 
     # -- the whole way ------------------------------------------------------
     async def run(self):
         """Brings the reply, whatever it is."""
-        self.know.budget(self.service).asked(monotonic())
+        self.state.budget(self.service).asked(monotonic())
         try:
             return await self._run()
         except ClientDisconnectedError as error:
@@ -181,7 +181,7 @@
             return self._give_up(GiveUp(503))
         try:
             async with asyncio.timeout(None) as self.limit:
-                place = await self.know.lines.enter(self.service, self.ask)
+                place = await self.state.queues.enter(self.service, self.ask)
         except TimeoutError:
             return self._give_up(GiveUp(503))
         if isinstance(place, Rejected):
@@ -190,7 +190,7 @@
         try:
             return await self._try()
         finally:
-            self.know.lines.leave(self.service, place.id)
+            self.state.queues.leave(self.service, place.id)
 
     async def _try(self):
         if self.left() <= ZERO:
@@ -357,7 +357,7 @@
         async for raw in response.content.iter_any():
             self._heard(attempt)
             if self.out is None:
-                self.know.tell.was_read(attempt.slot)
+                self.state.gossip.on_prefilled(attempt.slot)
                 await self._begin(response, length)
             keep = b"".join(ev for ev in split.feed(raw) if self.thread.take(ev)) if joined else raw
             if self.thread.broken:
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -25,9 +25,9 @@
 class Frontend(Service):
     """Takes requests and sends replies."""
 
-    def __init__(self, up, know):
+    def __init__(self, up, state):
         super().__init__()
-        self.up, self.know = up, know
+        self.up, self.router_state = up, state
         self.ending = None
         self.forwarding = set()
         self.outcomes = Outcomes()
@@ -54,7 +54,7 @@
 
     def idle_bound(self):
         """How long a client's connection is kept idle: never less than the configuration allows."""
-        policy = self.know.policy
+        policy = self.router_state.configuration
         return LEAST_IDLE if policy is None else max(LEAST_IDLE, policy.caps.idle)
 
     @Service.task
@@ -78,27 +78,27 @@
     async def _ready(self, req):
         if req.path == "/-/beliefs":
             return web.json_response(self.beliefs())
-        ok = req.path == "/-/ready" and self.know.ready() and not self.stopping
+        ok = req.path == "/-/ready" and self.router_state.ready() and not self.stopping
         return web.Response(status=200 if ok else 503 if req.path == "/-/ready" else 404)
 
     def beliefs(self):
         """What this router believes, for the comparison."""
-        k, now = self.know, monotonic()
+        k, now = self.router_state, monotonic()
         return {
             "node": self.up.node,
             "role": "router",
             "key": k.key,
             "policy": list(k.shelf.stamp(CONFIGURATION)),
             "runners": list(k.shelf.stamp(ENDPOINTS)),
-            "revision": k.policy.revision if k.policy else 0,
+            "revision": k.configuration.revision if k.configuration else 0,
             "members": {p.key: ["alive", "suspect", "dead"][p.state] for p in (e.peer for e in k.swim.table.values())},
-            "fleet": {p.id: "draining" if p.draining else "ready" for p in k.fleet.posts.values()},
-            "counts": {id: k.counts.count(id, now) for id in k.fleet.posts},
+            "fleet": {p.id: "draining" if p.draining else "ready" for p in k.backends.by_id.values()},
+            "counts": {id: k.in_flight.count(id, now) for id in k.backends.by_id},
             "ready": k.ready(),
-            "shares": {f"{s} {m}": f for s, ms in k.lines.figures().items() for m, f in ms.items()},
-            "divisor": k.crowd.divisor,
-            "relays": {r: "relay" for r in k.tier.relays},
-            "tier": k.serve.told(),
+            "shares": {f"{s} {m}": f for s, ms in k.queues.figures().items() for m, f in ms.items()},
+            "divisor": k.fleet_size.divisor,
+            "relays": {r: "relay" for r in k.relay_tier.relays},
+            "tier": k.relay_server.told(),
             "requests": self.outcomes.figures(),
             "isolation": self.up.isolation.fingerprints() if self.up.isolation else [],
             "runnersBeforeIsolation": k.lives_before_isolation(),
@@ -116,9 +116,9 @@
             connection.request_ended()
 
     async def _take(self, req):
-        now, k = monotonic(), self.know
+        now, k = monotonic(), self.router_state
         await k.wait_known(time_left(req.headers, self.up.bounds.contact))
-        policy = k.policy
+        policy = k.configuration
         if policy is None:
             return web.Response(status=503, headers={"Retry-After": NOT_KNOWN_YET})
         caps = policy.caps
@@ -127,10 +127,10 @@
         body, bad = await self._body(req, caps)
         if bad:
             return bad
-        route = k.policy.match(req.headers.get("Host", ""), req.raw_path.partition("?")[0])
+        route = k.configuration.match(req.headers.get("Host", ""), req.raw_path.partition("?")[0])
         if route is None:
             return web.Response(status=404)
-        ask = make(req, body, route, k.policy, now, k.lines.member(route), self.up.isolation)
+        ask = make(req, body, route, k.configuration, now, k.queues.member(route), self.up.isolation)
         return await self._forward(RequestForwarder(k, req, ask, lambda: self.stopping))
 
     async def _forward(self, forwarding):
--- a/sparloom/router/in_flight_gossip.py
+++ b/sparloom/router/in_flight_gossip.py
@@ -20,15 +20,15 @@
 class InFlightGossip:
     """Words about calls in flight and about long prompts, both ways."""
 
-    def __init__(self, know):
-        self.know = know
-        self.life, self.said = int.from_bytes(os.urandom(7)), None
-        self.sums = InFlightAggregator(know.key, self.life, know.up.bounds.contact)
+    def __init__(self, state):
+        self.state = state
+        self.instance_id, self.said = int.from_bytes(os.urandom(7)), None
+        self.sums = InFlightAggregator(state.key, self.instance_id, state.settings.bounds.contact)
         self.reads, self.soon, self.timer = [], False, None
         self.fleet, self.shorts, self.tiered = None, {}, False
         self.seen, self.up = None, {}
 
-    def sent(self, post, parts):
+    def on_prompt_sent(self, post, parts):
         """A prompt went out: the other routers hear at once of its long parts."""
         reads = [PrefixPlacement(post.number, k, n) for k, n in parts if n >= LONG]
         if reads and self.tiered:
@@ -39,7 +39,7 @@
             self.reads += reads
             self._directly(0)
 
-    def was_read(self, slot):
+    def on_prefilled(self, slot):
         """A prompt has been read; a long one is told at the next beat."""
         self.soon = self.soon or slot.tokens >= LONG
         slot.read(slot.tokens)
@@ -47,58 +47,60 @@
     # -- words out ----------------------------------------------------------
     def _held(self):
         """What this router holds now, per runner."""
-        k, now = self.know, monotonic()
-        posts = k.fleet.posts
+        k, now = self.state, monotonic()
+        posts = k.backends.by_id
         return [
             InFlightReport(
                 posts[id].number,
                 min(n, 0xFFFF),
-                min(k.counts.weight.get(id, 0), 0xFFFFFFFF),
-                int(posts[id].silent > 0 and posts[id].doubted(now)),
+                min(k.in_flight.weight.get(id, 0), 0xFFFFFFFF),
+                int(posts[id].unresponsive_calls > 0 and posts[id].is_suspected(now)),
                 0,
                 0,
                 0,
             )
-            for id, n in k.counts.own.items()
+            for id, n in k.in_flight.own.items()
             if id in posts
         ]
 
-    def beat(self, turn):
+    def tick(self, turn):
         """Tells what is due; called some twenty times a second."""
-        k = self.know
-        was, self.tiered = self.tiered, k.tier.stands or self.sums.busy
-        if not k.tier.stands and (turn % 4 == 0 or self.soon):
+        k = self.state
+        was, self.tiered = self.tiered, k.relay_tier.stands or self.sums.busy
+        if not k.relay_tier.stands and (turn % 4 == 0 or self.soon):
             self._directly(turn)
         if self.tiered and turn % 20 == 0:
-            k.counts.called(self._up().items(), monotonic())
+            k.in_flight.called(self._up().items(), monotonic())
         if self.tiered or was:
             self._through(was)
             if turn % (2 if self.sums.acting else 4) == 0 or not self.tiered:
                 self._take_view(monotonic())
 
     def _directly(self, turn):
-        k, held = self.know, self._held()
+        k, held = self.state, self._held()
         if held == self.said and turn % 20 and not self.reads:
             return
         self.said, self.soon = held, False
         rec, self.reads = (
-            InFlightUpdate(k.key, self.life, self.sums.word(monotonic()), k.crowd.divisor, held, self.reads),
+            InFlightUpdate(
+                k.key, self.instance_id, self.sums.word(monotonic()), k.fleet_size.divisor, held, self.reads
+            ),
             [],
         )
-        k.net.send(tuple(self._up()), rec)
+        k.datagrams.send(tuple(self._up()), rec)
 
     def _through(self, was):
-        k, now, up = self.know, monotonic(), self._up()
+        k, now, up = self.state, monotonic(), self._up()
         if not was:
-            for key, p in k.counts.peers.items():
+            for key, p in k.in_flight.peers.items():
                 self.sums.hear_direct(
                     p.heard,
                     key,
                     p.life,
                     p.seq,
-                    {short(k.fleet.posts[id].number): v for id, v in p.held.items() if id in k.fleet.posts},
+                    {short(k.backends.by_id[id].number): v for id, v in p.held.items() if id in k.backends.by_id},
                 )
-        self.sums.see(now, k.tier, up, k.follow.upstream.parent)
+        self.sums.see(now, k.relay_tier, up, k.feed_client.upstream.parent)
         self._note(now)
         self._send(now)
         self.soon = False
@@ -107,12 +109,12 @@
         self.sums.note(
             now,
             {short(h.resource): (h.calls, h.tokens, h.silent, h.good, h.bad, h.blamers) for h in self._held()},
-            self.know.crowd.divisor,
+            self.state.fleet_size.divisor,
         )
 
     def _send(self, now):
         for s in self.sums.beat(now):
-            self.know.net.send(s.to, s.rec)
+            self.state.datagrams.send(s.to, s.rec)
 
     def _hurry(self):
         """Long prompts do not wait for the next beat."""
@@ -135,33 +137,33 @@
         return asyncio.get_running_loop().call_later(wait.total_seconds(), fn)
 
     def _up(self):
-        swim = self.know.swim
+        swim = self.state.swim
         if self.seen != swim.version:
             self.seen, self.up = swim.version, {p.key: p.life for p in swim.alive() if p.role == ROUTER}
         return self.up
 
     def _take_view(self, now):
         """What the tier told becomes what the counts say of the others."""
-        k = self.know
-        if self.fleet is not k.fleet:
-            self.fleet, self.shorts = k.fleet, {}
-            for p in k.fleet.posts.values():
+        k = self.state
+        if self.fleet is not k.backends:
+            self.fleet, self.shorts = k.backends, {}
+            for p in k.backends.by_id.values():
                 self.shorts.setdefault(short(p.number), []).append(p.id)
-        view = self.sums.view(now, [key for key, p in k.counts.peers.items() if now - p.heard <= k.counts.stale])
-        k.counts.shared = None if view is None else {id: v for s, v in view.items() for id in self.shorts.get(s, ())}
+        view = self.sums.view(now, [key for key, p in k.in_flight.peers.items() if now - p.heard <= k.in_flight.stale])
+        k.in_flight.shared = None if view is None else {id: v for s, v in view.items() for id in self.shorts.get(s, ())}
 
     def _saw(self, reads):
-        fleet = self.know.fleet
+        fleet = self.state.backends
         for r in reads:
-            if r.resource in fleet.numbers:
-                fleet.posts[fleet.numbers[r.resource]].kept.saw(((r.part, r.tokens),))
+            if r.resource in fleet.ids_by_number:
+                fleet.by_id[fleet.ids_by_number[r.resource]].cached.saw(((r.part, r.tokens),))
 
     # -- words in -------------------------------------------------------------
     @singledispatchmethod
-    def hear(self, rec, src):
+    def on_message(self, rec, src):
         """Takes another router's word; one of a life that is known gone tells nothing."""
         now = monotonic()
-        if not self.know.swim.holds(rec.key, rec.life):
+        if not self.state.swim.holds(rec.key, rec.life):
             return
         self.sums.hear(now, rec)
         self._saw(rec.reads)
@@ -169,12 +171,12 @@
             self._take_view(now)
         self._hurry()
 
-    @hear.register
+    @on_message.register
     def _(self, rec: InFlightUpdate, src):
-        k, now = self.know, monotonic()
+        k, now = self.state, monotonic()
         if not k.swim.holds(rec.key, rec.life):
             return
-        k.counts.hear(rec, now, k.fleet.numbers)
+        k.in_flight.hear(rec, now, k.backends.ids_by_number)
         if self.tiered:
             self.sums.hear_direct(
                 now,
@@ -185,16 +187,16 @@
             )
         self._saw(rec.reads)
 
-    def gone(self, key, life):
+    def on_departed(self, key, life):
         """A router's lives, all but one, are known gone: they hold nothing any more."""
-        self.know.counts.drop(key, life)
+        self.state.in_flight.drop(key, life)
         self.sums.gone(key, life)
 
-    def crowds(self):
+    def known_fleet_sizes(self):
         """What the others divide by, as far as they told; a newcomer waits for its first total."""
-        k, now, up = self.know, monotonic(), self._up()
-        if k.counts.shared is not None:
+        k, now, up = self.state, monotonic(), self._up()
+        if k.in_flight.shared is not None:
             return self.sums.crowds(now)
-        told = {key: p.crowd for key, p in k.counts.peers.items() if key in up}
-        waits = self.tiered and now - k.born < k.up.bounds.contact
+        told = {key: p.crowd for key, p in k.in_flight.peers.items() if key in up}
+        waits = self.tiered and now - k.started_at < k.settings.bounds.contact
         return told | {"": 0} if waits else told
--- a/sparloom/router/inactivity_timer.py
+++ b/sparloom/router/inactivity_timer.py
@@ -26,7 +26,7 @@
     def heard(self):
         """A sign came. Nothing is waited for until it is armed again."""
         if self.quiet:
-            self.post.clear()
+            self.post.record_success()
         self.stop()
 
     def stop(self):
@@ -34,7 +34,7 @@
         self._cancel()
         if self.quiet:
             self.quiet = False
-            self.post.silent -= 1
+            self.post.unresponsive_calls -= 1
 
     def _cancel(self):
         if self.timer:
@@ -45,7 +45,7 @@
         self.slot.timed_out = True
         if not self.quiet:
             self.quiet = True
-            self.post.silent += 1
+            self.post.unresponsive_calls += 1
             self.strike_span(self.post)
         self.arm()
         self.on_silence()
--- a/sparloom/router/program.py
+++ b/sparloom/router/program.py
@@ -23,11 +23,11 @@
         super().__init__()
         self.up, self.path = up, path
         self.watch = FileWatch(path)
-        self.know = RouterState(up)
-        self.front = Frontend(up, self.know)
+        self.router_state = RouterState(up)
+        self.front = Frontend(up, self.router_state)
 
     async def on_start(self):
-        await self.add_runtime_dependency(self.know)
+        await self.add_runtime_dependency(self.router_state)
         await self.add_runtime_dependency(self.front)
         if report_interval():
             await self.add_runtime_dependency(MetricsReporter(self.up.node, report_interval()))
@@ -43,10 +43,10 @@
 
     def use(self, up):
         """Goes by other checked settings from now on."""
-        self.know.note_isolation(up.isolation)
-        self.up = self.know.up = self.front.up = up
-        if self.know.swim is not None:
-            self.know.swim.seeds = self.know.seeds
+        self.router_state.note_isolation(up.isolation)
+        self.up = self.router_state.settings = self.front.up = up
+        if self.router_state.swim is not None:
+            self.router_state.swim.seeds = self.router_state.seeds
 
     @Service.task
     async def _watch(self):
--- a/sparloom/router/relay_server.py
+++ b/sparloom/router/relay_server.py
@@ -18,25 +18,25 @@
     turn followers away at once, so that they go on to the next one.
     """
 
-    def __init__(self, know, follow):
+    def __init__(self, state, feed_client):
         super().__init__()
-        self.know, self.follow = know, follow
-        con = know.up.bounds.contact
+        self.router_state, self.feed_client = state, feed_client
+        con = state.settings.bounds.contact
         self.pulse, self.patience = con / 10, con / 3
         self.server, self.followers = None, {}
 
     @property
     def shelf(self):
         """What is served: what this router itself has."""
-        return self.follow.shelf
+        return self.feed_client.shelf
 
     @property
     def bell(self):
         """Rings at news and at each pulse from above."""
-        return self.follow.bell
+        return self.feed_client.bell
 
     async def on_start(self):
-        up = self.know.up
+        up = self.router_state.settings
         try:
             self.server = await asyncio.start_server(self._pipe, sock=bind(Address(up.ip, up.router_port)))
         except OSError:
@@ -50,7 +50,7 @@
 
     def open(self):
         """Whether followers are served."""
-        return self.follow.upstream.serves() and not self.should_stop
+        return self.feed_client.upstream.serves() and not self.should_stop
 
     def period(self):
         """How long a follower waits for a pulse when none comes from above."""
@@ -58,11 +58,11 @@
 
     def newest_policy(self):
         """The stamp of the newest policy that this router has or has heard of."""
-        return self.follow.newest_policy()
+        return self.feed_client.newest_policy()
 
     def pulse_age(self):
         """ms since the primary was confirmed, as known here; it grows while this router is cut off."""
-        age = self.follow.upstream.tracker.known(monotonic())
+        age = self.feed_client.upstream.tracker.known(monotonic())
         return UNCONFIRMED if age is None else min(UNCONFIRMED - 1, int(age / MS))
 
     async def _pipe(self, reader, writer):
@@ -70,7 +70,7 @@
         try:
             async with asyncio.timeout(self.patience.total_seconds()):
                 first = await frames.read()
-            if isinstance(first, Subscribe) and self.open() and len(self.followers) < self.follow.upstream.room():
+            if isinstance(first, Subscribe) and self.open() and len(self.followers) < self.feed_client.upstream.room():
                 self.followers[frames] = first.node
                 await serve_follower(frames, first.place, self)
         except (OSError, EOFError, DecodeError, TimeoutError, asyncio.CancelledError):
@@ -81,7 +81,7 @@
 
     def told(self):
         """This router's place in the tier, for its beliefs."""
-        up, now = self.follow.upstream, monotonic()
+        up, now = self.feed_client.upstream, monotonic()
         age = up.tracker.known(now)
         return {
             "follows": up.parent,
--- a/tests/isolation/test_isolation.py
+++ b/tests/isolation/test_isolation.py
@@ -145,13 +145,13 @@
             self.assertNotEqual(one.fingerprints(), self.read(other).unwrap().isolation.fingerprints())
 
     def test_runners_that_are_older_than_a_change_are_counted(self):
-        know = RouterState(self.read({"key": KEY}).unwrap())
-        know.fleet = SimpleNamespace(posts={"i-1": None, "i-2": None})
-        know.note_isolation(know.up.isolation)
-        self.assertEqual(know.lives_before_isolation(), 0)
-        know.note_isolation(self.read({"key": KEY, "division": "2"}).unwrap().isolation)
-        know.fleet = SimpleNamespace(posts={"i-2": None, "i-3": None})
-        self.assertEqual(know.lives_before_isolation(), 1)
+        state = RouterState(self.read({"key": KEY}).unwrap())
+        state.backends = SimpleNamespace(by_id={"i-1": None, "i-2": None})
+        state.note_isolation(state.settings.isolation)
+        self.assertEqual(state.lives_before_isolation(), 0)
+        state.note_isolation(self.read({"key": KEY, "division": "2"}).unwrap().isolation)
+        state.backends = SimpleNamespace(by_id={"i-2": None, "i-3": None})
+        self.assertEqual(state.lives_before_isolation(), 1)
 
 
 class Routers(unittest.IsolatedAsyncioTestCase):
@@ -197,7 +197,8 @@
         async with Rig(8, ROUTES, APART) as rig:
             for number in range(30):
                 allowed = {
-                    r.id for r in rig.up.isolation.allowed("a", (f"{number:x}",), list(rig.know.fleet.posts.values()))
+                    r.id
+                    for r in rig.up.isolation.allowed("a", (f"{number:x}",), list(rig.state.backends.by_id.values()))
                 }
                 for runner in rig.runners:
                     runner.script = ["shed"]
@@ -207,7 +208,10 @@
 
     async def test_no_id_of_a_part_is_told_in_the_clear(self):
         async with Rig(3, ROUTES, APART) as rig:
-            with mock.patch.object(rig.know.tell, "sent") as told, mock.patch.object(rig.know.prefixes, "sent") as left:
+            with (
+                mock.patch.object(rig.state.gossip, "on_prompt_sent") as told,
+                mock.patch.object(rig.state.prefix_recall, "on_prompt_sent") as left,
+            ):
                 for number in range(8):
                     await self.ask(rig, "a", f"{number:x}:2000,b{number}:5")
             plain = {parse_parts(f"{number:x}:2000")[0][0] for number in range(8)}
@@ -217,11 +221,11 @@
 
     async def test_members_of_other_settings_are_known_at_once(self):
         async with Rig(2, ROUTES, APART) as rig:
-            mine = rig.know.policy.match("a.example", "/once/x")
-            self.assertEqual(rig.know.lines.member(mine), "a")
+            mine = rig.state.configuration.match("a.example", "/once/x")
+            self.assertEqual(rig.state.queues.member(mine), "a")
             renamed = {"z": MEMBERS["a"], "b": MEMBERS["b"]}
-            rig.know.up = from_dict({**APART, "members": renamed}).unwrap()
-            self.assertEqual(rig.know.lines.member(mine), "z")
+            rig.state.settings = from_dict({**APART, "members": renamed}).unwrap()
+            self.assertEqual(rig.state.queues.member(mine), "z")
 
 
 class Rivals(unittest.TestCase):
--- a/tests/load_balancing/test_rank.py
+++ b/tests/load_balancing/test_rank.py
@@ -100,12 +100,12 @@
 
     async def test_a_runner_is_warm_while_a_connection_rests(self):
         async with Rig(1) as rig:
-            post = next(iter(rig.know.fleet.posts.values()))
-            self.assertFalse(post.warm())
+            post = next(iter(rig.state.backends.by_id.values()))
+            self.assertFalse(post.has_idle_connection())
             await rig.send("/once/x")
-            self.assertTrue(post.warm())
-            post.session.connector._keepalive_timeout = 0.0
-            self.assertFalse(post.warm())
+            self.assertTrue(post.has_idle_connection())
+            post.client_session.connector._keepalive_timeout = 0.0
+            self.assertFalse(post.has_idle_connection())
 
 
 class Start(unittest.TestCase):
--- a/tests/prefix_cache/test_memory.py
+++ b/tests/prefix_cache/test_memory.py
@@ -20,47 +20,47 @@
 def router(controllers=(A, B)):
     """A router that knows two runners and some controllers; gives its memory and what it sends."""
     out = []
-    know = SimpleNamespace(
+    state = SimpleNamespace(
         key="10.0.9.9:7",
         seeds=(A, B),
-        known=asyncio.Event(),
-        up=SimpleNamespace(zone="z", bounds=SimpleNamespace(contact=timedelta(seconds=3))),
+        prefixes_known=asyncio.Event(),
+        settings=SimpleNamespace(zone="z", bounds=SimpleNamespace(contact=timedelta(seconds=3))),
         swim=SimpleNamespace(alive=lambda: [SimpleNamespace(role=CONTROLLER, zone="y", key=c) for c in controllers]),
-        net=SimpleNamespace(send=lambda to, rec: out.append((to, rec))),
-        fleet=SimpleNamespace(
-            numbers={7: "i7", 8: "i8"},
-            posts={i: SimpleNamespace(number=n, kept=CachedPrefixes(9000)) for i, n in (("i7", 7), ("i8", 8))},
+        datagrams=SimpleNamespace(send=lambda to, rec: out.append((to, rec))),
+        backends=SimpleNamespace(
+            ids_by_number={7: "i7", 8: "i8"},
+            by_id={i: SimpleNamespace(number=n, cached=CachedPrefixes(9000)) for i, n in (("i7", 7), ("i8", 8))},
         ),
     )
-    return PrefixRecall(know), know, out
+    return PrefixRecall(state), state, out
 
 
 class Start(unittest.IsolatedAsyncioTestCase):
     async def test_first_requests_wait_until_all_have_answered(self):
-        p, know, out = router()
-        p.ask()
+        p, state, out = router()
+        p.request()
         self.assertEqual([(to, type(r)) for to, r in sorted(out, key=str)], [(A, PlacementQuery), (B, PlacementQuery)])
-        p.hear(A, PrefixPlacements([PrefixPlacement(7, 1, 2000)]))
-        self.assertFalse(know.known.is_set())
-        p.hear(B, PrefixPlacements([]))
-        self.assertTrue(know.known.is_set())
-        self.assertEqual(know.fleet.posts["i7"].kept.unread(((1, 2000),)), 0)
+        p.on_message(A, PrefixPlacements([PrefixPlacement(7, 1, 2000)]))
+        self.assertFalse(state.prefixes_known.is_set())
+        p.on_message(B, PrefixPlacements([]))
+        self.assertTrue(state.prefixes_known.is_set())
+        self.assertEqual(state.backends.by_id["i7"].cached.unread(((1, 2000),)), 0)
 
     async def test_one_that_is_silent_is_asked_again_and_waited_for_a_moment_only(self):
-        p, know, out = router()
-        know.up.bounds.contact = timedelta(milliseconds=30)
-        p.ask()
-        p.hear(A, PrefixPlacements([]))
+        p, state, out = router()
+        state.settings.bounds.contact = timedelta(milliseconds=30)
+        p.request()
+        p.on_message(A, PrefixPlacements([]))
         out.clear()
-        p.beat(4)
+        p.tick(4)
         self.assertEqual([to for to, _ in out], [B])
-        await asyncio.wait_for(know.known.wait(), 1)
+        await asyncio.wait_for(state.prefixes_known.wait(), 1)
 
     async def test_what_is_told_counts_as_older_and_never_fills_more_than_the_room(self):
-        p, know, _ = router()
-        kept = know.fleet.posts["i7"].kept
+        p, state, _ = router()
+        kept = state.backends.by_id["i7"].cached
         kept.saw(((1, 4000),))
-        p.hear(
+        p.on_message(
             A,
             PrefixPlacements(
                 [
@@ -74,17 +74,17 @@
         self.assertEqual((list(kept.parts), kept.used), ([2, 1], 7000))
 
     async def test_the_batch_goes_to_one_controller_once_a_second(self):
-        p, know, out = router()
-        p.sent(know.fleet.posts["i7"], ((1, 2000), (2, 10)))
-        p.sent(know.fleet.posts["i7"], ((1, 2000),))
+        p, state, out = router()
+        p.on_prompt_sent(state.backends.by_id["i7"], ((1, 2000), (2, 10)))
+        p.on_prompt_sent(state.backends.by_id["i7"], ((1, 2000),))
         for turn in range(1, 2 * TURNS + 1):
-            p.beat(turn)
+            p.tick(turn)
         self.assertEqual(out, [(A, PrefixPlacements([PrefixPlacement(7, 1, 2000)]))])
 
     async def test_with_no_controller_about_the_batch_is_kept(self):
-        p, know, out = router(())
-        p.sent(know.fleet.posts["i7"], ((1, 2000),))
-        p.beat(TURNS)
+        p, state, out = router(())
+        p.on_prompt_sent(state.backends.by_id["i7"], ((1, 2000),))
+        p.tick(TURNS)
         self.assertEqual((out, len(p.batch)), ([], 1))
 
 
--- a/tests/relay/test_relay_loopback.py
+++ b/tests/relay/test_relay_loopback.py
@@ -76,7 +76,7 @@
         """Gives the routers a tier by hand, whatever their number; no waiting for it to settle."""
         for k in (relay, *followers):
             k.see_tier = lambda: None
-            k.follow.upstream.see(
+            k.feed_client.upstream.see(
                 timedelta(0), RelayTier((relay.key, "127.0.0.250:1"), () if k is relay else (relay.key,), k is relay, 1)
             )
 
@@ -90,17 +90,20 @@
         await self.put({**ROUTES, "routes": [route(f"r{i}", f"/{i}/") for i in range(200)]})
         await self.until(lambda: all(k.ready() for k in self.knows))
         self.tier(relay, a, b)
-        await self.until(lambda: relay.serve.told()["followers"] == ["front-1", "front-2"])
-        self.assertEqual([k.serve.told()["depth"] for k in self.knows], [1, 2, 2])
-        self.assertLess(a.serve.told()["ageMs"], BOUND / 3 / timedelta(milliseconds=1))
-        got, taken = [], a.follow._take
-        a.follow._take = lambda c: (got.append(c), taken(c))[1]
+        await self.until(lambda: relay.relay_server.told()["followers"] == ["front-1", "front-2"])
+        self.assertEqual([k.relay_server.told()["depth"] for k in self.knows], [1, 2, 2])
+        self.assertLess(a.relay_server.told()["ageMs"], BOUND / 3 / timedelta(milliseconds=1))
+        got, taken = [], a.feed_client._take
+        a.feed_client._take = lambda c: (got.append(c), taken(c))[1]
         await self.put({**ROUTES, "revision": 2, "routes": [route(f"r{i}", f"/{i}/") for i in range(1, 201)]})
-        await self.until(lambda: all(k.policy.revision == 2 for k in self.knows))
+        await self.until(lambda: all(k.configuration.revision == 2 for k in self.knows))
         self.platform.entries[3]["state"] = "draining"
         del self.platform.entries[7]
         await self.until(
-            lambda: all(len(k.listed.runners) == 29 and any(r.draining for r in k.listed.runners) for k in self.knows)
+            lambda: all(
+                len(k.endpoint_list.runners) == 29 and any(r.draining for r in k.endpoint_list.runners)
+                for k in self.knows
+            )
         )
         self.assertTrue({CONFIGURATION, ENDPOINTS} <= {c.topic for c in got})
         for c in got:
@@ -108,41 +111,45 @@
             self.assertLess(len(c.blob), 400)
         late = await self.router(3)
         self.tier(relay, late)
-        await self.until(lambda: "front-3" in relay.serve.told()["followers"] and late.ready())
-        self.assertEqual(late.policy.revision, 2)
+        await self.until(lambda: "front-3" in relay.relay_server.told()["followers"] and late.ready())
+        self.assertEqual(late.configuration.revision, 2)
         self.assertEqual(
             decode_payload(CONFIGURATION, relay.shelf.items[CONFIGURATION].blob), self.ctl.shop.held(CONFIGURATION)
         )
         self.assertEqual(decode_payload(ENDPOINTS, relay.shelf.items[ENDPOINTS].blob), self.ctl.shop.held(ENDPOINTS))
-        self.assertEqual(encode_state(ENDPOINTS, late.listed), encode_state(ENDPOINTS, self.ctl.shop.held(ENDPOINTS)))
-        b.follow.raw = None
+        self.assertEqual(
+            encode_state(ENDPOINTS, late.endpoint_list), encode_state(ENDPOINTS, self.ctl.shop.held(ENDPOINTS))
+        )
+        b.feed_client.raw = None
         await self.put({**ROUTES, "revision": 3})
-        await self.until(lambda: all(k.policy.revision == 3 for k in self.knows))
+        await self.until(lambda: all(k.configuration.revision == 3 for k in self.knows))
         await relay.stop()
         self.knows.remove(relay)
         await self.put({**ROUTES, "revision": 4})
-        await self.until(lambda: all(k.policy.revision == 4 and k.serve.told()["depth"] == 1 for k in self.knows))
+        await self.until(
+            lambda: all(k.configuration.revision == 4 and k.relay_server.told()["depth"] == 1 for k in self.knows)
+        )
 
     async def test_a_follower_that_does_not_read_holds_up_nobody_and_is_dropped(self):
         relay, a = [await self.router(i) for i in range(2)]
         await self.put(ROUTES)
         await self.until(lambda: all(k.ready() for k in self.knows))
         self.tier(relay, a)
-        await self.until(lambda: relay.serve.told()["followers"] == ["front-1"])
-        relay.serve.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        relay.serve.patience = BOUND / 10
+        await self.until(lambda: relay.relay_server.told()["followers"] == ["front-1"])
+        relay.relay_server.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        relay.relay_server.patience = BOUND / 10
         _, deaf = await self.narrow(relay, "deaf")
         reader, slow = await self.narrow(relay, "slow")
         got = bytearray()
         sips = asyncio.ensure_future(self.sip(reader, got))
-        await self.until(lambda: {"deaf", "slow"} <= set(relay.serve.told()["followers"]))
+        await self.until(lambda: {"deaf", "slow"} <= set(relay.relay_server.told()["followers"]))
         await self.put(
             {**ROUTES, "revision": 2, "routes": [route(f"r{i}", f"/{i}/{os.urandom(800).hex()}") for i in range(400)]}
         )
-        await self.until(lambda: a.policy.revision == 2)
-        await self.until(lambda: relay.serve.told()["followers"] == ["front-1", "slow"])
+        await self.until(lambda: a.configuration.revision == 2)
+        await self.until(lambda: relay.relay_server.told()["followers"] == ["front-1", "slow"])
         await self.until(lambda: len(got) > 200_000)
-        self.assertIn("slow", relay.serve.told()["followers"])
+        self.assertIn("slow", relay.relay_server.told()["followers"])
         sips.cancel()
         for w in (deaf, slow):
             w.close()
@@ -151,7 +158,7 @@
         """A follower with small buffers that never reads by itself."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        sock.connect((relay.up.ip, relay.up.router_port))
+        sock.connect((relay.settings.ip, relay.settings.router_port))
         reader, writer = await asyncio.open_connection(sock=sock, limit=64)
         raw = pack(Subscribe(name, 0, 0, 0, 0))
         writer.write(len(raw).to_bytes(4) + raw)
--- a/tests/router/test_answers.py
+++ b/tests/router/test_answers.py
@@ -20,7 +20,7 @@
         self.failure, self.failed = failure, False
 
     def pipes(self, real):
-        """What to put in the place of ``Backend.pipes``."""
+        """What to put in the place of ``Backend.session``."""
         return lambda post: real(post) if self.failed else self
 
     def request(self, *args, **options):
@@ -39,7 +39,7 @@
             a = await self.rig.send("/once/x", id=f"s{i}")
             self.assertEqual((a.status, a.whole, len(self.got)), (200, True, i + 1))
             async with asyncio.timeout(2):
-                while any(p.warm() for p in self.rig.know.fleet.posts.values()):
+                while any(p.has_idle_connection() for p in self.rig.state.backends.by_id.values()):
                     await asyncio.sleep(0)
 
     async def test_a_refusal_counts_though_its_body_never_ends(self):
@@ -48,17 +48,17 @@
             self.script(word)
             a = await self.rig.send("/once/x")
             self.assertEqual((a.status, a.whole, len(self.got) - n), (200, True, 2))
-            for p in self.rig.know.fleet.posts.values():
-                p.clear()
+            for p in self.rig.state.backends.by_id.values():
+                p.record_success()
 
     async def test_a_connection_that_never_came_about_has_carried_nothing(self):
         for failure in (aiohttp.ConnectionTimeoutError(), aiohttp.ClientConnectorError(None, OSError())):
             first = FailsOnce(failure)
-            with mock.patch.object(Backend, "pipes", first.pipes(Backend.pipes)):
+            with mock.patch.object(Backend, "session", first.pipes(Backend.session)):
                 a = await self.rig.send("/unsafe/x")
             self.assertEqual((a.status, a.whole, first.failed), (200, True, True))
-            for p in self.rig.know.fleet.posts.values():
-                p.clear()
+            for p in self.rig.state.backends.by_id.values():
+                p.record_success()
 
     async def test_no_session_repeats_by_itself_nor_keeps_cookies(self):
         session = open_session(Connector())
@@ -88,7 +88,7 @@
             head = f"HTTP/1.1 {start}\r\nX-Sparloom-Attempt-Id: a1\r\nX-Sparloom-Runner-Seal: s\r\n{more}\r\n"
             for r in self.rig.runners:
                 r.raw = head.encode() + body
-                self.rig.know.fleet.posts[r.id].clear()
+                self.rig.state.backends.by_id[r.id].record_success()
             for path in ("/unsafe/x", "/once/x"):
                 with self.subTest(name, path=path):
                     self.script("raw")
@@ -121,8 +121,8 @@
             with mock.patch.object(InFlightCounts, "take", self.once(InFlightCounts.take)):
                 a = await self.rig.send(path)
             self.assertEqual((a.status, "retry-after" in a.heads), (status, status == 503))
-            for p in self.rig.know.fleet.posts.values():
-                p.clear()
+            for p in self.rig.state.backends.by_id.values():
+                p.record_success()
 
     @staticmethod
     def once(take):
@@ -166,13 +166,13 @@
         for i in range(25):
             path, id = rng.choice(("/once/", "/unsafe/", "/safe/", "/resume/", "/single/")), f"{name}-{i}"
             answers[id] = path, await self.rig.send(f"{path}x", id=id)
-            for post in self.rig.know.fleet.posts.values():
-                post.clear()
+            for post in self.rig.state.backends.by_id.values():
+                post.record_success()
 
     async def test_none_runs_twice_and_every_answer_is_ones_own(self):
         for seed, slots, clients in ((0, 8, 4), (1, 1, 10)):
             rng, answers = random.Random(seed), {}
-            for post in self.rig.know.fleet.posts.values():
+            for post in self.rig.state.backends.by_id.values():
                 post.slots = slots
             for r in self.rig.runners:
                 r.got, r.script = [], rng.choices(self.words, k=400)
--- a/tests/router/test_feed_client.py
+++ b/tests/router/test_feed_client.py
@@ -68,9 +68,9 @@
 class Router(ForeignRecords, Case):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.know = RouterState(self.up)
-        self.know.swim = Swim(Peer("me:1", ROUTER, "z1", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None)
-        self.follow = self.know.follow
+        self.state = RouterState(self.up)
+        self.state.swim = Swim(Peer("me:1", ROUTER, "z1", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None)
+        self.follow = self.state.feed_client
 
     async def start(self):
         """Follows the one that the test plays; gives the task and the connection."""
@@ -89,9 +89,9 @@
     async def test_a_fresh_pulse_does_not_make_an_old_policy_current(self):
         _, frames, _ = await self.start()
         await self.send(frames, policy(1, 5), runners(1, 1), self.pulse(1, 7))
-        self.assertFalse(self.know.sure)
+        self.assertFalse(self.state.confirmed)
         await self.send(frames, policy(1, 7), self.pulse(1, 7))
-        self.assertTrue(self.know.sure)
+        self.assertTrue(self.state.confirmed)
 
     async def test_nor_does_another_that_has_not_heard_of_the_newer_one(self):
         """A controller that started again knows less than this router has heard."""
@@ -103,7 +103,7 @@
         _, frames, greeting = await self.start()
         self.assertEqual(greeting.place, {CONFIGURATION: (1, 5), ENDPOINTS: (1, 1)})
         await self.send(frames, self.pulse(0, 0))
-        self.assertFalse(self.know.sure)
+        self.assertFalse(self.state.confirmed)
         self.assertEqual(self.follow.newest_policy(), (2, 1))
 
     async def test_a_deposed_primarys_changes_are_not_taken(self):
@@ -111,7 +111,7 @@
         await self.send(frames, policy(3, 7))
         await frames.write(policy(2, 9))
         await self.send(frames, self.pulse(2, 9))
-        self.assertEqual((self.know.policy.revision, self.follow.shelf.stamp(CONFIGURATION)), (7, (3, 7)))
+        self.assertEqual((self.state.configuration.revision, self.follow.shelf.stamp(CONFIGURATION)), (7, (3, 7)))
 
 
 class Controller(ForeignRecords, Case):
--- a/tests/router/test_frontend.py
+++ b/tests/router/test_frontend.py
@@ -39,8 +39,8 @@
                     self.script(word)
                     a = await self.rig.send(path)
                     self.assertEqual((a.status, len(self.got) - n), (502, 1))
-                    for p in self.rig.know.fleet.posts.values():
-                        p.clear()
+                    for p in self.rig.state.backends.by_id.values():
+                        p.record_success()
 
 
 class Passing(Case):
@@ -135,9 +135,9 @@
 
     async def test_an_idle_connection_is_kept_as_long_as_the_configuration_allows(self):
         for limit, kept in ((15000, 75), (200000, 200)):
-            self.rig.know.policy = build({**POLICY, "limits": {**POLICY["limits"], "idleTimeoutMs": limit}})
+            self.rig.state.configuration = build({**POLICY, "limits": {**POLICY["limits"], "idleTimeoutMs": limit}})
             self.assertEqual(self.rig.front.clients()().keepalive_timeout, kept)
-        self.rig.know.policy = None
+        self.rig.state.configuration = None
         self.assertEqual(self.rig.front.clients()().keepalive_timeout, 75)
 
     async def test_pipes_are_used_again(self):
@@ -148,10 +148,10 @@
 
 class TurningAway(Case):
     async def test_a_router_that_knows_nothing_yet_holds_no_request_past_its_deadline(self):
-        k = self.rig.know
-        k.policy = None
-        k.known.clear()
-        async with asyncio.timeout(k.up.bounds.contact.total_seconds() / 4):
+        k = self.rig.state
+        k.configuration = None
+        k.prefixes_known.clear()
+        async with asyncio.timeout(k.settings.bounds.contact.total_seconds() / 4):
             a = await self.rig.send("/once/x", left=20)
         self.assertEqual((a.status, "retry-after" in a.heads), (503, True))
 
@@ -183,15 +183,15 @@
         self.assertEqual(a.status, 400)
 
     async def test_no_runner_is_503_at_once_with_a_time_to_come_back(self):
-        self.rig.know.fleet = type(self.rig.know.fleet)()
+        self.rig.state.backends = type(self.rig.state.backends)()
         a = await self.rig.send("/once/x")
         self.assertEqual(a.status, 503)
         self.assertGreater(float(a.heads["retry-after"]), 0)
 
     async def test_past_the_last_bucket_nothing_is_sent(self):
-        k = self.rig.know
-        for p in k.fleet.posts.values():
-            k.counts.own[p.id] = 10**4
+        k = self.rig.state
+        for p in k.backends.by_id.values():
+            k.in_flight.own[p.id] = 10**4
         a = await self.rig.send("/once/x")
         self.assertEqual((a.status, self.got), (503, []))
         self.assertIn("retry-after", a.heads)
@@ -235,7 +235,7 @@
             self.assertFalse(a.whole)
 
     async def test_the_budget_bounds_further_arrivals(self):
-        b = self.rig.know.budget("s")
+        b = self.rig.state.budget("s")
         b.ratio = b.slack = 0
         self.script("shed")
         a = await self.rig.send("/once/x")
@@ -260,7 +260,7 @@
             await self.rig.send("/once/x")
         self.script("hang")
         await self.rig.send("/brief/x")
-        self.assertEqual(self.rig.know.counts.own, {})
+        self.assertEqual(self.rig.state.in_flight.own, {})
 
     async def test_a_requester_that_goes_frees_its_slot_and_its_runner(self):
         self.script("hang")
@@ -270,15 +270,15 @@
         )
         while not self.got:
             await asyncio.sleep(0)
-        self.assertEqual(sum(self.rig.know.counts.own.values()), 1)
+        self.assertEqual(sum(self.rig.state.in_flight.own.values()), 1)
         writer.close()
-        while self.rig.know.counts.own or not sum(r.dropped for r in self.rig.runners):
+        while self.rig.state.in_flight.own or not sum(r.dropped for r in self.rig.runners):
             await asyncio.sleep(0)
-        self.assertEqual(self.rig.know.counts.own, {})
+        self.assertEqual(self.rig.state.in_flight.own, {})
 
     async def test_every_attempt_goes_through_the_buckets(self):
         seen = []
-        self.rig.know.counts.hook = seen.append
+        self.rig.state.in_flight.hook = seen.append
         self.script("shed", "ok")
         await self.rig.send("/once/x")
         self.assertEqual([c.throttled for c in seen], [False, False])
--- a/tests/router/test_graceful_shutdown.py
+++ b/tests/router/test_graceful_shutdown.py
@@ -215,9 +215,9 @@
     def test_a_connection_rests_after_a_refusal_too(self):
         async def story():
             client = await self.client()
-            self.rig.know.policy, policy = None, self.rig.know.policy
+            self.rig.state.configuration, policy = None, self.rig.state.configuration
             self.assertEqual((await client.send("/once/x", "a1", pause=0.01)).status, 503)
-            self.rig.know.policy = policy
+            self.rig.state.configuration = policy
             self.assertEqual((await client.send("/none/", "a2", pause=0.01)).status, 404)
             self.assertEqual([c.resting for c in self.rig.front.client_server.connections], [True])
 
--- a/tests/router/test_hedging.py
+++ b/tests/router/test_hedging.py
@@ -29,7 +29,7 @@
                 if before:
                     before(self.rig)
                 answer = await self.rig.send(path, left=8000)
-                self.assertEqual(self.rig.know.counts.own, {})
+                self.assertEqual(self.rig.state.in_flight.own, {})
                 self.sent = [got.word for runner in self.rig.runners for got in runner.got]
                 return answer
 
@@ -56,8 +56,8 @@
 
     def test_no_room_elsewhere_leaves_it_where_it_is(self):
         def fill(rig):
-            for post in list(rig.know.fleet.posts.values())[1:]:
-                rig.know.counts.own[post.id] = 10**4
+            for post in list(rig.state.backends.by_id.values())[1:]:
+                rig.state.in_flight.own[post.id] = 10**4
 
         for word in ("late", "still"):
             with self.subTest(word=word):
@@ -103,11 +103,11 @@
                 client = await Client.connect("127.0.0.1", rig.port)
                 request = asyncio.ensure_future(client.send("/resume/x", "a1"))
                 await asyncio.sleep(1.2)
-                at_work = sum(rig.know.counts.own.values())
+                at_work = sum(rig.state.in_flight.own.values())
                 client.close()
                 request.cancel()
                 await asyncio.sleep(0.1)
-                return at_work, rig.know.counts.own, sum(runner.dropped for runner in rig.runners)
+                return at_work, rig.state.in_flight.own, sum(runner.dropped for runner in rig.runners)
 
         with world(1) as loop:
             self.assertEqual(loop.run_until_complete(asyncio.wait_for(story(), 60)), (2, {}, 2))
--- a/tests/router/test_in_flight_gossip.py
+++ b/tests/router/test_in_flight_gossip.py
@@ -25,7 +25,7 @@
     def send(self, to, rec):
         for t in (to,) if isinstance(to, str) else to:
             self.sent += 1
-            self.fleet.routers[t].tell.hear(rec, self.key)
+            self.fleet.routers[t].gossip.on_message(rec, self.key)
 
 
 class Routers:
@@ -38,16 +38,19 @@
                 {**STARTUP, "nodeName": f"front-{i}", "ipAddress": f"10.0.0.{i}", "zone": f"z{i % 3}"}
             ).unwrap()
             k = RouterState(up)
-            k.rng = random.Random(i)
+            k.random = random.Random(i)
             k.swim = Swim(
-                Peer(k.key, ROUTER, up.zone, "", k.tell.life, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), k.rng
+                Peer(k.key, ROUTER, up.zone, "", k.gossip.instance_id, 0, 0),
+                (),
+                SwimTiming.of(timedelta(seconds=3)),
+                k.random,
             )
-            k.net, k.listed = (
+            k.datagrams, k.endpoint_list = (
                 Net(k.key, self),
                 EndpointList([Endpoint(f"i-{r}", "s", f"10.1.0.{r}:1", "z0", 8, False, 0) for r in range(4)], n),
             )
-            k.tell.later = lambda wait, fn: None
-            k.fleet = k.fleet.renew(k.listed.runners, lambda s: 10**6)
+            k.gossip.later = lambda wait, fn: None
+            k.backends = k.backends.renew(k.endpoint_list.runners, lambda s: 10**6)
             self.routers[k.key] = k
         for k in self.routers.values():
             for o in self.routers.values():
@@ -62,7 +65,7 @@
                 if self.turn % 4 == 1:
                     k.count()
                     k.see_tier()
-                k.tell.beat(self.turn)
+                k.gossip.tick(self.turn)
 
 
 class Words(unittest.TestCase):
@@ -81,42 +84,46 @@
     def test_each_counts_the_calls_of_all(self):
         for n, tiered in ((4, False), (36, True)):
             ks = self.routers(n)
-            self.assertEqual({k.tier.stands for k in ks}, {tiered})
-            slots = [k.counts.take("i-1", OPEN, self.fleet.now, 64) for k in ks]
+            self.assertEqual({k.relay_tier.stands for k in ks}, {tiered})
+            slots = [k.in_flight.take("i-1", OPEN, self.fleet.now, 64) for k in ks]
             self.fleet.beat(12)
             self.assertEqual(
-                {(k.counts.count("i-1", self.fleet.now), k.counts.tokens("i-1", self.fleet.now)) for k in ks},
+                {(k.in_flight.count("i-1", self.fleet.now), k.in_flight.tokens("i-1", self.fleet.now)) for k in ks},
                 {(n, 64 * n)},
             )
             for s in slots[1:]:
                 s.free(self.fleet.now)
             self.fleet.beat(12)
-            self.assertEqual({k.counts.count("i-1", self.fleet.now) for k in ks}, {1})
-            self.assertEqual(sum(k.counts.count("i-2", self.fleet.now) for k in ks), 0)
+            self.assertEqual({k.in_flight.count("i-1", self.fleet.now) for k in ks}, {1})
+            self.assertEqual(sum(k.in_flight.count("i-2", self.fleet.now) for k in ks), 0)
 
     def test_long_parts_reach_all_within_two_beats(self):
         for n in (4, 36):
             ks = self.routers(n)
-            for k in (next(k for k in ks if not k.tier.relay), ks[-1], next((k for k in ks if k.tier.relay), ks[0])):
-                part = (k.rng.getrandbits(60), 5000)
-                k.tell.sent(k.fleet.posts["i-3"], (part, (1, 10)))
+            for k in (
+                next(k for k in ks if not k.relay_tier.relay),
+                ks[-1],
+                next((k for k in ks if k.relay_tier.relay), ks[0]),
+            ):
+                part = (k.random.getrandbits(60), 5000)
+                k.gossip.on_prompt_sent(k.backends.by_id["i-3"], (part, (1, 10)))
                 self.fleet.beat(2)
                 self.assertEqual(
-                    [o.key for o in ks if o is not k and part[0] not in o.fleet.posts["i-3"].kept.parts], []
+                    [o.key for o in ks if o is not k and part[0] not in o.backends.by_id["i-3"].cached.parts], []
                 )
 
     def test_the_divisor_comes_through(self):
         ks = self.routers(36)
-        self.assertEqual({k.crowd.divisor for k in ks}, {36})
-        self.assertEqual({min(k.tell.crowds().values()) for k in ks}, {36})
-        self.assertTrue(all(k.crowd.open for k in ks))
+        self.assertEqual({k.fleet_size.divisor for k in ks}, {36})
+        self.assertEqual({min(k.gossip.known_fleet_sizes().values()) for k in ks}, {36})
+        self.assertTrue(all(k.fleet_size.open for k in ks))
 
     def test_while_a_fleet_finds_itself_no_call_counts_twice(self):
         """Each learns of the others one by one: some have a tier when others have none."""
         self.fleet = Routers(30, known=False)
         ks, rng = self.fleet.all, random.Random(1)
         for k in ks:
-            k.counts.take("i-1", OPEN, self.fleet.now)
+            k.in_flight.take("i-1", OPEN, self.fleet.now)
         pairs = [(k, o) for k in ks for o in ks if o is not k]
         rng.shuffle(pairs)
         while pairs:
@@ -124,32 +131,33 @@
                 k.swim._learn(o.swim.me)
             del pairs[:40]
             self.fleet.beat(1)
-            self.assertLessEqual(max(k.counts.count("i-1", self.fleet.now) for k in ks), 30)
+            self.assertLessEqual(max(k.in_flight.count("i-1", self.fleet.now) for k in ks), 30)
         self.fleet.beat(80)
-        self.assertEqual({k.counts.count("i-1", self.fleet.now) for k in ks}, {30})
+        self.assertEqual({k.in_flight.count("i-1", self.fleet.now) for k in ks}, {30})
 
     def test_a_fleet_that_shrinks_goes_back_to_direct_words(self):
         ks = self.routers(30)
-        slots = [k.counts.take("i-1", OPEN, self.fleet.now) for k in ks]
+        slots = [k.in_flight.take("i-1", OPEN, self.fleet.now) for k in ks]
         self.fleet.beat(12)
         for k in ks[6:]:
             for o in ks[:6]:
-                o.swim._learn(Peer(k.key, ROUTER, k.up.zone, "", k.tell.life, 1, 2))
+                o.swim._learn(Peer(k.key, ROUTER, k.settings.zone, "", k.gossip.instance_id, 1, 2))
                 o._drop_ended()
         self.fleet.all = ks[:6]
         for _ in range(20):
             self.fleet.beat(4)
-            self.assertLessEqual(max(k.counts.count("i-1", self.fleet.now) for k in ks[:6]), 30)
+            self.assertLessEqual(max(k.in_flight.count("i-1", self.fleet.now) for k in ks[:6]), 30)
         self.assertEqual(
-            {(k.tier.stands, k.tell.tiered, k.counts.count("i-1", self.fleet.now)) for k in ks[:6]}, {(False, False, 6)}
+            {(k.relay_tier.stands, k.gossip.tiered, k.in_flight.count("i-1", self.fleet.now)) for k in ks[:6]},
+            {(False, False, 6)},
         )
         self.assertEqual(len(slots), 30)
 
     def test_datagrams_are_a_quarter_of_those_without_a_tier(self):
         ks = self.routers(72)
-        before = sum(k.net.sent for k in ks)
+        before = sum(k.datagrams.sent for k in ks)
         for t in range(20):
             for k in ks:
-                k.counts.take(f"i-{t % 4}", OPEN, self.fleet.now)
+                k.in_flight.take(f"i-{t % 4}", OPEN, self.fleet.now)
             self.fleet.beat(1)
-        self.assertLess(sum(k.net.sent for k in ks) - before, 72 * 71 * 5 / 4)
+        self.assertLess(sum(k.datagrams.sent for k in ks) - before, 72 * 71 * 5 / 4)
--- a/tests/router/test_reconfigured.py
+++ b/tests/router/test_reconfigured.py
@@ -57,14 +57,14 @@
             return loop.run_until_complete(asyncio.wait_for(story(), 60))
 
     def renew(self, change, runners_too):
-        know = self.rig.know
-        know.policy = build({**CHANGES[change], "revision": 2})
+        state = self.rig.state
+        state.configuration = build({**CHANGES[change], "revision": 2})
         if runners_too:
             runner = self.rig.runners[1]
             kept = [Listed(runner.id, "s", f"127.0.0.1:{runner.port}", "z1", 8, False, 0)]
-            know.listed = EndpointList(kept, 1)
-        know.renew()
-        know.lines.tick()
+            state.endpoint_list = EndpointList(kept, 1)
+        state.renew()
+        state.queues.tick()
 
     def check(self, path, ends):
         for change, word, moment, runners_too in STORIES:
--- a/tests/support/router_fixture.py
+++ b/tests/support/router_fixture.py
@@ -75,15 +75,17 @@
 
     async def __aenter__(self):
         self.runners = [await Runner(id=f"i-{i}").start() for i in range(self.n)]
-        self.know = k = RouterState(self.up)
-        k.born = monotonic() - timedelta(minutes=1)
-        k.rng = random.Random(1)
-        k.swim = Swim(Peer("me:1", ROUTER, "z1", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), k.rng)
-        k.net = Deaf()
-        k.policy, k.sure = build(self.policy), True
-        k.listed = EndpointList([Listed(r.id, "s", f"127.0.0.1:{r.port}", "z1", 8, False, 0) for r in self.runners], 1)
-        k.fleet = BackendTable().renew(k.listed.runners, lambda s: 10000)
-        k.known.set()
+        self.state = k = RouterState(self.up)
+        k.started_at = monotonic() - timedelta(minutes=1)
+        k.random = random.Random(1)
+        k.swim = Swim(Peer("me:1", ROUTER, "z1", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), k.random)
+        k.datagrams = Deaf()
+        k.configuration, k.confirmed = build(self.policy), True
+        k.endpoint_list = EndpointList(
+            [Listed(r.id, "s", f"127.0.0.1:{r.port}", "z1", 8, False, 0) for r in self.runners], 1
+        )
+        k.backends = BackendTable().renew(k.endpoint_list.runners, lambda s: 10000)
+        k.prefixes_known.set()
         self.front = Frontend(self.up, k)
         await self.front.serve_clients(bind(Address("127.0.0.1", 0)))
         self.port = self.front.client_runner.addresses[0][1]
@@ -93,9 +95,9 @@
         for r in self.runners:
             await r.stop()
         await self.front.on_stop()
-        for p in self.know.fleet.posts.values():
-            if p.session:
-                await p.session.close()
+        for p in self.state.backends.by_id.values():
+            if p.client_session:
+                await p.client_session.close()
 
     async def send(self, path, body=b"hello", heads=(), method="POST", id="a1", left=2000, raw=None):
         """One request on a pipe of its own; the raw answer till the close."""
--- a/tests/transport/test_dialing.py
+++ b/tests/transport/test_dialing.py
@@ -62,7 +62,7 @@
         up = from_dict(STARTUP).unwrap()
 
         def follow():
-            follower = RouterState(up).follow
+            follower = RouterState(up).feed_client
             return lambda: follower._from("127.0.0.1:1")
 
         await self.check(up.bounds.contact, follow)
