--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -68,11 +68,11 @@
         self.slot = choice.slot
         self.response: aiohttp.ClientResponse | None = None
         self.connected = True
-        self.backend.open += 1
+        self.backend.open_calls += 1
         self.inactivity = InactivityTimer(self.backend, self.slot, lambda: self._suspect(UNRESPONSIVE), on_unresponsive)
 
     def _suspect(self, part: float) -> None:
-        self.backend.strike(monotonic(), self._state.up.bounds.contact * part)
+        self.backend.record_failure(monotonic(), self._state.settings.bounds.contact * part)
 
     async def open(self, last_event_id: str | None) -> Verdict | None:
         """Send the request; None once a head has come that may be relayed, else the verdict."""
@@ -91,7 +91,7 @@
     async def _send(self, last_event_id: str | None) -> aiohttp.ClientResponse:
         request = self._request
         connect_timeout = max(MINIMUM_CONNECT_TIMEOUT_S, request.route.target.total_seconds() * CONNECT_TIMEOUT_PART)
-        return await self.backend.pipes().request(
+        return await self.backend.session().request(
             request.method,
             url_for(self.backend.address, request.path),
             data=request.body or None,
@@ -110,7 +110,7 @@
         head = response_head(response, self._request.attempt_id)
         verdict, may_relay = judge_head(head)
         if "Keep-Alive" in response.headers and head.belongs:
-            self.backend.heed(response.headers["Keep-Alive"])
+            self.backend.apply_keep_alive(response.headers["Keep-Alive"])
         if verdict is NOT_RUN:
             self._suspect(OTHER_INSTANCE if response.status == MISDIRECTED else REJECTED)
             await self._drain_rejection(response)
@@ -118,7 +118,7 @@
         if not may_relay:
             response.close()
             return MAY_HAVE_RUN
-        self.backend.clear()
+        self.backend.record_success()
         return None
 
     async def _drain_rejection(self, response: aiohttp.ClientResponse) -> None:
@@ -135,5 +135,5 @@
         if self.response is not None:
             self.response.release()
         if self.slot.open:
-            self.backend.open -= 1
+            self.backend.open_calls -= 1
             self.slot.free(monotonic())
--- a/sparloom/router/backend_choice.py
+++ b/sparloom/router/backend_choice.py
@@ -54,7 +54,7 @@
     split = request.route.split
     if len(split) == 1:
         return split[0][0]
-    remaining = state.rng.random() * sum(weight for _, weight in split)
+    remaining = state.random.random() * sum(weight for _, weight in split)
     for name, weight in split:
         remaining -= weight
         if remaining < 0 and weight > 0:
@@ -81,8 +81,8 @@
 
     def eligible(self) -> tuple[Backend, ...]:
         """Return the backends that may serve the request; fewer where members' prompts are isolated."""
-        backends = self._state.fleet.of(self.service)
-        isolation = self._state.up.isolation
+        backends = self._state.backends.of(self.service)
+        isolation = self._state.settings.isolation
         if isolation is None:
             return backends
         cached = self._eligible
@@ -102,13 +102,13 @@
         """
         now = monotonic()
         backends = {backend.id: backend for backend in self.eligible()}
-        connection_limits = self._state.lines.connections(self.service)
+        connection_limits = self._state.queues.connections(self.service)
         count_event("weighed runners", len(backends))
         candidates = [self._candidate(backend, now) for backend in backends.values()]
         shared_tokens = sum(tokens for _, tokens in self._request.shared_parts)
         for candidate in choose(candidates, shared_tokens):
             backend = backends[candidate.id]
-            if backend.id in self.tried or backend.open >= connection_limits[backend.id]:
+            if backend.id in self.tried or backend.open_calls >= connection_limits[backend.id]:
                 continue
             choice = self._take_slot(backend, candidate.unread, now, reserved)
             if choice is not None:
@@ -118,37 +118,37 @@
         return None
 
     def _candidate(self, backend: Backend, now: timedelta) -> Candidate:
-        counts = self._state.counts
+        in_flight = self._state.in_flight
         return Candidate(
             backend.id,
-            backend.kept.unread(self._request.parts),
-            counts.tokens(backend.id, now),
-            counts.count(backend.id, now),
+            backend.cached.unread(self._request.parts),
+            in_flight.tokens(backend.id, now),
+            in_flight.count(backend.id, now),
             backend.slots,
-            backend.cold,
+            backend.warming_up,
             self._penalty(backend, now),
-            backend.zone == self._state.up.zone,
-            backend.warm(),
+            backend.zone == self._state.settings.zone,
+            backend.has_idle_connection(),
             rendezvous_weight(self._request.affinity_key, backend.number),
         )
 
     def _penalty(self, backend: Backend, now: timedelta) -> int:
         return (
-            SUSPECTED_HERE * backend.doubted(now)
-            + UNRESPONSIVE_FOR_PEERS * (self._state.counts.silent(backend.id, now) > 0)
+            SUSPECTED_HERE * backend.is_suspected(now)
+            + UNRESPONSIVE_FOR_PEERS * (self._state.in_flight.silent(backend.id, now) > 0)
             + ALREADY_TRIED * (backend.id in self.tried)
         )
 
     def _take_slot(self, backend: Backend, prefill_tokens: int, now: timedelta, reserved: bool) -> BackendChoice | None:
         buckets = buckets_for(self._request.route, backend.slots, reserved)
-        slot = self._state.counts.take(backend.id, buckets, now, prefill_tokens)
+        slot = self._state.in_flight.take(backend.id, buckets, now, prefill_tokens)
         if slot is None:
             return None
-        return BackendChoice(backend, slot, is_heavy_prefill(prefill_tokens, backend.kept.room, backend.slots))
+        return BackendChoice(backend, slot, is_heavy_prefill(prefill_tokens, backend.cached.room, backend.slots))
 
     def _announce_prompt(self, backend: Backend) -> None:
         """Note that the backend will have the prompt cached, here, at the other routers and at a controller."""
         shared = self._request.shared_parts
-        backend.kept.saw(self._request.parts)
-        self._state.tell.sent(backend, shared)
-        self._state.prefixes.sent(backend, shared)
+        backend.cached.saw(self._request.parts)
+        self._state.gossip.on_prompt_sent(backend, shared)
+        self._state.prefix_recall.on_prompt_sent(backend, shared)
--- a/sparloom/router/client_connections.py
+++ b/sparloom/router/client_connections.py
@@ -1,88 +1,107 @@
-"""Clients' connections: which of them rest, how long they may, and how they end."""
+"""Clients' connections: which of them rest, for how long they may be idle, and how they are closed."""
+
+from __future__ import annotations
 
 import asyncio
 from datetime import timedelta
+from typing import TYPE_CHECKING
 
 from aiohttp import web
 
 from sparloom.transport import monotonic
 
-# A connection is kept at least so long, whatever the configuration allows.
-LEAST_IDLE = timedelta(seconds=75)
-OPTIONS = {"max_field_size": 65536, "max_line_size": 65536}
-# The library's own bound is fixed when a connection opens, so it is set out of reach.
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable
+
+# A connection is kept for at least so long, whatever the configuration allows.
+MINIMUM_IDLE_TIMEOUT = timedelta(seconds=75)
+# The library's own limits on bytes, above the largest that a configuration may set.
+PARSER_LIMITS = {"max_field_size": 65536, "max_line_size": 65536}
+# The library's own idle time-out is fixed when a connection opens, so it is set out of reach.
 LIBRARY_KEEPALIVE_S = 1e6
 # Attributes of the library that have no public name.
-_NEEDED = {"_waiter", "_messages"}
+_REQUIRED_SLOTS = {"_waiter", "_messages"}
 
 
-class ClientConnection(web.RequestHandler):
+class ClientConnection(web.RequestHandler):  # type: ignore[type-arg]  # the class takes no parameter at run time
     """One client's connection.
 
-    ``touched``: when it last did something. ``partial``: a part of a request's
-    head came while none was in hand.
+    Attributes
+    ----------
+    last_active_at: when bytes came or a response was made, on the monotonic clock.
+    partial: whether a part of a request's head has come while no request was in hand.
     """
 
-    __slots__ = ("partial", "touched")
+    __slots__ = ("last_active_at", "partial")
 
-    def __init__(self, server):
+    def __init__(self, server: ClientServer) -> None:
         super().__init__(
             server,
             loop=asyncio.get_running_loop(),
             access_log=None,
             keepalive_timeout=LIBRARY_KEEPALIVE_S,
-            **OPTIONS,
+            **PARSER_LIMITS,
         )
-        self.partial, self.touched = False, monotonic()
+        self.partial = False
+        self.last_active_at = monotonic()
 
     @property
-    def keepalive_timeout(self):
-        """For how many seconds it may be idle, by the configuration of this moment."""
-        return self._manager.idle_bound().total_seconds()
+    def keepalive_timeout(self) -> float:
+        """For how many seconds it may be idle, by the configuration in force."""
+        return self._manager.idle_timeout().total_seconds()
 
     @property
-    def resting(self):
+    def resting(self) -> bool:
         """Whether no request is in hand here, and none of which a part has been read."""
-        return self._waits and not self.partial
+        return self._awaits_request and not self.partial
 
     @property
-    def _waits(self):
-        """Whether the next request is waited for, and none has come."""
+    def _awaits_request(self) -> bool:
+        """Whether the library waits for the next request and has none in its queue."""
         return self._waiter is not None and not self._waiter.done() and not self._messages
 
-    def data_received(self, data):
-        """Bytes came; where still no request is in hand, they are a part of one."""
+    def data_received(self, data: bytes) -> None:
+        """Take bytes; where still no request is in hand, they are a part of one."""
         super().data_received(data)
-        self.touched = monotonic()
-        self.partial = self._waits
+        self.last_active_at = monotonic()
+        self.partial = self._awaits_request
 
-    def request_ended(self):
-        """Its answer is made."""
-        self.touched = monotonic()
+    def request_ended(self) -> None:
+        """Note that the response to the request in hand has been made."""
+        self.last_active_at = monotonic()
 
 
-class ClientServer(web.Server):
-    """Serves clients; ``idle_bound()``: how long a connection may be idle now."""
+class ClientServer(web.Server):  # type: ignore[type-arg]  # as above
+    """Serves clients.
+
+    Parameters
+    ----------
+    idle_timeout: says for how long a connection may be idle now.
+    """
 
-    def __init__(self, handler, idle_bound):
+    def __init__(
+        self,
+        handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
+        idle_timeout: Callable[[], timedelta],
+    ) -> None:
         super().__init__(handler, handler_cancellation=True)
-        if not _NEEDED <= set(web.RequestHandler.__slots__):
+        if not _REQUIRED_SLOTS <= set(web.RequestHandler.__slots__):
             raise RuntimeError("this version of aiohttp does not tell which connections rest")
-        self.idle_bound = idle_bound
+        self.idle_timeout = idle_timeout
 
-    def __call__(self):
-        """The protocol of a new connection."""
+    def __call__(self) -> ClientConnection:
+        """Return the protocol of a new connection."""
         return ClientConnection(self)
 
-    def end_resting(self):
-        """Closes each connection on which nothing is under way."""
+    def close_resting(self) -> None:
+        """Close each connection on which nothing is under way."""
         for connection in self.connections:
             if connection.resting:
                 connection.force_close()
 
-    def end_idle(self):
-        """Closes each connection that has rested for longer than it may."""
-        oldest = monotonic() - self.idle_bound()
+    def close_idle(self) -> None:
+        """Close each connection that has rested for longer than it may."""
+        idle_since = monotonic() - self.idle_timeout()
         for connection in self.connections:
-            if connection.resting and connection.touched < oldest:
+            if connection.resting and connection.last_active_at < idle_since:
                 connection.force_close()
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -95,7 +95,7 @@
         """Wait for admission, then forward."""
         if not self._chooser.eligible():
             return self._give_up(GiveUp(refusal.UNAVAILABLE))
-        service, queues = self._chooser.service, self._state.lines
+        service, queues = self._chooser.service, self._state.queues
         try:
             # Only expire() sets an end to this wait: the queue itself rejects what waits too long.
             async with asyncio.timeout(None) as self._wait:
@@ -217,7 +217,7 @@
             self._end_wait(self._seconds_left())
 
     def _on_prefilled(self, attempt: Attempt) -> None:
-        self._state.tell.was_read(attempt.slot)
+        self._state.gossip.on_prefilled(attempt.slot)
 
     # -- time ---------------------------------------------------------------------
     def _time_left(self) -> timedelta:
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -1,199 +1,206 @@
-"""The address that clients call, and the one that the platform asks for readiness."""
+"""The address that clients call, and the one at which the platform asks for readiness."""
+
+from __future__ import annotations
 
 import asyncio
 from datetime import timedelta
+from typing import TYPE_CHECKING, Any
 
 from absl import logging
 from aiohttp import web
 from mode import Service
 
-from sparloom.feed import CONFIGURATION, ENDPOINTS
-from sparloom.metrics.reporter import process_figures
 from sparloom.transport import bind, monotonic
 
-from .client_connections import LEAST_IDLE, ClientServer
+from .beliefs import beliefs_of
+from .client_connections import MINIMUM_IDLE_TIMEOUT, ClientServer
 from .forwarding import RequestForwarder
 from .graceful_shutdown import GracefulShutdown
 from .headers import time_remaining
 from .outcomes import Outcome, Outcomes
+from .refusal import UNAVAILABLE, closing_response
 from .request import parse_request
+from .request_body import RequestBodyError, read_body
+
+if TYPE_CHECKING:
+    import socket
+
+    from sparloom.settings import Settings
+
+    from .router_state import RouterState
 
-IDLE_SWEEP = timedelta(seconds=1)
-DRAIN_POLL = timedelta(milliseconds=25)
-NOT_KNOWN_YET = "0.2"
+IDLE_SWEEP_INTERVAL = timedelta(seconds=1)
+DRAIN_POLL_INTERVAL = timedelta(milliseconds=25)
+SERVER_SHUTDOWN_TIMEOUT_S = 0.1
+# Retry-After, in seconds, of a router that has no configuration yet.
+RETRY_AFTER_UNCONFIGURED = "0.2"
+READY_PATH = "/-/ready"
+BELIEFS_PATH = "/-/beliefs"
+NOT_FOUND = 404
+HEADERS_TOO_LARGE = 431
+# Bytes that a header line has beside its name and its value: ": " and the line's end.
+HEADER_LINE_OVERHEAD = 4
 
 
 class Frontend(Service):
-    """Takes requests and sends replies."""
+    """Takes clients' requests and answers them.
 
-    def __init__(self, up, know):
+    Attributes
+    ----------
+    settings: the settings in force; replaced whole when the file is read again.
+    graceful_shutdown: the moments of the graceful shutdown, once one has begun.
+    forwarders: the requests in hand.
+    outcomes: how requests have ended.
+    """
+
+    def __init__(self, settings: Settings, router_state: RouterState) -> None:
         super().__init__()
-        self.up, self.know = up, know
-        self.ending = None
-        self.forwarding = set()
+        self.settings = settings
+        self.router_state = router_state
+        self.graceful_shutdown: GracefulShutdown | None = None
+        self.forwarders: set[RequestForwarder] = set()
         self.outcomes = Outcomes()
-        self.client_server = self.client_runner = None
-        self.runners = []
+        self.client_server: ClientServer | None = None
+        self.client_runner: web.ServerRunner | None = None
+        self._server_runners: list[web.ServerRunner] = []
 
     @property
-    def stopping(self):
-        """Whether this router is about to end."""
-        return self.ending is not None
-
-    async def on_start(self):
-        await self.serve(web.Server(self._ready, access_log=None), bind(self.up.listen.readiness))
-        await self.serve_clients(bind(self.up.listen.front))
-
-    async def serve_clients(self, sock):
-        """Serves clients on a listening socket."""
-        self.client_runner = await self.serve(self.clients(), sock)
-
-    def clients(self):
-        """The server for clients."""
-        self.client_server = ClientServer(self._handle, self.idle_bound)
+    def stopping(self) -> bool:
+        """Whether a graceful shutdown has begun."""
+        return self.graceful_shutdown is not None
+
+    # -- listening ----------------------------------------------------------------
+    async def on_start(self) -> None:
+        """Listen at both addresses."""
+        readiness = web.Server(self._answer_platform, access_log=None)
+        await self.serve(readiness, bind(self.settings.listen.readiness))
+        await self.serve_clients(bind(self.settings.listen.front))
+
+    async def serve_clients(self, listening: socket.socket) -> None:
+        """Serve clients on a listening socket."""
+        self.client_runner = await self.serve(self.clients(), listening)
+
+    def clients(self) -> ClientServer:
+        """Return a new server for clients."""
+        self.client_server = ClientServer(self._handle, self.idle_timeout)
         return self.client_server
 
-    def idle_bound(self):
-        """How long a client's connection is kept idle: never less than the configuration allows."""
-        policy = self.know.policy
-        return LEAST_IDLE if policy is None else max(LEAST_IDLE, policy.caps.idle)
+    async def serve(self, server: web.Server[Any], listening: socket.socket) -> web.ServerRunner:
+        """Serve on a listening socket until this service stops."""
+        runner = web.ServerRunner(server, shutdown_timeout=SERVER_SHUTDOWN_TIMEOUT_S)
+        await runner.setup()
+        await web.SockSite(runner, listening).start()
+        self._server_runners.append(runner)
+        return runner
+
+    async def on_stop(self) -> None:
+        """Close all listening sockets and connections."""
+        for runner in self._server_runners:
+            await runner.cleanup()
+
+    def idle_timeout(self) -> timedelta:
+        """Return for how long a client's idle connection is kept: never less than the configuration allows."""
+        configuration = self.router_state.configuration
+        if configuration is None:
+            return MINIMUM_IDLE_TIMEOUT
+        return max(MINIMUM_IDLE_TIMEOUT, configuration.caps.idle)
 
     @Service.task
-    async def _end_idle(self):
+    async def _close_idle_connections(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(IDLE_SWEEP.total_seconds())
-            self.client_server.end_idle()
-
-    async def serve(self, server, sock):
-        """Serves on a listening socket."""
-        run = web.ServerRunner(server, shutdown_timeout=0.1)
-        await run.setup()
-        await web.SockSite(run, sock).start()
-        self.runners.append(run)
-        return run
-
-    async def on_stop(self):
-        for r in self.runners:
-            await r.cleanup()
-
-    async def _ready(self, req):
-        if req.path == "/-/beliefs":
+            await asyncio.sleep(IDLE_SWEEP_INTERVAL.total_seconds())
+            self.client_server.close_idle()
+
+    # -- the platform -------------------------------------------------------------
+    async def _answer_platform(self, http_request: web.BaseRequest) -> web.Response:
+        if http_request.path == BELIEFS_PATH:
             return web.json_response(self.beliefs())
-        ok = req.path == "/-/ready" and self.know.ready() and not self.stopping
-        return web.Response(status=200 if ok else 503 if req.path == "/-/ready" else 404)
-
-    def beliefs(self):
-        """What this router believes, for the comparison."""
-        k, now = self.know, monotonic()
-        return {
-            "node": self.up.node,
-            "role": "router",
-            "key": k.key,
-            "policy": list(k.shelf.stamp(CONFIGURATION)),
-            "runners": list(k.shelf.stamp(ENDPOINTS)),
-            "revision": k.policy.revision if k.policy else 0,
-            "members": {p.key: ["alive", "suspect", "dead"][p.state] for p in (e.peer for e in k.swim.table.values())},
-            "fleet": {p.id: "draining" if p.draining else "ready" for p in k.fleet.posts.values()},
-            "counts": {id: k.counts.count(id, now) for id in k.fleet.posts},
-            "ready": k.ready(),
-            "shares": {f"{s} {m}": f for s, ms in k.lines.figures().items() for m, f in ms.items()},
-            "divisor": k.crowd.divisor,
-            "relays": {r: "relay" for r in k.tier.relays},
-            "tier": k.serve.told(),
-            "requests": self.outcomes.figures(),
-            "isolation": self.up.isolation.fingerprints() if self.up.isolation else [],
-            "runnersBeforeIsolation": k.lives_before_isolation(),
-            "meter": process_figures(),
-        }
-
-    async def _handle(self, req):
-        connection = req.protocol
+        if http_request.path != READY_PATH:
+            return web.Response(status=NOT_FOUND)
+        ready = self.router_state.ready() and not self.stopping
+        return web.Response(status=200 if ready else UNAVAILABLE)
+
+    def beliefs(self) -> dict[str, Any]:
+        """Return what this router believes, for the comparison of all nodes."""
+        return beliefs_of(self.settings, self.router_state, self.outcomes)
+
+    # -- requests -----------------------------------------------------------------
+    async def _handle(self, http_request: web.BaseRequest) -> web.StreamResponse:
+        connection = http_request.protocol
         try:
-            resp = await self._take(req)
-            if self.stopping and not resp.prepared:
-                resp.force_close()
-            return resp
+            response = await self._respond(http_request)
+            if self.stopping and not response.prepared:
+                response.force_close()
+            return response
         finally:
             connection.request_ended()
 
-    async def _take(self, req):
-        now, k = monotonic(), self.know
-        await k.wait_known(time_remaining(req.headers, self.up.bounds.contact))
-        policy = k.policy
-        if policy is None:
-            return web.Response(status=503, headers={"Retry-After": NOT_KNOWN_YET})
-        caps = policy.caps
-        if sum(len(a) + len(b) + 4 for a, b in req.raw_headers) > caps.head:
-            return web.Response(status=431)
-        body, bad = await self._body(req, caps)
-        if bad:
-            return bad
-        route = k.policy.match(req.headers.get("Host", ""), req.raw_path.partition("?")[0])
+    async def _respond(self, http_request: web.BaseRequest) -> web.StreamResponse:
+        """Read a request, match it to a route and forward it."""
+        received_at, state = monotonic(), self.router_state
+        await state.wait_known(time_remaining(http_request.headers, self.settings.bounds.contact))
+        if state.configuration is None:
+            return web.Response(status=UNAVAILABLE, headers={"Retry-After": RETRY_AFTER_UNCONFIGURED})
+        limits = state.configuration.caps
+        if _size_of_headers(http_request) > limits.head:
+            return web.Response(status=HEADERS_TOO_LARGE)
+        try:
+            body = await read_body(http_request, limits)
+        except RequestBodyError as error:
+            return closing_response(error.status)
+        # The configuration may have changed while the body came.
+        path = http_request.raw_path.partition("?")[0]
+        route = state.configuration.match(http_request.headers.get("Host", ""), path)
         if route is None:
-            return web.Response(status=404)
-        ask = parse_request(req, body, route, now, k.lines.member(route), self.up.isolation)
-        return await self._forward(RequestForwarder(k, req, ask, lambda: self.stopping))
-
-    async def _forward(self, forwarding):
-        """Forwards a request, or refuses it where this router ends before it may."""
-        self.forwarding.add(forwarding)
+            return web.Response(status=NOT_FOUND)
+        member, isolation = state.queues.member(route), self.settings.isolation
+        request = parse_request(http_request, body, route, received_at, member, isolation)
+        return await self._forward(RequestForwarder(state, http_request, request, lambda: self.stopping))
+
+    async def _forward(self, forwarder: RequestForwarder) -> web.StreamResponse:
+        """Forward a request, or refuse it where this router may stop before it ends."""
+        self.forwarders.add(forwarder)
         try:
-            if self.ending and not self.ending.admits(monotonic(), forwarding.request.deadline):
-                return forwarding.refuse()
-            return await forwarding.forward()
+            if self.graceful_shutdown and not self.graceful_shutdown.admits(monotonic(), forwarder.request.deadline):
+                return forwarder.refuse()
+            return await forwarder.forward()
         finally:
-            self.forwarding.discard(forwarding)
-            self._count(forwarding)
-
-    def _count(self, forwarding):
-        self.outcomes.add(forwarding.outcome)
-        if forwarding.outcome is Outcome.UNANSWERED:
-            logging.warning("front: request %s ended without an answer.", forwarding.request.attempt_id)
-
-    async def _body(self, req, caps):
-        if (req.content_length or 0) > caps.body:
-            return b"", self._close(413)
-        parts, size = [], 0
-        try:
-            async with asyncio.timeout(caps.idle.total_seconds()):
-                async for p in req.content.iter_any():
-                    size += len(p)
-                    if size > caps.body:
-                        return b"", self._close(413)
-                    parts.append(p)
-        except TimeoutError:
-            return b"", self._close(408)
-        return b"".join(parts), None
-
-    @staticmethod
-    def _close(status):
-        r = web.Response(status=status)
-        r.force_close()
-        return r
-
-    # -- a planned end --------------------------------------------------------
-    async def drain(self):
-        """Unready at once; later listens no more and ends each connection as its requests are done."""
-        self.ending = GracefulShutdown.of(monotonic(), self.up.bounds.grace)
-        logging.info("front: unready; %d requests are in hand.", len(self.forwarding))
-        await asyncio.sleep((self.ending.takes_until - monotonic()).total_seconds())
+            self.forwarders.discard(forwarder)
+            self._count(forwarder)
+
+    def _count(self, forwarder: RequestForwarder) -> None:
+        self.outcomes.add(forwarder.outcome)
+        if forwarder.outcome is Outcome.UNANSWERED:
+            logging.warning("frontend: request %s ended without a response.", forwarder.request.attempt_id)
+
+    # -- graceful shutdown --------------------------------------------------------
+    async def drain(self) -> None:
+        """Shut down gracefully: unready at once, later no new connections, then each closes once it is idle."""
+        self.graceful_shutdown = shutdown = GracefulShutdown.starting_at(monotonic(), self.settings.bounds.grace)
+        logging.info("frontend: draining; %d requests are in flight.", len(self.forwarders))
+        await asyncio.sleep((shutdown.accepts_until - monotonic()).total_seconds())
         await self._stop_listening()
-        await self._finish(self.ending.breaks_off)
-        if self.forwarding:
-            logging.warning("front: %d requests are broken off.", len(self.forwarding))
-        for forwarding in list(self.forwarding):
-            forwarding.expire()
-        await self._finish(self.ending.ends)
-
-    async def _stop_listening(self):
-        """Opens no connection to a client any more; the platform may still ask for readiness."""
+        await self._close_resting_connections(shutdown.aborts_at)
+        if self.forwarders:
+            logging.warning("frontend: %d requests are aborted.", len(self.forwarders))
+        for forwarder in list(self.forwarders):
+            forwarder.expire()
+        await self._close_resting_connections(shutdown.ends_at)
+
+    async def _stop_listening(self) -> None:
+        """Accept no client's connection any more; the platform may still ask for readiness."""
         for site in list(self.client_runner.sites):
             await site.stop()
 
-    async def _finish(self, until):
-        """Waits until no client is connected; ends the connections on which nothing is under way."""
+    async def _close_resting_connections(self, until: timedelta) -> None:
+        """Close connections as they come to rest, until none is left or the time is over."""
         while monotonic() < until:
-            self.client_server.end_resting()
-            await asyncio.sleep(DRAIN_POLL.total_seconds())
+            self.client_server.close_resting()
+            await asyncio.sleep(DRAIN_POLL_INTERVAL.total_seconds())
             if not self.client_server.connections:
                 return
+
+
+def _size_of_headers(http_request: web.BaseRequest) -> int:
+    """Return the bytes that the headers took on the wire."""
+    return sum(len(name) + len(value) + HEADER_LINE_OVERHEAD for name, value in http_request.raw_headers)
--- a/sparloom/router/inactivity_timer.py
+++ b/sparloom/router/inactivity_timer.py
@@ -46,7 +46,7 @@
     def progressed(self) -> None:
         """The backend has sent something; nothing is waited for until the timer is armed again."""
         if self._fired:
-            self._backend.clear()
+            self._backend.record_success()
         self.stop()
 
     def stop(self) -> None:
@@ -54,7 +54,7 @@
         self._cancel()
         if self._fired:
             self._fired = False
-            self._backend.silent -= 1
+            self._backend.unresponsive_calls -= 1
 
     def _cancel(self) -> None:
         if self._timer is not None:
@@ -65,7 +65,7 @@
         self._slot.timed_out = True
         if not self._fired:
             self._fired = True
-            self._backend.silent += 1
+            self._backend.unresponsive_calls += 1
             self._suspect()
         self.arm()
         self._on_unresponsive()
--- a/sparloom/router/outcomes.py
+++ b/sparloom/router/outcomes.py
@@ -1,11 +1,13 @@
-"""What became of the requests that this router has read: one count for each way to end."""
+"""How requests ended that this router has read: one count for each way to end."""
+
+from __future__ import annotations
 
 from collections import Counter
 from enum import Enum
 
 
 class Outcome(Enum):
-    """How a request ended here."""
+    """How a request ended here; the values are shown to operators."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -21,17 +23,19 @@
 class Outcomes:
     """Counts of outcomes; each request that was read whole is counted once.
 
-    >>> outcomes = Outcomes(); outcomes.add(Outcome.ANSWERED); outcomes.figures()
+    >>> outcomes = Outcomes()
+    >>> outcomes.add(Outcome.ANSWERED)
+    >>> outcomes.figures()
     {'answered': 1}
     """
 
-    def __init__(self):
-        self.counts = Counter()
+    def __init__(self) -> None:
+        self._counts: Counter[Outcome] = Counter()
 
-    def add(self, outcome):
-        """Counts a request that has ended."""
-        self.counts[outcome] += 1
+    def add(self, outcome: Outcome) -> None:
+        """Count a request that has ended."""
+        self._counts[outcome] += 1
 
-    def figures(self):
-        """The counts by their names."""
-        return {outcome.value: count for outcome, count in self.counts.items()}
+    def figures(self) -> dict[str, int]:
+        """Return the counts by the outcomes' values."""
+        return {outcome.value: count for outcome, count in self._counts.items()}
