--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -136,4 +136,4 @@
             self.response.release()
         if self.slot.open:
             self.backend.open_calls -= 1
-            self.slot.free(monotonic())
+            self.slot.release(monotonic())
--- a/sparloom/router/backend_choice.py
+++ b/sparloom/router/backend_choice.py
@@ -110,7 +110,7 @@
             backend = backends[candidate.id]
             if backend.id in self.tried or backend.open_calls >= connection_limits[backend.id]:
                 continue
-            choice = self._take_slot(backend, candidate.unread, now, reserved)
+            choice = self._take_slot(backend, candidate.prefill_tokens, now, reserved)
             if choice is not None:
                 self.tried.add(backend.id)
                 self._announce_prompt(backend)
@@ -121,8 +121,8 @@
         in_flight = self._state.in_flight
         return Candidate(
             backend.id,
-            backend.cached.unread(self._request.parts),
-            in_flight.tokens(backend.id, now),
+            backend.cached.prefill_tokens(self._request.parts),
+            in_flight.prefill_tokens(backend.id, now),
             in_flight.count(backend.id, now),
             backend.slots,
             backend.warming_up,
@@ -135,20 +135,20 @@
     def _penalty(self, backend: Backend, now: timedelta) -> int:
         return (
             SUSPECTED_HERE * backend.is_suspected(now)
-            + UNRESPONSIVE_FOR_PEERS * (self._state.in_flight.silent(backend.id, now) > 0)
+            + UNRESPONSIVE_FOR_PEERS * (self._state.in_flight.unresponsive(backend.id, now) > 0)
             + ALREADY_TRIED * (backend.id in self.tried)
         )
 
     def _take_slot(self, backend: Backend, prefill_tokens: int, now: timedelta, reserved: bool) -> BackendChoice | None:
         buckets = buckets_for(self._request.route, backend.slots, reserved)
-        slot = self._state.in_flight.take(backend.id, buckets, now, prefill_tokens)
+        slot = self._state.in_flight.acquire(backend.id, buckets, now, prefill_tokens)
         if slot is None:
             return None
-        return BackendChoice(backend, slot, is_heavy_prefill(prefill_tokens, backend.cached.room, backend.slots))
+        return BackendChoice(backend, slot, is_heavy_prefill(prefill_tokens, backend.cached.capacity, backend.slots))
 
     def _announce_prompt(self, backend: Backend) -> None:
         """Note that the backend will have the prompt cached, here, at the other routers and at a controller."""
         shared = self._request.shared_parts
-        backend.cached.saw(self._request.parts)
+        backend.cached.add(self._request.parts)
         self._state.gossip.on_prompt_sent(backend, shared)
         self._state.prefix_recall.on_prompt_sent(backend, shared)
--- a/sparloom/router/backends.py
+++ b/sparloom/router/backends.py
@@ -150,7 +150,7 @@
                     CachedPrefixes(room(r.service)),
                 )
             old.draining, old.warming_up, old.slots = r.draining, bool(r.cold), r.slots
-            old.cached.room = room(r.service)
+            old.cached.capacity = room(r.service)
             posts[r.id] = old
         for p in self.by_id.values():
             p.departed = posts.get(p.id) is not p
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -79,7 +79,7 @@
         ------
         asyncio.CancelledError: the client has left.
         """
-        self._state.budget(self._chooser.service).asked(monotonic())
+        self._state.budget(self._chooser.service).on_request(monotonic())
         try:
             return await self._admit()
         except ClientDisconnectedError as error:
@@ -131,7 +131,7 @@
                 return self._give_up(step)
             attempt = self._next_attempt()
         # No backend has capacity.
-        return self._give_up(next_step(evolve(self._retry_context(verdict), others=False)))
+        return self._give_up(next_step(evolve(self._retry_context(verdict), has_alternatives=False)))
 
     # -- attempts -----------------------------------------------------------------
     def _next_attempt(self) -> Attempt | None:
@@ -185,14 +185,14 @@
         route, state = self.request.route, self._state
         budget = state.budget(self._chooser.service)
         return RetryContext(
-            repeatable=route.repeatable,
+            idempotent=route.repeatable,
             max_attempts=route.max_attempts,
             attempts=self._attempts,
             verdict=verdict,
-            began=self._relay.begun,
-            left=self._time_left(),
-            within_budget=self._attempts == 0 or budget.allowed(monotonic(), state.nodes()),
-            others=self._chooser.has_untried(),
+            response_started=self._relay.begun,
+            time_left=self._time_left(),
+            within_budget=self._attempts == 0 or budget.allows(monotonic(), state.nodes()),
+            has_alternatives=self._chooser.has_untried(),
         )
 
     # -- hedging ------------------------------------------------------------------
--- a/sparloom/router/in_flight_gossip.py
+++ b/sparloom/router/in_flight_gossip.py
@@ -41,8 +41,8 @@
 
     def on_prefilled(self, slot):
         """A prompt has been read; a long one is told at the next beat."""
-        self.soon = self.soon or slot.tokens >= LONG
-        slot.read(slot.tokens)
+        self.soon = self.soon or slot.prefill_tokens >= LONG
+        slot.on_prefilled(slot.prefill_tokens)
 
     # -- words out ----------------------------------------------------------
     def _held(self):
@@ -53,7 +53,7 @@
             InFlightReport(
                 posts[id].number,
                 min(n, 0xFFFF),
-                min(k.in_flight.weight.get(id, 0), 0xFFFFFFFF),
+                min(k.in_flight.own_prefill_tokens.get(id, 0), 0xFFFFFFFF),
                 int(posts[id].unresponsive_calls > 0 and posts[id].is_suspected(now)),
                 0,
                 0,
@@ -70,7 +70,7 @@
         if not k.relay_tier.stands and (turn % 4 == 0 or self.soon):
             self._directly(turn)
         if self.tiered and turn % 20 == 0:
-            k.in_flight.called(self._up().items(), monotonic())
+            k.in_flight.note_callers(self._up().items(), monotonic())
         if self.tiered or was:
             self._through(was)
             if turn % (2 if self.sums.acting else 4) == 0 or not self.tiered:
@@ -94,11 +94,11 @@
         if not was:
             for key, p in k.in_flight.peers.items():
                 self.sums.hear_direct(
-                    p.heard,
+                    p.received_at,
                     key,
-                    p.life,
-                    p.seq,
-                    {short(k.backends.by_id[id].number): v for id, v in p.held.items() if id in k.backends.by_id},
+                    p.instance_id,
+                    p.sequence,
+                    {short(k.backends.by_id[id].number): v for id, v in p.loads.items() if id in k.backends.by_id},
                 )
         self.sums.see(now, k.relay_tier, up, k.feed_client.upstream.parent)
         self._note(now)
@@ -108,7 +108,7 @@
     def _note(self, now):
         self.sums.note(
             now,
-            {short(h.resource): (h.calls, h.tokens, h.silent, h.good, h.bad, h.blamers) for h in self._held()},
+            {short(h.resource): h.load() for h in self._held()},
             self.state.fleet_size.divisor,
         )
 
@@ -139,7 +139,7 @@
     def _up(self):
         swim = self.state.swim
         if self.seen != swim.version:
-            self.seen, self.up = swim.version, {p.key: p.life for p in swim.alive() if p.role == ROUTER}
+            self.seen, self.up = swim.version, {p.key: p.instance_id for p in swim.alive() if p.role == ROUTER}
         return self.up
 
     def _take_view(self, now):
@@ -149,21 +149,23 @@
             self.fleet, self.shorts = k.backends, {}
             for p in k.backends.by_id.values():
                 self.shorts.setdefault(short(p.number), []).append(p.id)
-        view = self.sums.view(now, [key for key, p in k.in_flight.peers.items() if now - p.heard <= k.in_flight.stale])
+        view = self.sums.view(
+            now, [key for key, p in k.in_flight.peers.items() if now - p.received_at <= k.in_flight.stale]
+        )
         k.in_flight.shared = None if view is None else {id: v for s, v in view.items() for id in self.shorts.get(s, ())}
 
     def _saw(self, reads):
         fleet = self.state.backends
         for r in reads:
             if r.resource in fleet.ids_by_number:
-                fleet.by_id[fleet.ids_by_number[r.resource]].cached.saw(((r.part, r.tokens),))
+                fleet.by_id[fleet.ids_by_number[r.resource]].cached.add(((r.prefix, r.tokens),))
 
     # -- words in -------------------------------------------------------------
     @singledispatchmethod
     def on_message(self, rec, src):
         """Takes another router's word; one of a life that is known gone tells nothing."""
         now = monotonic()
-        if not self.state.swim.holds(rec.key, rec.life):
+        if not self.state.swim.is_current(rec.key, rec.life):
             return
         self.sums.hear(now, rec)
         self._saw(rec.reads)
@@ -174,22 +176,22 @@
     @on_message.register
     def _(self, rec: InFlightUpdate, src):
         k, now = self.state, monotonic()
-        if not k.swim.holds(rec.key, rec.life):
+        if not k.swim.is_current(rec.node, rec.instance_id):
             return
-        k.in_flight.hear(rec, now, k.backends.ids_by_number)
+        k.in_flight.on_update(rec, now, k.backends.ids_by_number)
         if self.tiered:
             self.sums.hear_direct(
                 now,
-                rec.key,
-                rec.life,
-                rec.seq,
-                {short(h.resource): (h.calls, h.tokens, h.silent, h.good, h.bad, h.blamers) for h in rec.held},
+                rec.node,
+                rec.instance_id,
+                rec.sequence,
+                {short(h.resource): h.load() for h in rec.reports},
             )
-        self._saw(rec.reads)
+        self._saw(rec.placements)
 
     def on_departed(self, key, life):
         """A router's lives, all but one, are known gone: they hold nothing any more."""
-        self.state.in_flight.drop(key, life)
+        self.state.in_flight.drop_node(key, life)
         self.sums.gone(key, life)
 
     def known_fleet_sizes(self):
@@ -197,6 +199,6 @@
         k, now, up = self.state, monotonic(), self._up()
         if k.in_flight.shared is not None:
             return self.sums.crowds(now)
-        told = {key: p.crowd for key, p in k.in_flight.peers.items() if key in up}
+        told = {key: p.fleet_size for key, p in k.in_flight.peers.items() if key in up}
         waits = self.tiered and now - k.started_at < k.settings.bounds.contact
         return told | {"": 0} if waits else told
--- a/sparloom/router/prefix_recall.py
+++ b/sparloom/router/prefix_recall.py
@@ -70,10 +70,10 @@
     def on_message(self, src, rec):
         """Takes an answer: what it tells is older than all that this router has seen itself."""
         k = self.state
-        for r in rec.reads:
+        for r in rec.placements:
             id = k.backends.ids_by_number.get(r.resource)
             if id is not None:
-                k.backends.by_id[id].cached.recalled(r.part, r.tokens)
+                k.backends.by_id[id].cached.add_recalled(r.prefix, r.tokens)
         self.heard.add(src)
         if self.began is not None and self.asked <= self.heard:
             self.began = None
--- a/sparloom/router/request.py
+++ b/sparloom/router/request.py
@@ -143,7 +143,7 @@
         status=response.status,
         not_run=names.NOT_RUN in response.headers,
         sealed=names.RUNNER_SEAL in response.headers,
-        id_fits=bool(attempt_id) and response_ids == [attempt_id],
+        attempt_id_matches=bool(attempt_id) and response_ids == [attempt_id],
         framed=framed,
-        nameless=not attempt_id and not response_ids,
+        without_attempt_id=not attempt_id and not response_ids,
     )
--- a/sparloom/router/response_relay.py
+++ b/sparloom/router/response_relay.py
@@ -67,7 +67,7 @@
     @property
     def last_event_id(self) -> str | None:
         """The id of the last event that the client was sent."""
-        return self._resumable.last
+        return self._resumable.last_event_id
 
     async def relay(self, attempt: Attempt) -> Verdict | None:
         """Relay the attempt's response; None once it is complete, else the verdict on the attempt.
@@ -106,8 +106,8 @@
         upstream, splitter = attempt.response, EventSplitter()
         async for chunk in upstream.content.iter_any():
             await self._note_chunk(attempt, None)
-            events = b"".join(event for event in splitter.feed(chunk) if self._resumable.take(event))
-            if self._resumable.broken:
+            events = b"".join(event for event in splitter.feed(chunk) if self._resumable.accept(event))
+            if self._resumable.has_gap:
                 upstream.close()
                 return RAN
             if events:
--- a/sparloom/router/router_state.py
+++ b/sparloom/router/router_state.py
@@ -93,7 +93,7 @@
 
     async def on_stop(self):
         for s in self.swim.leave():
-            self.datagrams.send(s.to, s.rec)
+            self.datagrams.send(s.to, s.record)
         self.datagrams.close()
         for p in self.backends.by_id.values():
             if p.client_session:
@@ -106,12 +106,12 @@
             self.prefix_recall.on_message(src, rec)
         elif isinstance(rec, (Ping, Ack, PingRequest, TableComparison)):
             for s in self.swim.receive(monotonic(), src, rec):
-                self.datagrams.send(s.to, s.rec)
+                self.datagrams.send(s.to, s.record)
             self._drop_ended()
 
     def _drop_ended(self):
         """Holders that are known gone take their slots with them."""
-        for key, life in self.swim.take_ended():
+        for key, life in self.swim.take_departed():
             self.gossip.on_departed(key, life)
 
     def count(self):
@@ -120,7 +120,7 @@
         self.fleet_size.see(
             monotonic(),
             1 + len(up),
-            self.endpoint_list.crowd if self.endpoint_list else 0,
+            self.endpoint_list.fleet_size if self.endpoint_list else 0,
             self.gossip.known_fleet_sizes(),
             bisect(up, self.key),
         )
@@ -139,7 +139,7 @@
         while not self.should_stop:
             turn += 1
             for s in self.swim.tick(monotonic()):
-                self.datagrams.send(s.to, s.rec)
+                self.datagrams.send(s.to, s.record)
             self._drop_ended()
             self.queues.tick()
             if turn % 4 == 1:
