--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -49,7 +49,6 @@
 
     Attributes
     ----------
-    response: the backend's response, once its head has come.
     connected: whether the request may have left the router.
     inactivity: the timer of the backend's silence.
     """
@@ -66,11 +65,23 @@
         self._yields = choice.yields
         self.backend = choice.backend
         self.slot = choice.slot
-        self.response: aiohttp.ClientResponse | None = None
+        self._response: aiohttp.ClientResponse | None = None
         self.connected = True
         self.backend.open_calls += 1
         self.inactivity = InactivityTimer(self.backend, self.slot, lambda: self._suspect(UNRESPONSIVE), on_unresponsive)
 
+    @property
+    def opened(self) -> bool:
+        """Whether the head of a response has come."""
+        return self._response is not None
+
+    @property
+    def response(self) -> aiohttp.ClientResponse:
+        """The backend's response; there is none before the attempt has opened."""
+        if self._response is None:
+            raise RuntimeError("the attempt has no response yet")
+        return self._response
+
     def _suspect(self, part: float) -> None:
         self.backend.record_failure(monotonic(), self._state.settings.bounds.contact * part)
 
@@ -78,7 +89,7 @@
         """Send the request; None once a head has come that may be relayed, else the verdict."""
         self.inactivity.arm(self.slot.grant.timeout)
         try:
-            self.response = await self._send(last_event_id)
+            self._response = await self._send(last_event_id)
         except CONNECT_ERRORS:
             # Not a byte of the request has left the router.
             self.connected = False
@@ -86,7 +97,7 @@
             return NOT_RUN
         except BACKEND_ERRORS as error:
             return self.broke_off(error)
-        return await self._judge(self.response)
+        return await self._judge(self._response)
 
     async def _send(self, last_event_id: str | None) -> aiohttp.ClientResponse:
         request = self._request
@@ -132,8 +143,8 @@
     def end(self) -> None:
         """Free the slot and the connection; a response not read whole closes its connection."""
         self.inactivity.stop()
-        if self.response is not None:
-            self.response.release()
+        if self._response is not None:
+            self._response.release()
         if self.slot.open:
             self.backend.open_calls -= 1
             self.slot.release(monotonic())
--- a/sparloom/router/client_connections.py
+++ b/sparloom/router/client_connections.py
@@ -4,7 +4,7 @@
 
 import asyncio
 from datetime import timedelta
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, cast
 
 from aiohttp import web
 
@@ -15,15 +15,15 @@
 
 # A connection is kept for at least so long, whatever the configuration allows.
 MINIMUM_IDLE_TIMEOUT = timedelta(seconds=75)
-# The library's own limits on bytes, above the largest that a configuration may set.
-PARSER_LIMITS = {"max_field_size": 65536, "max_line_size": 65536}
+# The library's own limit on a header line, above the largest that a configuration may set.
+LIBRARY_MAXIMUM_LINE_BYTES = 65536
 # The library's own idle time-out is fixed when a connection opens, so it is set out of reach.
 LIBRARY_KEEPALIVE_S = 1e6
 # Attributes of the library that have no public name.
 _REQUIRED_SLOTS = {"_waiter", "_messages"}
 
 
-class ClientConnection(web.RequestHandler):  # type: ignore[type-arg]  # the class takes no parameter at run time
+class ClientConnection(web.RequestHandler):
     """One client's connection.
 
     Attributes
@@ -38,9 +38,10 @@
         super().__init__(
             server,
             loop=asyncio.get_running_loop(),
-            access_log=None,
+            access_log=None,  # type: ignore[arg-type]  # the library takes None, its annotation doesn't
             keepalive_timeout=LIBRARY_KEEPALIVE_S,
-            **PARSER_LIMITS,
+            max_field_size=LIBRARY_MAXIMUM_LINE_BYTES,
+            max_line_size=LIBRARY_MAXIMUM_LINE_BYTES,
         )
         self.partial = False
         self.last_active_at = monotonic()
@@ -48,7 +49,7 @@
     @property
     def keepalive_timeout(self) -> float:
         """For how many seconds it may be idle, by the configuration in force."""
-        return self._manager.idle_timeout().total_seconds()
+        return cast("ClientServer", self._manager).idle_timeout().total_seconds()
 
     @property
     def resting(self) -> bool:
@@ -71,7 +72,7 @@
         self.last_active_at = monotonic()
 
 
-class ClientServer(web.Server):  # type: ignore[type-arg]  # as above
+class ClientServer(web.Server):
     """Serves clients.
 
     Parameters
@@ -85,7 +86,7 @@
         idle_timeout: Callable[[], timedelta],
     ) -> None:
         super().__init__(handler, handler_cancellation=True)
-        if not _REQUIRED_SLOTS <= set(web.RequestHandler.__slots__):
+        if not set(web.RequestHandler.__slots__).issuperset(_REQUIRED_SLOTS):
             raise RuntimeError("this version of aiohttp does not tell which connections rest")
         self.idle_timeout = idle_timeout
 
@@ -93,15 +94,18 @@
         """Return the protocol of a new connection."""
         return ClientConnection(self)
 
+    def _client_connections(self) -> list[ClientConnection]:
+        return cast("list[ClientConnection]", self.connections)
+
     def close_resting(self) -> None:
         """Close each connection on which nothing is under way."""
-        for connection in self.connections:
+        for connection in self._client_connections():
             if connection.resting:
                 connection.force_close()
 
     def close_idle(self) -> None:
         """Close each connection that has rested for longer than it may."""
-        idle_since = monotonic() - self.idle_timeout()
-        for connection in self.connections:
-            if connection.resting and connection.last_active_at < idle_since:
+        now, idle_timeout = monotonic(), self.idle_timeout()
+        for connection in self._client_connections():
+            if connection.resting and now - connection.last_active_at > idle_timeout:
                 connection.force_close()
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import asyncio
+from contextlib import suppress
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
@@ -114,13 +115,14 @@
         """Make attempts until one is complete or no further one is allowed."""
         if self._time_left() <= ZERO:
             return self._give_up(GiveUp(refusal.UNAVAILABLE))
-        verdict: Verdict | None = NOT_RUN
+        last_verdict: Verdict = NOT_RUN
         attempt = self._next_attempt()
         while attempt is not None:
             verdict = await self._carry_out(attempt)
             if verdict is None:
                 self.outcome = Outcome.ANSWERED
                 return self._relay.response
+            last_verdict = verdict
             if verdict is not NOT_RUN:
                 self._worst_verdict = verdict
             attempt = await self._hedging.take_over(self._seconds_left())
@@ -131,7 +133,7 @@
                 return self._give_up(step)
             attempt = self._next_attempt()
         # No backend has capacity.
-        return self._give_up(next_step(evolve(self._retry_context(verdict), has_alternatives=False)))
+        return self._give_up(next_step(evolve(self._retry_context(last_verdict), has_alternatives=False)))
 
     # -- attempts -----------------------------------------------------------------
     def _next_attempt(self) -> Attempt | None:
@@ -149,7 +151,7 @@
         """Open an attempt, unless it is open, and relay its response; None once that is complete."""
         try:
             async with asyncio.timeout(self._seconds_left()) as self._wait:
-                if attempt.response is None:
+                if not attempt.opened:
                     verdict = await attempt.open(self._relay.last_event_id)
                     if verdict is not None:
                         return verdict
@@ -181,7 +183,7 @@
         """Whether a further attempt is allowed after one that may have run."""
         return isinstance(next_step(self._retry_context(MAY_HAVE_RUN)), Retry)
 
-    def _retry_context(self, verdict: Verdict | None) -> RetryContext:
+    def _retry_context(self, verdict: Verdict) -> RetryContext:
         route, state = self.request.route, self._state
         budget = state.budget(self._chooser.service)
         return RetryContext(
@@ -230,10 +232,8 @@
         """Let the present wait end after some seconds, unless it has ended."""
         if self._wait is None:
             return
-        try:
+        with suppress(RuntimeError):
             self._wait.reschedule(asyncio.get_running_loop().time() + seconds)
-        except RuntimeError:
-            pass
 
     def expire(self) -> None:
         """End the request now, since this router ends; what can still be answered is."""
@@ -243,20 +243,20 @@
         self._end_wait()
 
     # -- giving up ----------------------------------------------------------------
-    def refuse(self) -> web.StreamResponse | None:
+    def refuse(self) -> web.StreamResponse:
         """Return the refusal of a request that could not end before this router does."""
         response = self._give_up(GiveUp(refusal.UNAVAILABLE))
         self.outcome = Outcome.REFUSED_AT_END
         return response
 
-    def _give_up(self, step: GiveUp, retry_after: timedelta = ZERO) -> web.StreamResponse | None:
-        if self._relay.begun or step.cut:
+    def _give_up(self, step: GiveUp, retry_after: timedelta = ZERO) -> web.StreamResponse:
+        if self._relay.begun:
             return self._abort()
         status = refusal.status_of(step, self._worst_verdict)
         self.outcome = refusal.outcome_of(status)
         return refusal.refusal_response(status, self.request.route, retry_after)
 
-    def _abort(self) -> web.StreamResponse | None:
+    def _abort(self) -> web.StreamResponse:
         """End a response that can't be completed."""
         if self._expired:
             self.outcome = Outcome.BROKEN_OFF_AT_END
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -4,7 +4,7 @@
 
 import asyncio
 from datetime import timedelta
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, cast
 
 from absl import logging
 from aiohttp import web
@@ -27,6 +27,7 @@
 
     from sparloom.settings import Settings
 
+    from .client_connections import ClientConnection
     from .router_state import RouterState
 
 IDLE_SWEEP_INTERVAL = timedelta(seconds=1)
@@ -51,8 +52,12 @@
     graceful_shutdown: the moments of the graceful shutdown, once one has begun.
     forwarders: the requests in hand.
     outcomes: how requests have ended.
+    client_server, client_runner: the server for clients and what runs it, once clients are served.
     """
 
+    client_server: ClientServer
+    client_runner: web.ServerRunner
+
     def __init__(self, settings: Settings, router_state: RouterState) -> None:
         super().__init__()
         self.settings = settings
@@ -60,8 +65,6 @@
         self.graceful_shutdown: GracefulShutdown | None = None
         self.forwarders: set[RequestForwarder] = set()
         self.outcomes = Outcomes()
-        self.client_server: ClientServer | None = None
-        self.client_runner: web.ServerRunner | None = None
         self._server_runners: list[web.ServerRunner] = []
 
     @property
@@ -85,7 +88,7 @@
         self.client_server = ClientServer(self._handle, self.idle_timeout)
         return self.client_server
 
-    async def serve(self, server: web.Server[Any], listening: socket.socket) -> web.ServerRunner:
+    async def serve(self, server: web.Server, listening: socket.socket) -> web.ServerRunner:
         """Serve on a listening socket until this service stops."""
         runner = web.ServerRunner(server, shutdown_timeout=SERVER_SHUTDOWN_TIMEOUT_S)
         await runner.setup()
@@ -126,7 +129,7 @@
 
     # -- requests -----------------------------------------------------------------
     async def _handle(self, http_request: web.BaseRequest) -> web.StreamResponse:
-        connection = http_request.protocol
+        connection = cast("ClientConnection", http_request.protocol)
         try:
             response = await self._respond(http_request)
             if self.stopping and not response.prepared:
--- a/sparloom/router/response_relay.py
+++ b/sparloom/router/response_relay.py
@@ -37,10 +37,6 @@
     on_progress: called with the attempt whenever its backend has sent something.
     on_prefilled: called with the attempt at the first bytes of its stream, once its prompt has been read.
     closing: whether the client's connection is to end with this request.
-
-    Attributes
-    ----------
-    response: the response, once its head has been sent; None before.
     """
 
     def __init__(
@@ -57,12 +53,19 @@
         self._on_prefilled = on_prefilled
         self._closing = closing
         self._resumable = ResumableStream()
-        self.response: web.StreamResponse | None = None
+        self._response: web.StreamResponse | None = None
 
     @property
     def begun(self) -> bool:
         """Whether the head of the response has been sent."""
-        return self.response is not None
+        return self._response is not None
+
+    @property
+    def response(self) -> web.StreamResponse:
+        """The response to the client; there is none before its head has been sent."""
+        if self._response is None:
+            raise RuntimeError("no response has begun")
+        return self._response
 
     @property
     def last_event_id(self) -> str | None:
@@ -81,12 +84,18 @@
         if self._request.route.kind == "streaming" and OK <= upstream.status < FIRST_UNSUCCESSFUL:
             if self._request.route.repeatable:
                 return await self._relay_events(attempt)
-            return await self._relay_bytes(attempt)
-        body = await upstream.read()
+            await self._relay_bytes(attempt)
+            return None
+        await self._relay_body(attempt)
+        return None
+
+    async def _relay_body(self, attempt: Attempt) -> None:
+        """Relay a response that is no stream, once it has been read whole."""
+        body = await attempt.response.read()
         self._on_progress(attempt)
-        await self._send_head(upstream, str(len(body)))
+        await self._send_head(attempt.response, str(len(body)))
         await self._send(body)
-        return await self._send_end()
+        await self._send_end()
 
     async def _relay_bytes(self, attempt: Attempt) -> None:
         """Relay a stream that goes on at no other backend, as it comes."""
@@ -117,7 +126,8 @@
             await self._send_head(upstream, None)
         if splitter.rest:
             await self._send(splitter.rest)
-        return await self._send_end()
+        await self._send_end()
+        return None
 
     async def _note_chunk(self, attempt: Attempt, length: str | None) -> None:
         """Note that a part of a stream has come; before the first one goes on, the head does."""
@@ -129,7 +139,7 @@
     async def _send_head(self, upstream: aiohttp.ClientResponse, length: str | None) -> None:
         """Send the head; without a ``length`` the body is sent in chunks."""
         response = web.StreamResponse(status=upstream.status, reason=upstream.reason)
-        self.response = response
+        self._response = response
         for name, value in end_to_end(upstream.raw_headers).items():
             response.headers.add(name, value)
         if length is not None:
@@ -154,7 +164,7 @@
         except (aiohttp.ClientError, OSError) as error:
             raise ClientDisconnectedError(f"the client's connection failed: {error!r}") from error
 
-    def abort(self) -> web.StreamResponse | None:
+    def abort(self) -> web.StreamResponse:
         """Close the client's connection, so that it sees that the response is incomplete."""
         if self._http_request.transport is not None:
             self._http_request.transport.close()
