--- a/sparloom/router/router_state.py
+++ b/sparloom/router/router_state.py
@@ -48,7 +48,7 @@
     @property
     def shelf(self):
         """The stamps of what this router has."""
-        return self.feed_client.shelf
+        return self.feed_client.store
 
     @property
     def seeds(self):
--- a/tests/controller/test_program.py
+++ b/tests/controller/test_program.py
@@ -138,7 +138,7 @@
             await self.until(lambda: not rt.router_state.backends.of("s"))
             async with self.http.get(self.url.replace("configuration", "beliefs")) as r:
                 mine = await r.json()
-            await self.until(lambda: list(rt.router_state.shelf.stamp(1)) == mine["runners"])
+            await self.until(lambda: list(rt.router_state.shelf.version(1)) == mine["runners"])
             self.assertEqual([d for d in compare(mine, rt.front.beliefs()) if d.topic != "members"], [])
             await self.call("PUT", {**POLICY, "revision": 7, "routes": []}, 1)
             await self.until(lambda: rt.router_state.configuration.revision == 7)
