--- a/simulator/isolation.py
+++ b/simulator/isolation.py
@@ -97,7 +97,7 @@
 
     def ready(self):
         """The addresses of the routers that clients may be given."""
-        return [ip for ip, router in self.routers.items() if router.router_state.ready()]
+        return [ip for ip, router in self.routers.items() if router.node.ready()]
 
     async def tell(self, told):
         """Gives all routers other settings, one after another within a second."""
--- a/simulator/simulated_router.py
+++ b/simulator/simulated_router.py
@@ -1,6 +1,6 @@
 """A hollow router: all that a router knows and tells, with made-up calls in place of traffic.
 
-It is the router's own ``RouterState`` service: membership, feed, counts, parts of the
+It is the router's own ``RouterNode`` service: membership, feed, counts, parts of the
 whole, budgets, and whatever tier of relays belongs to it. It has no front, so
 it skips requests, replies, connections to runners and the choice among them.
 """
@@ -12,7 +12,7 @@
 from attrs import define
 from mode import Service
 
-from sparloom.router.router_state import RouterState
+from sparloom.router.router_node import RouterNode
 from sparloom.router.timeout_buckets import buckets_for
 from sparloom.transport import monotonic
 
@@ -47,7 +47,7 @@
     horizon: timedelta
 
 
-class HollowRouter(RouterState):
+class HollowRouter(RouterNode):
     """A router without a front."""
 
     def __init__(self, up, load, seed=0):
@@ -56,9 +56,9 @@
         self.seen, self.calls, self.refused, self.now_in = {}, 0, 0, 0
         self.ends = set()
 
-    def renew(self):
+    def update_backends(self):
         """Notes when a revision came into force here."""
-        super().renew()
+        super().update_backends()
         if self.configuration is not None:
             self.seen.setdefault(self.configuration.revision, monotonic())
 
--- a/sparloom/router/backends.py
+++ b/sparloom/router/backends.py
@@ -1,8 +1,11 @@
-"""The runners as this router knows them: a snapshot, swapped whole."""
+"""The runners as this router knows them: a snapshot that is replaced whole."""
+
+from __future__ import annotations
 
 import socket
 from datetime import timedelta
 from hashlib import blake2b
+from typing import TYPE_CHECKING, cast
 
 import aiohttp
 from attrs import define, field
@@ -14,11 +17,23 @@
 
 from .target import RawTargetRequest
 
-NONE = timedelta(0)
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
+    from sparloom.discovery import Endpoint
+
+NOT_SUSPECTED = timedelta(0)
+# Of failures in a row so many lengthen the suspicion; each doubles it.
+MAXIMUM_STRIKES = 4
+# Seconds for which an unused connection is kept where the runner says nothing.
+DEFAULT_IDLE_TIMEOUT_S = 4.0
+# An unused connection is closed after this part of the time that the runner keeps it.
+KEEP_ALIVE_PART = 0.7
+MINIMUM_IDLE_TIMEOUT_S = 0.05
 
 
-def number(id):
-    """A runner's number in the gossip.
+def number(id: str) -> int:
+    """A runner's number in the gossip: 64 bits of a hash of its id.
 
     >>> 0 <= number("i-1") < 1 << 64
     True
@@ -26,8 +41,9 @@
     return int.from_bytes(blake2b(id.encode(), digest_size=8).digest())
 
 
-def _socket(info):
-    sock = socket.socket(info[0], info[1], info[2])
+def _open_socket(address: tuple[int, int, int, str, tuple[str, int]]) -> socket.socket:
+    """A socket for a connection to a runner; ``address``: an entry of ``getaddrinfo``."""
+    sock = socket.socket(address[0], address[1], address[2])
     sock.setblocking(False)
     tune(sock)
     count_event("opened runner")
@@ -36,7 +52,21 @@
 
 @define(slots=True, eq=False)
 class Backend:
-    """One life of a runner, with its pipes and what was learned from traffic."""
+    """One instance of a runner, with its connections and what was learned from traffic.
+
+    Attributes
+    ----------
+    id, service, address, zone, slots, draining: as the endpoint list has them.
+    warming_up: whether it has started a short time ago (slow start).
+    number: the 64-bit number of its id in the gossip.
+    cached: the prompt prefixes that it is believed to have cached.
+    client_session: the open connections; made when first needed.
+    suspected_until: until then it is avoided (monotonic clock).
+    strikes: failures in a row, four at most.
+    unresponsive_calls: calls here that have passed their timeout without a sign of life.
+    open_calls: calls in hand here.
+    idle_timeout: seconds for which an unused connection is kept.
+    """
 
     id: str
     service: str
@@ -47,15 +77,14 @@
     warming_up: bool
     number: int
     cached: CachedPrefixes
-    client_session: object = None
-    suspected_until: timedelta = NONE
+    client_session: aiohttp.ClientSession | None = None
+    suspected_until: timedelta = NOT_SUSPECTED
     strikes: int = 0
     unresponsive_calls: int = 0
-    departed: bool = False
     open_calls: int = 0
-    idle_timeout: float = 4.0
+    idle_timeout: float = DEFAULT_IDLE_TIMEOUT_S
 
-    def is_suspected(self, now):
+    def is_suspected(self, now: timedelta) -> bool:
         """Whether traffic says to avoid it for now.
 
         >>> Backend("i", "s", "h:1", "z", 1, False, False, 0, None).is_suspected(timedelta(seconds=1))
@@ -63,23 +92,24 @@
         """
         return now < self.suspected_until
 
-    def record_failure(self, now, span):
-        """An attempt failed here: avoid it, longer each time."""
-        self.strikes = min(self.strikes + 1, 4)
-        self.suspected_until = max(self.suspected_until, now + span * 2 ** (self.strikes - 1))
+    def record_failure(self, now: timedelta, duration: timedelta) -> None:
+        """An attempt failed here: avoid it for ``duration``, twice as long after each further failure in a row."""
+        self.strikes = min(self.strikes + 1, MAXIMUM_STRIKES)
+        self.suspected_until = max(self.suspected_until, now + duration * 2 ** (self.strikes - 1))
 
-    def record_success(self):
-        """It answered: nothing is held against it."""
-        self.strikes, self.suspected_until = 0, NONE
+    def record_success(self) -> None:
+        """It answered: earlier failures no longer count."""
+        self.strikes = 0
+        self.suspected_until = NOT_SUSPECTED
 
-    def session(self):
-        """The session that holds the pipes to this life of the runner."""
+    def session(self) -> aiohttp.ClientSession:
+        """The session that holds the connections to this instance."""
         if self.client_session is None or self.client_session.closed:
             connector = Connector(
                 limit=0,
                 ttl_dns_cache=None,
                 keepalive_timeout=self.idle_timeout,
-                socket_factory=_socket,
+                socket_factory=_open_socket,
                 enable_cleanup_closed=False,
             )
             self.client_session = open_session(
@@ -91,72 +121,83 @@
             )
         return self.client_session
 
-    def has_idle_connection(self):
+    def has_idle_connection(self) -> bool:
         """Whether an open connection waits unused: no new one is needed.
 
         >>> Backend("i", "s", "h:1", "z", 1, False, False, 0, None).has_idle_connection()
         False
         """
-        return (
-            self.client_session is not None
-            and not self.client_session.closed
-            and self.client_session.connector.has_idle()
-        )
-
-    def apply_keep_alive(self, text):
-        """Takes the runner's ``Keep-Alive`` to heart: pipes are given up before it does so."""
-        for item in text.split(","):
-            k, _, v = item.strip().partition("=")
-            if k.lower() == "timeout" and v.isdigit():
-                self.idle_timeout = max(0.05, int(v) * 0.7)
+        session = self.client_session
+        if session is None or session.closed:
+            return False
+        idle: bool = cast(Connector, session.connector).has_idle()
+        return idle
+
+    def apply_keep_alive(self, header: str) -> None:
+        """Follows the runner's ``Keep-Alive`` header: unused connections are closed before the runner does so."""
+        for item in header.split(","):
+            name, _, value = item.strip().partition("=")
+            if name.lower() == "timeout" and value.isdigit():
+                self.idle_timeout = max(MINIMUM_IDLE_TIMEOUT_S, int(value) * KEEP_ALIVE_PART)
                 if self.client_session:
-                    self.client_session.connector.keep_idle(self.idle_timeout)
+                    cast(Connector, self.client_session.connector).keep_idle(self.idle_timeout)
+
+
+def _new_backend(endpoint: Endpoint, cache_tokens: int) -> Backend:
+    return Backend(
+        endpoint.id,
+        endpoint.service,
+        endpoint.address,
+        endpoint.zone,
+        endpoint.slots,
+        endpoint.draining,
+        bool(endpoint.cold),
+        number(endpoint.id),
+        CachedPrefixes(cache_tokens),
+    )
 
 
 @define(frozen=True, slots=True)
 class BackendTable:
-    """All runners, by service and by number.
+    """All backends, by id, by service and by number.
+
+    Attributes
+    ----------
+    by_id: each backend.
+    services: for each service the backends that take new requests.
+    ids_by_number: backend ids by their number in the gossip.
 
     >>> BackendTable().of("s")
     ()
     """
 
-    by_id: dict = field(factory=dict)
-    services: dict = field(factory=dict)
-    ids_by_number: dict = field(factory=dict)
+    by_id: dict[str, Backend] = field(factory=dict)
+    services: dict[str, tuple[Backend, ...]] = field(factory=dict)
+    ids_by_number: dict[int, str] = field(factory=dict)
 
-    def of(self, service):
-        """The runners of a service that take new asks."""
+    def of(self, service: str) -> tuple[Backend, ...]:
+        """The backends of a service that take new requests."""
         return self.services.get(service, ())
 
-    def renew(self, runners, room):
-        """The next snapshot; lives that go on keep what was learned of them.
+    def renew(self, endpoints: Iterable[Endpoint], cache_tokens: Callable[[str], int]) -> BackendTable:
+        """The next snapshot; instances that go on keep what was learned of them.
 
-        ``room(service)`` tells how many tokens a runner keeps.
+        ``cache_tokens(service)``: how many tokens a backend of a service caches.
         """
-        posts = {}
-        for r in runners:
-            old = self.by_id.get(r.id)
-            if old is None or (old.address, old.service) != (r.address, r.service):
-                old = Backend(
-                    r.id,
-                    r.service,
-                    r.address,
-                    r.zone,
-                    r.slots,
-                    r.draining,
-                    bool(r.cold),
-                    number(r.id),
-                    CachedPrefixes(room(r.service)),
-                )
-            old.draining, old.warming_up, old.slots = r.draining, bool(r.cold), r.slots
-            old.cached.room = room(r.service)
-            posts[r.id] = old
-        for p in self.by_id.values():
-            p.departed = posts.get(p.id) is not p
-        names = {p.service for p in posts.values()}
+        by_id: dict[str, Backend] = {}
+        for endpoint in endpoints:
+            tokens = cache_tokens(endpoint.service)
+            backend = self.by_id.get(endpoint.id)
+            if backend is None or (backend.address, backend.service) != (endpoint.address, endpoint.service):
+                backend = _new_backend(endpoint, tokens)
+            backend.draining = endpoint.draining
+            backend.warming_up = bool(endpoint.cold)
+            backend.slots = endpoint.slots
+            backend.cached.room = tokens
+            by_id[endpoint.id] = backend
+        names = {backend.service for backend in by_id.values()}
         return BackendTable(
-            posts,
-            {s: tuple(p for p in posts.values() if p.service == s and not p.draining) for s in names},
-            {p.number: p.id for p in posts.values()},
+            by_id,
+            {name: tuple(b for b in by_id.values() if b.service == name and not b.draining) for name in names},
+            {backend.number: backend.id for backend in by_id.values()},
         )
--- a/sparloom/router/in_flight_gossip.py
+++ b/sparloom/router/in_flight_gossip.py
@@ -1,202 +1,265 @@
-"""What this router tells the others of its calls, and what it hears from them.
+"""Exchanges in-flight counts and long prompts with the other routers.
 
-In a small fleet each router tells every other. Where a tier of relays stands,
-words go through it (``sparloom.aggregation``).
+In a small fleet each router sends to every other. Where a tier of relays
+exists, messages go through it (``sparloom.aggregation``).
 """
 
+from __future__ import annotations
+
 import asyncio
-import os
-from functools import singledispatchmethod
+from typing import TYPE_CHECKING
 
 from sparloom.aggregation import FleetTotal, GroupAggregate, InFlightAggregator, MemberUpdate, short
 from sparloom.dynamic_timeout import InFlightReport, InFlightUpdate, PrefixPlacement
 from sparloom.membership import ROUTER
 from sparloom.transport import monotonic
 
-LONG = 1024
-WORDS = (InFlightUpdate, MemberUpdate, GroupAggregate, FleetTotal)
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Sequence
+    from datetime import timedelta
+
+    from sparloom.dynamic_timeout import Slot
+    from sparloom.relay import Upstream
+
+    from .backends import Backend, BackendTable
+    from .membership_service import MembershipService
+    from .router_state import RouterState
+
+    # calls, tokens, unresponsive, good ends, bad ends, accusers
+    Figures = tuple[int, int, int, int, int, int]
+
+# Prompt parts of so many tokens are worth telling the others.
+LONG_PREFIX_TOKENS = 1024
+GOSSIP_MESSAGES = (InFlightUpdate, MemberUpdate, GroupAggregate, FleetTotal)
+# Changed counts go out every 4th tick (200 ms), unchanged ones every 20th (1 s).
+CHANGED_TICKS = 4
+UNCHANGED_TICKS = 20
+# A relay takes its own total every 2nd tick.
+RELAY_VIEW_TICKS = 2
+MAXIMUM_UINT16 = 0xFFFF
+MAXIMUM_UINT32 = 0xFFFFFFFF
+
+
+def _figures(report: InFlightReport) -> Figures:
+    """The figures of a report, as the aggregator counts them."""
+    return report.calls, report.tokens, report.silent, report.good, report.bad, report.blamers
 
 
 class InFlightGossip:
-    """Words about calls in flight and about long prompts, both ways."""
+    """Sends what this router has in flight, and takes in what the others have.
+
+    Attributes
+    ----------
+    instance_id: the random number of this run of the process, in each message.
+    aggregator: the counts that go through the tier of relays.
+    tiered: whether messages went through the tier at the last tick.
+    """
 
-    def __init__(self, state):
+    def __init__(self, state: RouterState, membership: MembershipService, upstream: Upstream) -> None:
         self.state = state
-        self.instance_id, self.said = int.from_bytes(os.urandom(7)), None
-        self.sums = InFlightAggregator(state.key, self.instance_id, state.settings.bounds.contact)
-        self.reads, self.soon, self.timer = [], False, None
-        self.fleet, self.shorts, self.tiered = None, {}, False
-        self.seen, self.up = None, {}
-
-    def on_prompt_sent(self, post, parts):
-        """A prompt went out: the other routers hear at once of its long parts."""
-        reads = [PrefixPlacement(post.number, k, n) for k, n in parts if n >= LONG]
-        if reads and self.tiered:
-            self._note(monotonic())
-            self.sums.read(monotonic(), reads)
-            self._hurry()
-        elif reads:
-            self.reads += reads
-            self._directly(0)
-
-    def on_prefilled(self, slot):
-        """A prompt has been read; a long one is told at the next beat."""
-        self.soon = self.soon or slot.tokens >= LONG
+        self.membership = membership
+        self.upstream = upstream
+        self.instance_id = state.instance_id
+        self.aggregator = InFlightAggregator(state.key, state.instance_id, state.settings.bounds.contact)
+        self.tiered = False
+        self._last_sent: list[InFlightReport] | None = None
+        self._unsent_placements: list[PrefixPlacement] = []
+        self._urgent = False
+        self._timer: asyncio.TimerHandle | None = None
+        self._indexed_backends: BackendTable | None = None
+        self._ids_by_short_number: dict[int, list[str]] = {}
+        self._instances_version: int | None = None
+        self._instances: dict[str, int] = {}
+
+    def on_prompt_sent(self, backend: Backend, parts: Sequence[tuple[int, int]]) -> None:
+        """A prompt went out: the other routers are told at once of its long parts, given as (hash, tokens)."""
+        placements = [
+            PrefixPlacement(backend.number, part, tokens) for part, tokens in parts if tokens >= LONG_PREFIX_TOKENS
+        ]
+        if placements and self.tiered:
+            self._report_to_aggregator(monotonic())
+            self.aggregator.read(monotonic(), placements)
+            self._send_soon()
+        elif placements:
+            self._unsent_placements += placements
+            self._send_directly(0)
+
+    def on_prefilled(self, slot: Slot) -> None:
+        """A prompt's prefill is over; that of a long one is told at the next tick."""
+        self._urgent = self._urgent or slot.tokens >= LONG_PREFIX_TOKENS
         slot.read(slot.tokens)
 
-    # -- words out ----------------------------------------------------------
-    def _held(self):
-        """What this router holds now, per runner."""
-        k, now = self.state, monotonic()
-        posts = k.backends.by_id
+    # -- sending ------------------------------------------------------------
+    def _reports(self) -> list[InFlightReport]:
+        """What this router has in flight now, per backend."""
+        now = monotonic()
+        in_flight, backends = self.state.in_flight, self.state.backends.by_id
         return [
             InFlightReport(
-                posts[id].number,
-                min(n, 0xFFFF),
-                min(k.in_flight.weight.get(id, 0), 0xFFFFFFFF),
-                int(posts[id].unresponsive_calls > 0 and posts[id].is_suspected(now)),
+                backends[id].number,
+                min(calls, MAXIMUM_UINT16),
+                min(in_flight.weight.get(id, 0), MAXIMUM_UINT32),
+                int(backends[id].unresponsive_calls > 0 and backends[id].is_suspected(now)),
                 0,
                 0,
                 0,
             )
-            for id, n in k.in_flight.own.items()
-            if id in posts
+            for id, calls in in_flight.own.items()
+            if id in backends
         ]
 
-    def tick(self, turn):
-        """Tells what is due; called some twenty times a second."""
-        k = self.state
-        was, self.tiered = self.tiered, k.relay_tier.stands or self.sums.busy
-        if not k.relay_tier.stands and (turn % 4 == 0 or self.soon):
-            self._directly(turn)
-        if self.tiered and turn % 20 == 0:
-            k.in_flight.called(self._up().items(), monotonic())
-        if self.tiered or was:
-            self._through(was)
-            if turn % (2 if self.sums.acting else 4) == 0 or not self.tiered:
+    def tick(self, turn: int) -> None:
+        """Sends what is due; called every 50 ms with the number of the tick."""
+        state = self.state
+        was_tiered = self.tiered
+        self.tiered = state.relay_tier.stands or self.aggregator.busy
+        if not state.relay_tier.stands and (turn % CHANGED_TICKS == 0 or self._urgent):
+            self._send_directly(turn)
+        if self.tiered and turn % UNCHANGED_TICKS == 0:
+            state.in_flight.called(self._router_instances().items(), monotonic())
+        if self.tiered or was_tiered:
+            self._send_through_tier(was_tiered)
+            view_ticks = RELAY_VIEW_TICKS if self.aggregator.acting else CHANGED_TICKS
+            if turn % view_ticks == 0 or not self.tiered:
                 self._take_view(monotonic())
 
-    def _directly(self, turn):
-        k, held = self.state, self._held()
-        if held == self.said and turn % 20 and not self.reads:
+    def _send_directly(self, turn: int) -> None:
+        """Sends to each router; nothing where nothing has changed, but for every 20th tick."""
+        reports = self._reports()
+        if reports == self._last_sent and turn % UNCHANGED_TICKS and not self._unsent_placements:
             return
-        self.said, self.soon = held, False
-        rec, self.reads = (
-            InFlightUpdate(
-                k.key, self.instance_id, self.sums.word(monotonic()), k.fleet_size.divisor, held, self.reads
-            ),
-            [],
-        )
-        k.datagrams.send(tuple(self._up()), rec)
-
-    def _through(self, was):
-        k, now, up = self.state, monotonic(), self._up()
-        if not was:
-            for key, p in k.in_flight.peers.items():
-                self.sums.hear_direct(
-                    p.heard,
-                    key,
-                    p.life,
-                    p.seq,
-                    {short(k.backends.by_id[id].number): v for id, v in p.held.items() if id in k.backends.by_id},
-                )
-        self.sums.see(now, k.relay_tier, up, k.feed_client.upstream.parent)
-        self._note(now)
-        self._send(now)
-        self.soon = False
-
-    def _note(self, now):
-        self.sums.note(
-            now,
-            {short(h.resource): (h.calls, h.tokens, h.silent, h.good, h.bad, h.blamers) for h in self._held()},
+        self._last_sent = reports
+        self._urgent = False
+        update = InFlightUpdate(
+            self.state.key,
+            self.instance_id,
+            self.aggregator.word(monotonic()),
             self.state.fleet_size.divisor,
+            reports,
+            self._unsent_placements,
         )
+        self._unsent_placements = []
+        self.membership.datagrams.send(tuple(self._router_instances()), update)
+
+    def _send_through_tier(self, was_tiered: bool) -> None:
+        now, instances = monotonic(), self._router_instances()
+        if not was_tiered:
+            self._hand_over_direct_counts()
+        self.aggregator.see(now, self.state.relay_tier, instances, self.upstream.parent)
+        self._report_to_aggregator(now)
+        self._send_aggregates(now)
+        self._urgent = False
+
+    def _hand_over_direct_counts(self) -> None:
+        """The tier is new: what peers told directly counts until they are heard through the tier."""
+        backends = self.state.backends.by_id
+        for key, peer in self.state.in_flight.peers.items():
+            held = {short(backends[id].number): figures for id, figures in peer.held.items() if id in backends}
+            self.aggregator.hear_direct(peer.heard, key, peer.life, peer.seq, held)
+
+    def _report_to_aggregator(self, now: timedelta) -> None:
+        held = {short(report.resource): _figures(report) for report in self._reports()}
+        self.aggregator.note(now, held, self.state.fleet_size.divisor)
 
-    def _send(self, now):
-        for s in self.sums.beat(now):
-            self.state.datagrams.send(s.to, s.rec)
-
-    def _hurry(self):
-        """Long prompts do not wait for the next beat."""
-        wait = self.sums.wait(monotonic())
-        if wait is not None and not wait and not self.sums.acting:
-            self._send(monotonic())
-        elif wait is not None and self.timer is None:
-            self.timer = self.later(wait, self._flush)
-
-    def _flush(self):
-        self.timer, now = None, monotonic()
-        self._send(now)
-        if self.sums.acting:
+    def _send_aggregates(self, now: timedelta) -> None:
+        for message in self.aggregator.beat(now):
+            self.membership.datagrams.send(message.to, message.rec)
+
+    def _send_soon(self) -> None:
+        """Long prompts don't wait for the next tick."""
+        delay = self.aggregator.wait(monotonic())
+        if delay is not None and not delay and not self.aggregator.acting:
+            self._send_aggregates(monotonic())
+        elif delay is not None and self._timer is None:
+            self._timer = self.call_later(delay, self._on_timer)
+
+    def _on_timer(self) -> None:
+        self._timer = None
+        now = monotonic()
+        self._send_aggregates(now)
+        if self.aggregator.acting:
             self._take_view(now)
-        self._hurry()
+        self._send_soon()
 
     @staticmethod
-    def later(wait, fn):
+    def call_later(delay: timedelta, callback: Callable[[], None]) -> asyncio.TimerHandle:
         """Calls a function after a while."""
-        return asyncio.get_running_loop().call_later(wait.total_seconds(), fn)
-
-    def _up(self):
-        swim = self.state.swim
-        if self.seen != swim.version:
-            self.seen, self.up = swim.version, {p.key: p.life for p in swim.alive() if p.role == ROUTER}
-        return self.up
-
-    def _take_view(self, now):
-        """What the tier told becomes what the counts say of the others."""
-        k = self.state
-        if self.fleet is not k.backends:
-            self.fleet, self.shorts = k.backends, {}
-            for p in k.backends.by_id.values():
-                self.shorts.setdefault(short(p.number), []).append(p.id)
-        view = self.sums.view(now, [key for key, p in k.in_flight.peers.items() if now - p.heard <= k.in_flight.stale])
-        k.in_flight.shared = None if view is None else {id: v for s, v in view.items() for id in self.shorts.get(s, ())}
-
-    def _saw(self, reads):
-        fleet = self.state.backends
-        for r in reads:
-            if r.resource in fleet.ids_by_number:
-                fleet.by_id[fleet.ids_by_number[r.resource]].cached.saw(((r.part, r.tokens),))
-
-    # -- words in -------------------------------------------------------------
-    @singledispatchmethod
-    def on_message(self, rec, src):
-        """Takes another router's word; one of a life that is known gone tells nothing."""
-        now = monotonic()
-        if not self.state.swim.holds(rec.key, rec.life):
+        return asyncio.get_running_loop().call_later(delay.total_seconds(), callback)
+
+    def _router_instances(self) -> dict[str, int]:
+        """The instance of each other router by key; made anew when membership has changed."""
+        swim = self.membership.swim
+        if self._instances_version != swim.version:
+            self._instances_version = swim.version
+            self._instances = {peer.key: peer.life for peer in swim.alive() if peer.role == ROUTER}
+        return self._instances
+
+    def _take_view(self, now: timedelta) -> None:
+        """Makes the tier's total the count of all other routers."""
+        state = self.state
+        if self._indexed_backends is not state.backends:
+            self._index_backends()
+        in_flight = state.in_flight
+        recent = [key for key, peer in in_flight.peers.items() if now - peer.heard <= in_flight.stale]
+        view = self.aggregator.view(now, recent)
+        if view is None:
+            in_flight.shared = None
             return
-        self.sums.hear(now, rec)
-        self._saw(rec.reads)
-        if isinstance(rec, FleetTotal):
-            self._take_view(now)
-        self._hurry()
+        ids = self._ids_by_short_number
+        in_flight.shared = {id: figures for number, figures in view.items() for id in ids.get(number, ())}
+
+    def _index_backends(self) -> None:
+        self._indexed_backends = self.state.backends
+        self._ids_by_short_number = {}
+        for backend in self._indexed_backends.by_id.values():
+            self._ids_by_short_number.setdefault(short(backend.number), []).append(backend.id)
 
-    @on_message.register
-    def _(self, rec: InFlightUpdate, src):
-        k, now = self.state, monotonic()
-        if not k.swim.holds(rec.key, rec.life):
+    # -- receiving ------------------------------------------------------------
+    def on_message(self, message: InFlightUpdate | MemberUpdate | GroupAggregate | FleetTotal, source: str) -> None:
+        """Takes in another router's message; one of an instance that has ended is dropped."""
+        if not self.membership.swim.holds(message.key, message.life):
             return
-        k.in_flight.hear(rec, now, k.backends.ids_by_number)
+        if isinstance(message, InFlightUpdate):
+            self._on_update(message)
+        else:
+            self._on_aggregate(message)
+
+    def _on_update(self, update: InFlightUpdate) -> None:
+        now, state = monotonic(), self.state
+        state.in_flight.hear(update, now, state.backends.ids_by_number)
         if self.tiered:
-            self.sums.hear_direct(
-                now,
-                rec.key,
-                rec.life,
-                rec.seq,
-                {short(h.resource): (h.calls, h.tokens, h.silent, h.good, h.bad, h.blamers) for h in rec.held},
-            )
-        self._saw(rec.reads)
-
-    def on_departed(self, key, life):
-        """A router's lives, all but one, are known gone: they hold nothing any more."""
-        self.state.in_flight.drop(key, life)
-        self.sums.gone(key, life)
-
-    def known_fleet_sizes(self):
-        """What the others divide by, as far as they told; a newcomer waits for its first total."""
-        k, now, up = self.state, monotonic(), self._up()
-        if k.in_flight.shared is not None:
-            return self.sums.crowds(now)
-        told = {key: p.crowd for key, p in k.in_flight.peers.items() if key in up}
-        waits = self.tiered and now - k.started_at < k.settings.bounds.contact
-        return told | {"": 0} if waits else told
+            held = {short(report.resource): _figures(report) for report in update.held}
+            self.aggregator.hear_direct(now, update.key, update.life, update.seq, held)
+        self._note_placements(update.reads)
+
+    def _on_aggregate(self, message: MemberUpdate | GroupAggregate | FleetTotal) -> None:
+        now = monotonic()
+        self.aggregator.hear(now, message)
+        self._note_placements(message.reads)
+        if isinstance(message, FleetTotal):
+            self._take_view(now)
+        self._send_soon()
+
+    def _note_placements(self, placements: Iterable[PrefixPlacement]) -> None:
+        """What others sent to a backend is in its prefix cache."""
+        backends = self.state.backends
+        for placement in placements:
+            id = backends.ids_by_number.get(placement.resource)
+            if id is not None:
+                backends.by_id[id].cached.saw(((placement.part, placement.tokens),))
+
+    def on_departed(self, key: str, instance: int | None) -> None:
+        """All instances at an address but the given one have ended: they hold nothing any more."""
+        self.state.in_flight.drop(key, instance)
+        self.aggregator.gone(key, instance)
+
+    def known_fleet_sizes(self) -> dict[str, int]:
+        """By how many the others divide, as far as they told; 0 for '' while a first total is waited for."""
+        now, state, instances = monotonic(), self.state, self._router_instances()
+        if state.in_flight.shared is not None:
+            sizes: dict[str, int] = self.aggregator.crowds(now)
+            return sizes
+        told = {key: peer.crowd for key, peer in state.in_flight.peers.items() if key in instances}
+        if self.tiered and now - state.started_at < state.settings.bounds.contact:
+            told[""] = 0
+        return told
--- a/sparloom/router/prefix_recall.py
+++ b/sparloom/router/prefix_recall.py
@@ -1,80 +1,109 @@
-"""What controllers remember of long prefixes: told now and then, asked for at a start."""
+"""Exchanges long prefixes with controllers, so that a router that starts knows what backends have cached."""
+
+from __future__ import annotations
 
 import asyncio
+from typing import TYPE_CHECKING
 
 from sparloom.dynamic_timeout import PrefixPlacement
 from sparloom.membership import CONTROLLER
 from sparloom.prefix_cache import PlacementQuery, PrefixPlacements
 from sparloom.transport import monotonic
 
-from .in_flight_gossip import LONG
+from .in_flight_gossip import LONG_PREFIX_TOKENS
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from datetime import timedelta
+
+    from sparloom.membership import Peer
 
-TURNS = 20
+    from .backends import Backend
+    from .membership_service import MembershipService
+    from .router_state import RouterState
+
+# A batch goes out once a second, a query is repeated every 200 ms.
+BATCH_TICKS = 20
+QUERY_TICKS = 4
+PLACEMENTS_PER_DATAGRAM = 48
+# Requests wait for the answers for this part of the contact bound.
+WAIT_PART = 30
 
 
 class PrefixRecall:
-    """This router's side of the memory.
+    """The router's side of the placement table that controllers keep.
+
+    A router that starts doesn't know what backends have cached, and after a
+    loss of all power no router does; without this each long prompt would be
+    prefilled anew, mostly at another backend than the one that has it. So each
+    router sends one near controller its long prefixes, and queries all
+    controllers at its start. The first requests wait a moment for the answers.
 
-    A router that starts knows nothing of what runners keep, and after a loss
-    of all power none does; each long prompt was then read anew, mostly at
-    another runner than the one that keeps it. So each router tells one near
-    controller what it sent, and asks all of them at its start. The first
-    requests wait a moment for the answers.
+    Attributes
+    ----------
+    batch: tokens by (backend number, part), not yet sent.
     """
 
-    def __init__(self, state):
-        self.state, self.batch = state, {}
-        self.began, self.asked, self.heard = None, frozenset(), set()
-
-    def on_prompt_sent(self, post, parts):
-        """A prompt went out: its long parts are told with the next batch."""
-        self.batch.update({(post.number, k): n for k, n in parts if n >= LONG})
-
-    def tick(self, turn):
-        """Tells the batch once a second, and asks again those that have not answered yet."""
-        k = self.state
-        if self.batch and turn % TURNS == 0:
-            near = min(
-                (p for p in k.swim.alive() if p.role == CONTROLLER),
-                key=lambda p: (p.zone != k.settings.zone, p.key),
-                default=None,
-            )
-            if near:
-                items = list(self.batch.items())
-                self.batch = {}
-                for i in range(0, len(items), 48):
-                    k.datagrams.send(
-                        near.key, PrefixPlacements([PrefixPlacement(r, part, n) for (r, part), n in items[i : i + 48]])
-                    )
-        if self.began is not None and turn % 4 == 0:
-            if monotonic() - self.began > k.settings.bounds.contact:
-                self.began = None
+    def __init__(self, state: RouterState, membership: MembershipService) -> None:
+        self.state = state
+        self.membership = membership
+        self.batch: dict[tuple[int, int], int] = {}
+        self._queried_at: timedelta | None = None
+        self._queried: frozenset[str] = frozenset()
+        self._answered: set[str] = set()
+
+    def on_prompt_sent(self, backend: Backend, parts: Sequence[tuple[int, int]]) -> None:
+        """A prompt went out: its long parts, given as (hash, tokens), go into the next batch."""
+        self.batch.update({(backend.number, part): tokens for part, tokens in parts if tokens >= LONG_PREFIX_TOKENS})
+
+    def tick(self, turn: int) -> None:
+        """Sends the batch once a second, and queries again the controllers that haven't answered yet."""
+        if self.batch and turn % BATCH_TICKS == 0:
+            self._send_batch()
+        if self._queried_at is not None and turn % QUERY_TICKS == 0:
+            if monotonic() - self._queried_at > self.state.settings.bounds.contact:
+                self._queried_at = None
             else:
-                self._ask()
-
-    def request(self):
-        """Asks all controllers at the start; ``known`` is set once they answered, or after a moment."""
-        if self.began is None:
-            self.began = monotonic()
-            self._ask()
-            asyncio.get_running_loop().call_later(
-                self.state.settings.bounds.contact.total_seconds() / 30, self.state.prefixes_known.set
-            )
-
-    def _ask(self):
-        k = self.state
-        self.asked = frozenset(k.seeds) | {p.key for p in k.swim.alive() if p.role == CONTROLLER}
-        for to in self.asked - self.heard:
-            k.datagrams.send(to, PlacementQuery(k.key))
-
-    def on_message(self, src, rec):
-        """Takes an answer: what it tells is older than all that this router has seen itself."""
-        k = self.state
-        for r in rec.reads:
-            id = k.backends.ids_by_number.get(r.resource)
+                self._send_queries()
+
+    def _send_batch(self) -> None:
+        """Sends the batch to one controller of this zone, or else of another; keeps it where there is none."""
+        zone = self.state.settings.zone
+        controllers = self._controllers()
+        if not controllers:
+            return
+        nearest = min(controllers, key=lambda peer: (peer.zone != zone, peer.key))
+        placements = [PrefixPlacement(number, part, tokens) for (number, part), tokens in self.batch.items()]
+        self.batch = {}
+        for start in range(0, len(placements), PLACEMENTS_PER_DATAGRAM):
+            chunk = placements[start : start + PLACEMENTS_PER_DATAGRAM]
+            self.membership.datagrams.send(nearest.key, PrefixPlacements(chunk))
+
+    def _controllers(self) -> list[Peer]:
+        return [peer for peer in self.membership.swim.alive() if peer.role == CONTROLLER]
+
+    def request(self) -> None:
+        """Queries all controllers at the start; ``prefixes_known`` is set once they answered, or after a moment."""
+        if self._queried_at is not None:
+            return
+        self._queried_at = monotonic()
+        self._send_queries()
+        wait = self.state.settings.bounds.contact.total_seconds() / WAIT_PART
+        asyncio.get_running_loop().call_later(wait, self.state.prefixes_known.set)
+
+    def _send_queries(self) -> None:
+        self._queried = frozenset(self.state.seeds) | {peer.key for peer in self._controllers()}
+        for controller in self._queried - self._answered:
+            self.membership.datagrams.send(controller, PlacementQuery(self.state.key))
+
+    def on_message(self, source: str, answer: PrefixPlacements) -> None:
+        """Takes in an answer; what it tells is older than all that this router has seen itself."""
+        backends = self.state.backends
+        for placement in answer.reads:
+            id = backends.ids_by_number.get(placement.resource)
             if id is not None:
-                k.backends.by_id[id].cached.recalled(r.part, r.tokens)
-        self.heard.add(src)
-        if self.began is not None and self.asked <= self.heard:
-            self.began = None
-            k.prefixes_known.set()
+                backends.by_id[id].cached.recalled(placement.part, placement.tokens)
+        self._answered.add(source)
+        if self._queried_at is not None and self._queried <= self._answered:
+            self._queried_at = None
+            self.state.prefixes_known.set()
--- a/sparloom/router/program.py
+++ b/sparloom/router/program.py
@@ -1,7 +1,10 @@
 """Starts and stops the router's services."""
 
+from __future__ import annotations
+
 import asyncio
 import signal
+from typing import TYPE_CHECKING
 
 from absl import logging
 from mode import Service
@@ -13,26 +16,42 @@
 from sparloom.transport import FileWatch
 
 from .frontend import Frontend
-from .router_state import RouterState
+from .router_node import RouterNode
+
+if TYPE_CHECKING:
+    from sparloom.settings import Settings
+
+SETTINGS_CHECK_S = 1.0
+STOP_TIMEOUT_S = 2
 
 
 class Router(Service):
-    """All parts of a router."""
+    """A whole router.
+
+    Attributes
+    ----------
+    settings: the checked startup file.
+    path: where that file is; it is read again when it changes.
+    node: all parts that need no client.
+    front: the address that clients call.
+    """
 
-    def __init__(self, up, path):
+    def __init__(self, settings: Settings, path: str) -> None:
         super().__init__()
-        self.up, self.path = up, path
-        self.watch = FileWatch(path)
-        self.router_state = RouterState(up)
-        self.front = Frontend(up, self.router_state)
+        self.settings = settings
+        self.path = path
+        self.settings_watch = FileWatch(path)
+        self.node = RouterNode(settings)
+        self.front = Frontend(settings, self.node)
 
-    async def on_start(self):
-        await self.add_runtime_dependency(self.router_state)
+    async def on_start(self) -> None:
+        """Starts the node before the front."""
+        await self.add_runtime_dependency(self.node)
         await self.add_runtime_dependency(self.front)
         if report_interval():
-            await self.add_runtime_dependency(MetricsReporter(self.up.node, report_interval()))
+            await self.add_runtime_dependency(MetricsReporter(self.settings.node, report_interval()))
 
-    def reread(self):
+    def reread(self) -> None:
         """Reads the startup file again; a bad one is logged and changes nothing."""
         new = read(self.path)
         if new.value_or(None) is None:
@@ -41,33 +60,32 @@
         self.use(new.unwrap())
         logging.info("startup: the file was read again.")
 
-    def use(self, up):
+    def use(self, settings: Settings) -> None:
         """Goes by other checked settings from now on."""
-        self.router_state.note_isolation(up.isolation)
-        self.up = self.router_state.settings = self.front.up = up
-        if self.router_state.swim is not None:
-            self.router_state.swim.seeds = self.router_state.seeds
+        self.node.use(settings)
+        self.settings = self.front.up = settings
 
     @Service.task
-    async def _watch(self):
+    async def _watch_settings(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(1.0)
-            if self.watch.changed():
+            await asyncio.sleep(SETTINGS_CHECK_S)
+            if self.settings_watch.changed():
                 self.reread()
 
 
-async def serve(up, path):
-    """Runs a router until SIGTERM or SIGINT."""
-    loop, end = asyncio.get_running_loop(), asyncio.Event()
-    rt = Router(up, path)
-    for sig in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sig, end.set)
-    loop.add_signal_handler(signal.SIGHUP, rt.reread)
-    await rt.start()
+async def serve(settings: Settings, path: str) -> None:
+    """Runs a router until SIGTERM or SIGINT; SIGHUP reads the startup file again."""
+    loop = asyncio.get_running_loop()
+    stop = asyncio.Event()
+    router = Router(settings, path)
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, stop.set)
+    loop.add_signal_handler(signal.SIGHUP, router.reread)
+    await router.start()
     if hangup_came():
-        rt.reread()
-    await end.wait()
-    await rt.front.drain()
+        router.reread()
+    await stop.wait()
+    await router.front.drain()
     logging.info("router: stops.")
-    async with asyncio.timeout(2):
-        await rt.stop()
+    async with asyncio.timeout(STOP_TIMEOUT_S):
+        await router.stop()
--- /dev/null
+++ b/sparloom/router/router_node.py
@@ -0,0 +1,201 @@
+"""Composes the services of a router that need no client: membership, feed, gossip, queues, relay."""
+
+from __future__ import annotations
+
+import asyncio
+from bisect import bisect
+from typing import TYPE_CHECKING, Any
+
+from mode import Service
+
+from sparloom.membership import SUSPECT
+from sparloom.prefix_cache import PrefixPlacements
+from sparloom.relay import plan_tier
+from sparloom.transport import monotonic
+
+from .admission_queues import AdmissionQueues
+from .feed_client import FeedClient
+from .forwarding_services import ForwardingServices
+from .in_flight_gossip import GOSSIP_MESSAGES, InFlightGossip
+from .membership_service import MembershipService
+from .prefix_recall import PrefixRecall
+from .relay_server import RelayServer
+from .retry_budgets import RetryBudgets
+from .router_state import RouterState
+
+if TYPE_CHECKING:
+    from datetime import timedelta
+
+    from sparloom.codec import Record
+    from sparloom.feed import VersionedStore
+    from sparloom.retry import RetryBudget
+    from sparloom.settings import Settings
+
+DEFAULT_CACHE_TOKENS = 1 << 18
+# Membership is looked at in each fourth tick, beginning with the first.
+MEMBERSHIP_TICKS = 4
+
+
+def _delegated(owner: str, name: str) -> Any:
+    """A property that stands for an attribute of one of the parts."""
+    return property(
+        lambda node: getattr(getattr(node, owner), name),
+        lambda node, value: setattr(getattr(node, owner), name, value),
+    )
+
+
+class RouterNode(Service):
+    """A router without its front.
+
+    Attributes
+    ----------
+    snapshots: the present state; its attributes are reached through the node as well.
+    budgets: retry budgets by service.
+    membership: SWIM, the datagram socket and the tick.
+    queues: admission queues by service.
+    feed_client: follows the feed.
+    gossip: exchanges in-flight counts with the other routers.
+    prefix_recall: exchanges long prefixes with controllers.
+    relay_server: passes the feed on.
+    """
+
+    settings = _delegated("snapshots", "settings")
+    key = _delegated("snapshots", "key")
+    seeds = _delegated("snapshots", "seeds")
+    configuration = _delegated("snapshots", "configuration")
+    endpoint_list = _delegated("snapshots", "endpoint_list")
+    backends = _delegated("snapshots", "backends")
+    confirmed = _delegated("snapshots", "confirmed")
+    started_at = _delegated("snapshots", "started_at")
+    in_flight = _delegated("snapshots", "in_flight")
+    fleet_size = _delegated("snapshots", "fleet_size")
+    relay_tier = _delegated("snapshots", "relay_tier")
+    prefixes_known = _delegated("snapshots", "prefixes_known")
+    random = _delegated("snapshots", "random")
+    ready = _delegated("snapshots", "ready")
+    note_isolation = _delegated("snapshots", "note_isolation")
+    lives_before_isolation = _delegated("snapshots", "lives_before_isolation")
+    swim = _delegated("membership", "swim")
+    datagrams = _delegated("membership", "datagrams")
+
+    def __init__(self, settings: Settings) -> None:
+        super().__init__()
+        self.snapshots = state = RouterState(settings)
+        self.budgets = RetryBudgets(state)
+        self.queues = AdmissionQueues(state)
+        self.membership = MembershipService(
+            state, on_message=self._on_message, on_departed=self._on_departed, on_tick=self._on_tick
+        )
+        self.feed_client = FeedClient(
+            state, self.membership, on_endpoints=self.update_fleet_size, on_change=self.update_backends
+        )
+        self.gossip = InFlightGossip(state, self.membership, self.feed_client.upstream)
+        self.prefix_recall = PrefixRecall(state, self.membership)
+        self.relay_server = RelayServer(state, self.feed_client)
+        # The routers, with their zones, for which the tier was planned.
+        self.tier_members: frozenset[tuple[str, str]] | None = None
+
+    @property
+    def shelf(self) -> VersionedStore:
+        """The versions of what this router has."""
+        return self.feed_client.store
+
+    def forwarding_services(self) -> ForwardingServices:
+        """What the forwarding of requests needs of this router."""
+        state = self.snapshots
+        return ForwardingServices(
+            state, state.in_flight, self.budgets, self.queues, self.gossip, self.prefix_recall, state.random
+        )
+
+    def nodes(self) -> int:
+        """Among how many routers budgets are divided; one that is partitioned doesn't take itself for the only one."""
+        return self.snapshots.fleet_size.divisor
+
+    def budget(self, service: str) -> RetryBudget:
+        """The retry budget of a service."""
+        return self.budgets.of(service)
+
+    def use(self, settings: Settings) -> None:
+        """Goes by other checked settings from now on."""
+        self.snapshots.note_isolation(settings.isolation)
+        self.snapshots.settings = settings
+        self.membership.update_seeds()
+
+    async def on_start(self) -> None:
+        """Starts the parts; the tick begins after them."""
+        await self.membership.open()
+        await self.add_runtime_dependency(self.relay_server)
+        await self.add_runtime_dependency(self.feed_client)
+
+    async def on_stop(self) -> None:
+        """Leaves the fleet before anything else ends, then closes the connections to the backends."""
+        self.membership.close()
+        for backend in self.snapshots.backends.by_id.values():
+            if backend.client_session:
+                await backend.client_session.close()
+
+    @Service.task
+    async def _beat(self) -> None:
+        await self.membership.run(lambda: self.should_stop)
+
+    def _on_message(self, source: str, message: Record) -> None:
+        if isinstance(message, GOSSIP_MESSAGES):
+            self.gossip.on_message(message, source)
+        elif isinstance(message, PrefixPlacements):
+            self.prefix_recall.on_message(source, message)
+
+    def _on_departed(self, key: str, instance: int | None) -> None:
+        self.gossip.on_departed(key, instance)
+
+    def _on_tick(self, turn: int) -> None:
+        self.queues.tick()
+        if turn % MEMBERSHIP_TICKS == 1:
+            self.update_fleet_size()
+            self.update_relay_tier()
+        self.gossip.tick(turn)
+        self.prefix_recall.tick(turn)
+
+    def update_fleet_size(self) -> None:
+        """Notes among how many routers capacity is divided."""
+        state = self.snapshots
+        keys = sorted(peer.key for peer in self.membership.routers())
+        announced = state.endpoint_list.crowd if state.endpoint_list else 0
+        state.fleet_size.see(
+            monotonic(), 1 + len(keys), announced, self.gossip.known_fleet_sizes(), bisect(keys, state.key)
+        )
+
+    def update_relay_tier(self) -> None:
+        """Plans the tier of relays again when membership has changed; suspects are still members."""
+        state = self.snapshots
+        routers = self.membership.routers()
+        members = frozenset((peer.key, peer.zone) for peer in routers)
+        if members != self.tier_members:
+            self.tier_members = members
+            state.relay_tier = plan_tier(state.key, state.settings.zone, list(members))
+        suspects = frozenset(peer.key for peer in routers if peer.state == SUSPECT)
+        self.feed_client.upstream.see(monotonic(), state.relay_tier, suspects)
+
+    def update_backends(self) -> None:
+        """Takes the next snapshot of the backends, after a change came."""
+        state = self.snapshots
+        if state.endpoint_list is not None:
+            state.backends = state.backends.renew(state.endpoint_list.runners, self._cache_tokens)
+        if state.configuration is not None and state.endpoint_list is not None and not state.prefixes_known.is_set():
+            self.prefix_recall.request()
+
+    def _cache_tokens(self, service: str) -> int:
+        """How many tokens a backend of a service caches."""
+        configuration = self.snapshots.configuration
+        found = configuration.services.get(service) if configuration else None
+        return found.cache_tokens if found and found.cache_tokens else DEFAULT_CACHE_TOKENS
+
+    async def wait_known(self, maximum: timedelta) -> None:
+        """Waits after a start for the first configuration and runners, for a third of the contact bound at most."""
+        known = self.snapshots.prefixes_known
+        if known.is_set():
+            return
+        try:
+            async with asyncio.timeout(min(maximum, self.snapshots.settings.bounds.contact / 3).total_seconds()):
+                await known.wait()
+        except TimeoutError:
+            pass
--- a/tests/controller/test_program.py
+++ b/tests/controller/test_program.py
@@ -128,20 +128,20 @@
             async with self.http.get(self.ready) as r:
                 self.assertEqual(r.status, 503)
             await self.call("PUT", POLICY, 0)
-            await self.until(rt.router_state.ready)
+            await self.until(rt.node.ready)
             async with self.http.get(self.ready) as r:
                 self.assertEqual(r.status, 200)
             heads = {"Host": "h.example", "X-Sparloom-Attempt-Id": "t1", "X-Sparloom-Deadline-Remaining": "2000"}
             async with self.http.post(f"http://{self.front}/once/x", data=b"hi", headers=heads) as r:
                 self.assertEqual((r.status, (await r.read()).count(b"id:")), (200, 5))
             self.platform.entries[0]["state"] = "draining"
-            await self.until(lambda: not rt.router_state.backends.of("s"))
+            await self.until(lambda: not rt.node.backends.of("s"))
             async with self.http.get(self.url.replace("configuration", "beliefs")) as r:
                 mine = await r.json()
-            await self.until(lambda: list(rt.router_state.shelf.version(1)) == mine["runners"])
+            await self.until(lambda: list(rt.node.shelf.version(1)) == mine["runners"])
             self.assertEqual([d for d in compare(mine, rt.front.beliefs()) if d.topic != "members"], [])
             await self.call("PUT", {**POLICY, "revision": 7, "routes": []}, 1)
-            await self.until(lambda: rt.router_state.configuration.revision == 7)
+            await self.until(lambda: rt.node.configuration.revision == 7)
             async with self.http.post(f"http://{self.front}/once/x", data=b"hi", headers=heads) as r:
                 self.assertEqual(r.status, 404)
         finally:
--- a/tests/golden_names.py
+++ b/tests/golden_names.py
@@ -141,7 +141,7 @@
 
 def readiness_of(router: Router) -> Any:
     """The function that says whether a router is ready."""
-    return router.router_state.ready
+    return router.node.ready
 
 
 def kept_again(folder: str) -> None:
--- a/tests/isolation/test_isolation.py
+++ b/tests/isolation/test_isolation.py
@@ -10,7 +10,7 @@
 from simulator.isolation import play_isolation
 from sparloom.isolation import COMMON, Generation, Isolation, part_ids
 from sparloom.load_balancing import parse_parts
-from sparloom.router.router_state import RouterState
+from sparloom.router.router_node import RouterNode
 from sparloom.settings import from_dict
 from tests.support.router_fixture import POLICY, STARTUP, Rig, route
 
@@ -145,7 +145,7 @@
             self.assertNotEqual(one.fingerprints(), self.read(other).unwrap().isolation.fingerprints())
 
     def test_runners_that_are_older_than_a_change_are_counted(self):
-        state = RouterState(self.read({"key": KEY}).unwrap())
+        state = RouterNode(self.read({"key": KEY}).unwrap())
         state.backends = SimpleNamespace(by_id={"i-1": None, "i-2": None})
         state.note_isolation(state.settings.isolation)
         self.assertEqual(state.lives_before_isolation(), 0)
--- a/tests/prefix_cache/test_memory.py
+++ b/tests/prefix_cache/test_memory.py
@@ -12,7 +12,7 @@
 from sparloom.load_balancing import CachedPrefixes
 from sparloom.membership import CONTROLLER
 from sparloom.prefix_cache import PlacementQuery, PlacementTable, PrefixPlacements
-from sparloom.router.prefix_recall import TURNS, PrefixRecall
+from sparloom.router.prefix_recall import BATCH_TICKS, PrefixRecall
 
 A, B = "10.0.0.1:7", "10.0.0.2:7"
 
@@ -25,14 +25,16 @@
         seeds=(A, B),
         prefixes_known=asyncio.Event(),
         settings=SimpleNamespace(zone="z", bounds=SimpleNamespace(contact=timedelta(seconds=3))),
-        swim=SimpleNamespace(alive=lambda: [SimpleNamespace(role=CONTROLLER, zone="y", key=c) for c in controllers]),
-        datagrams=SimpleNamespace(send=lambda to, rec: out.append((to, rec))),
         backends=SimpleNamespace(
             ids_by_number={7: "i7", 8: "i8"},
             by_id={i: SimpleNamespace(number=n, cached=CachedPrefixes(9000)) for i, n in (("i7", 7), ("i8", 8))},
         ),
     )
-    return PrefixRecall(state), state, out
+    membership = SimpleNamespace(
+        swim=SimpleNamespace(alive=lambda: [SimpleNamespace(role=CONTROLLER, zone="y", key=c) for c in controllers]),
+        datagrams=SimpleNamespace(send=lambda to, rec: out.append((to, rec))),
+    )
+    return PrefixRecall(state, membership), state, out
 
 
 class Start(unittest.IsolatedAsyncioTestCase):
@@ -77,14 +79,14 @@
         p, state, out = router()
         p.on_prompt_sent(state.backends.by_id["i7"], ((1, 2000), (2, 10)))
         p.on_prompt_sent(state.backends.by_id["i7"], ((1, 2000),))
-        for turn in range(1, 2 * TURNS + 1):
+        for turn in range(1, 2 * BATCH_TICKS + 1):
             p.tick(turn)
         self.assertEqual(out, [(A, PrefixPlacements([PrefixPlacement(7, 1, 2000)]))])
 
     async def test_with_no_controller_about_the_batch_is_kept(self):
         p, state, out = router(())
         p.on_prompt_sent(state.backends.by_id["i7"], ((1, 2000),))
-        p.tick(TURNS)
+        p.tick(BATCH_TICKS)
         self.assertEqual((out, len(p.batch)), ([], 1))
 
 
--- a/tests/relay/test_relay_loopback.py
+++ b/tests/relay/test_relay_loopback.py
@@ -14,7 +14,7 @@
 from sparloom.feed import CONFIGURATION, ENDPOINTS, Subscribe
 from sparloom.feed.payload import decode_payload, encode_state
 from sparloom.relay import RelayTier
-from sparloom.router.router_state import RouterState
+from sparloom.router.router_node import RouterNode
 from sparloom.settings import from_dict
 from tests.controller.test_program import free
 from tests.support.router_fixture import POLICY as ROUTES
@@ -67,7 +67,7 @@
         up = from_dict(
             {**self.base, "nodeName": f"front-{i}", "ipAddress": f"127.0.0.{10 + i}", "listenAddresses": {}}
         ).unwrap()
-        k = RouterState(up)
+        k = RouterNode(up)
         self.knows.append(k)
         await k.start()
         return k
@@ -75,7 +75,7 @@
     def tier(self, relay, *followers):
         """Gives the routers a tier by hand, whatever their number; no waiting for it to settle."""
         for k in (relay, *followers):
-            k.see_tier = lambda: None
+            k.update_relay_tier = lambda: None
             k.feed_client.upstream.see(
                 timedelta(0), RelayTier((relay.key, "127.0.0.250:1"), () if k is relay else (relay.key,), k is relay, 1)
             )
@@ -93,8 +93,8 @@
         await self.until(lambda: relay.relay_server.told()["followers"] == ["front-1", "front-2"])
         self.assertEqual([k.relay_server.told()["depth"] for k in self.knows], [1, 2, 2])
         self.assertLess(a.relay_server.told()["ageMs"], BOUND / 3 / timedelta(milliseconds=1))
-        got, taken = [], a.feed_client._take
-        a.feed_client._take = lambda c: (got.append(c), taken(c))[1]
+        got, taken = [], a.feed_client.take_change
+        a.feed_client.take_change = lambda c: (got.append(c), taken(c))[1]
         await self.put({**ROUTES, "revision": 2, "routes": [route(f"r{i}", f"/{i}/") for i in range(1, 201)]})
         await self.until(lambda: all(k.configuration.revision == 2 for k in self.knows))
         self.platform.entries[3]["state"] = "draining"
@@ -120,7 +120,7 @@
         self.assertEqual(
             encode_state(ENDPOINTS, late.endpoint_list), encode_state(ENDPOINTS, self.ctl.shop.held(ENDPOINTS))
         )
-        b.feed_client.raw = None
+        b.feed_client.raw_configuration = None
         await self.put({**ROUTES, "revision": 3})
         await self.until(lambda: all(k.configuration.revision == 3 for k in self.knows))
         await relay.stop()
--- a/tests/router/test_feed_client.py
+++ b/tests/router/test_feed_client.py
@@ -11,7 +11,7 @@
 from sparloom.feed import CONFIGURATION, ENDPOINTS, Change, FeedHeartbeat, Subscribe
 from sparloom.feed import payload as news
 from sparloom.membership import ROUTER, Peer, Swim, SwimTiming
-from sparloom.router.router_state import RouterState
+from sparloom.router.router_node import RouterNode
 from sparloom.settings import from_dict
 from sparloom.transport import Frames, monotonic
 from tests.support.router_fixture import POLICY as ROUTES
@@ -68,14 +68,14 @@
 class Router(ForeignRecords, Case):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.state = RouterState(self.up)
+        self.state = RouterNode(self.up)
         self.state.swim = Swim(Peer("me:1", ROUTER, "z1", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None)
         self.follow = self.state.feed_client
 
     async def start(self):
         """Follows the one that the test plays; gives the task and the connection."""
         self.follow.upstream.start(monotonic(), self.address)
-        task = asyncio.ensure_future(self.follow._from(self.address))
+        task = asyncio.ensure_future(self.follow.follow(self.address))
         self.addCleanup(task.cancel)
         return task, *await self.greeted()
 
--- a/tests/router/test_in_flight_gossip.py
+++ b/tests/router/test_in_flight_gossip.py
@@ -8,9 +8,10 @@
 from sparloom.discovery import Endpoint, EndpointList
 from sparloom.dynamic_timeout import Bucket
 from sparloom.membership import ROUTER, Peer, Swim, SwimTiming
-from sparloom.router import in_flight_gossip as tell_module
-from sparloom.router import router_state as know_module
-from sparloom.router.router_state import RouterState
+from sparloom.router import in_flight_gossip as gossip_module
+from sparloom.router import router_node as node_module
+from sparloom.router import router_state as state_module
+from sparloom.router.router_node import RouterNode
 from sparloom.settings import from_dict
 from tests.support.router_fixture import STARTUP
 
@@ -37,7 +38,7 @@
             up = from_dict(
                 {**STARTUP, "nodeName": f"front-{i}", "ipAddress": f"10.0.0.{i}", "zone": f"z{i % 3}"}
             ).unwrap()
-            k = RouterState(up)
+            k = RouterNode(up)
             k.random = random.Random(i)
             k.swim = Swim(
                 Peer(k.key, ROUTER, up.zone, "", k.gossip.instance_id, 0, 0),
@@ -49,7 +50,7 @@
                 Net(k.key, self),
                 EndpointList([Endpoint(f"i-{r}", "s", f"10.1.0.{r}:1", "z0", 8, False, 0) for r in range(4)], n),
             )
-            k.gossip.later = lambda wait, fn: None
+            k.gossip.call_later = lambda delay, callback: None
             k.backends = k.backends.renew(k.endpoint_list.runners, lambda s: 10**6)
             self.routers[k.key] = k
         for k in self.routers.values():
@@ -63,14 +64,14 @@
             self.turn, self.now = self.turn + 1, self.now + 50 * MS
             for k in self.all:
                 if self.turn % 4 == 1:
-                    k.count()
-                    k.see_tier()
+                    k.update_fleet_size()
+                    k.update_relay_tier()
                 k.gossip.tick(self.turn)
 
 
 class Words(unittest.TestCase):
     def setUp(self):
-        for m in (tell_module, know_module):
+        for m in (gossip_module, node_module, state_module):
             p = mock.patch.object(m, "monotonic", lambda: self.fleet.now if self.fleet else timedelta(seconds=100))
             p.start()
             self.addCleanup(p.stop)
@@ -142,7 +143,7 @@
         for k in ks[6:]:
             for o in ks[:6]:
                 o.swim._learn(Peer(k.key, ROUTER, k.settings.zone, "", k.gossip.instance_id, 1, 2))
-                o._drop_ended()
+                o.membership.report_departed()
         self.fleet.all = ks[:6]
         for _ in range(20):
             self.fleet.beat(4)
--- a/tests/router/test_reconfigured.py
+++ b/tests/router/test_reconfigured.py
@@ -63,7 +63,7 @@
             runner = self.rig.runners[1]
             kept = [Listed(runner.id, "s", f"127.0.0.1:{runner.port}", "z1", 8, False, 0)]
             state.endpoint_list = EndpointList(kept, 1)
-        state.renew()
+        state.update_backends()
         state.queues.tick()
 
     def check(self, path, ends):
--- a/tests/support/router_fixture.py
+++ b/tests/support/router_fixture.py
@@ -11,7 +11,7 @@
 from sparloom.membership import ROUTER, Peer, Swim, SwimTiming
 from sparloom.router.backends import BackendTable
 from sparloom.router.frontend import Frontend
-from sparloom.router.router_state import RouterState
+from sparloom.router.router_node import RouterNode
 from sparloom.settings import Address, from_dict
 from sparloom.transport import bind, monotonic
 
@@ -75,7 +75,7 @@
 
     async def __aenter__(self):
         self.runners = [await Runner(id=f"i-{i}").start() for i in range(self.n)]
-        self.state = k = RouterState(self.up)
+        self.state = k = RouterNode(self.up)
         k.started_at = monotonic() - timedelta(minutes=1)
         k.random = random.Random(1)
         k.swim = Swim(Peer("me:1", ROUTER, "z1", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), k.random)
--- a/tests/transport/test_dialing.py
+++ b/tests/transport/test_dialing.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from sparloom.controller.feed_server import FeedServer
-from sparloom.router.router_state import RouterState
+from sparloom.router.router_node import RouterNode
 from sparloom.settings import from_dict
 from sparloom.transport import DialTimeout, sockets
 from tests.support.router_fixture import STARTUP
@@ -62,8 +62,8 @@
         up = from_dict(STARTUP).unwrap()
 
         def follow():
-            follower = RouterState(up).feed_client
-            return lambda: follower._from("127.0.0.1:1")
+            follower = RouterNode(up).feed_client
+            return lambda: follower.follow("127.0.0.1:1")
 
         await self.check(up.bounds.contact, follow)
 
