--- a/sparloom/router/backends.py
+++ b/sparloom/router/backends.py
@@ -193,7 +193,7 @@
             backend.draining = endpoint.draining
             backend.warming_up = bool(endpoint.cold)
             backend.slots = endpoint.slots
-            backend.cached.room = tokens
+            backend.cached.capacity = tokens
             by_id[endpoint.id] = backend
         names = {backend.service for backend in by_id.values()}
         return BackendTable(
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -103,12 +103,12 @@
         return [
             Candidate(
                 p.id,
-                p.cached.unread(parts),
-                c.tokens(p.id, now),
+                p.cached.prefill_tokens(parts),
+                c.prefill_tokens(p.id, now),
                 c.count(p.id, now),
                 p.slots,
                 p.warming_up,
-                2 * p.is_suspected(now) + (c.silent(p.id, now) > 0) + 4 * (p.id in self.tried),
+                2 * p.is_suspected(now) + (c.unresponsive(p.id, now) > 0) + 4 * (p.id in self.tried),
                 p.zone == self.state.settings.zone,
                 p.has_idle_connection(),
                 rendezvous_weight(key, p.number),
@@ -126,10 +126,12 @@
             p = posts[s.id]
             if p.id in self.tried or p.open_calls >= pipes[p.id]:
                 continue
-            slot = self.state.in_flight.take(p.id, buckets_for(self.ask.route, p.slots, self.reserved), now, s.unread)
+            slot = self.state.in_flight.acquire(
+                p.id, buckets_for(self.ask.route, p.slots, self.reserved), now, s.prefill_tokens
+            )
             if slot:
-                self.ask.yields = is_heavy_prefill(s.unread, p.cached.room, p.slots)
-                p.cached.saw(self.ask.parts)
+                self.ask.yields = is_heavy_prefill(s.prefill_tokens, p.cached.capacity, p.slots)
+                p.cached.add(self.ask.parts)
                 self.state.gossip.on_prompt_sent(p, self.ask.parts[:-1])
                 self.state.prefix_recall.on_prompt_sent(p, self.ask.parts[:-1])
                 return p, slot
@@ -157,14 +159,14 @@
             verdict,
             self.out is not None,
             self.left(),
-            self.attempts == 0 or self.state.budget(self.service).allowed(monotonic(), self.state.nodes()),
+            self.attempts == 0 or self.state.budget(self.service).allows(monotonic(), self.state.nodes()),
             any(p.id not in self.tried for p in self._runners()),
         )
 
     # -- the whole way ------------------------------------------------------
     async def run(self):
         """Brings the reply, whatever it is."""
-        self.state.budget(self.service).asked(monotonic())
+        self.state.budget(self.service).on_request(monotonic())
         try:
             return await self._run()
         except ClientDisconnectedError as error:
@@ -210,7 +212,7 @@
             if isinstance(step, GiveUp):
                 return self._give_up(step)
             attempt = self._next_attempt()
-        return self._give_up(next_step(evolve(self._plan(verdict), others=False)))
+        return self._give_up(next_step(evolve(self._plan(verdict), has_alternatives=False)))
 
     def expire(self):
         """This router ends: what can still be answered is answered now."""
@@ -235,7 +237,7 @@
         return refusal
 
     def _give_up(self, step, back=ZERO):
-        if self.out is not None or step.cut:
+        if self.out is not None or step.truncate:
             return self._cut()
         status = 502 if step.status == 503 and self.worst is not NOT_RUN else step.status
         self.outcome = Outcome.REFUSED if status == 503 else Outcome.FAILED
@@ -260,7 +262,7 @@
         """None once the reply is through; else a verdict."""
         try:
             async with asyncio.timeout(max(0.0, self.left().total_seconds())) as self.limit:
-                verdict = None if attempt.response is not None else await attempt.open(self.thread.last)
+                verdict = None if attempt.response is not None else await attempt.open(self.thread.last_event_id)
                 if verdict is None and not self._fits(attempt.response):
                     verdict = MAY_HAVE_RUN
                 return verdict or await self._relay(attempt)
@@ -294,7 +296,7 @@
             return
         attempt = self._next_attempt()
         if attempt is not None:
-            self.ahead = HedgedAttempt(attempt, self.thread.last, self.left(), self._ahead_opened)
+            self.ahead = HedgedAttempt(attempt, self.thread.last_event_id, self.left(), self._ahead_opened)
 
     def _ahead_opened(self):
         """The other runner has answered: it takes over, unless it refuses or fails."""
@@ -359,8 +361,8 @@
             if self.out is None:
                 self.state.gossip.on_prefilled(attempt.slot)
                 await self._begin(response, length)
-            keep = b"".join(ev for ev in split.feed(raw) if self.thread.take(ev)) if joined else raw
-            if self.thread.broken:
+            keep = b"".join(ev for ev in split.feed(raw) if self.thread.accept(ev)) if joined else raw
+            if self.thread.has_gap:
                 response.close()
                 return RAN
             if keep:
--- a/sparloom/router/in_flight_gossip.py
+++ b/sparloom/router/in_flight_gossip.py
@@ -25,9 +25,6 @@
     from .membership_service import MembershipService
     from .router_state import RouterState
 
-    # calls, tokens, unresponsive, good ends, bad ends, accusers
-    Figures = tuple[int, int, int, int, int, int]
-
 # Prompt parts of so many tokens are worth telling the others.
 LONG_PREFIX_TOKENS = 1024
 GOSSIP_MESSAGES = (InFlightUpdate, MemberUpdate, GroupAggregate, FleetTotal)
@@ -40,11 +37,6 @@
 MAXIMUM_UINT32 = 0xFFFFFFFF
 
 
-def _figures(report: InFlightReport) -> Figures:
-    """The figures of a report, as the aggregator counts them."""
-    return report.calls, report.tokens, report.silent, report.good, report.bad, report.blamers
-
-
 class InFlightGossip:
     """Sends what this router has in flight, and takes in what the others have.
 
@@ -86,8 +78,8 @@
 
     def on_prefilled(self, slot: Slot) -> None:
         """A prompt's prefill is over; that of a long one is told at the next tick."""
-        self._urgent = self._urgent or slot.tokens >= LONG_PREFIX_TOKENS
-        slot.read(slot.tokens)
+        self._urgent = self._urgent or slot.prefill_tokens >= LONG_PREFIX_TOKENS
+        slot.on_prefilled(slot.prefill_tokens)
 
     # -- sending ------------------------------------------------------------
     def _reports(self) -> list[InFlightReport]:
@@ -98,7 +90,7 @@
             InFlightReport(
                 backends[id].number,
                 min(calls, MAXIMUM_UINT16),
-                min(in_flight.weight.get(id, 0), MAXIMUM_UINT32),
+                min(in_flight.own_prefill_tokens.get(id, 0), MAXIMUM_UINT32),
                 int(backends[id].unresponsive_calls > 0 and backends[id].is_suspected(now)),
                 0,
                 0,
@@ -116,7 +108,7 @@
         if not state.relay_tier.stands and (turn % CHANGED_TICKS == 0 or self._urgent):
             self._send_directly(turn)
         if self.tiered and turn % UNCHANGED_TICKS == 0:
-            state.in_flight.called(self._router_instances().items(), monotonic())
+            state.in_flight.note_callers(self._router_instances().items(), monotonic())
         if self.tiered or was_tiered:
             self._send_through_tier(was_tiered)
             view_ticks = RELAY_VIEW_TICKS if self.aggregator.acting else CHANGED_TICKS
@@ -154,11 +146,11 @@
         """The tier is new: what peers told directly counts until they are heard through the tier."""
         backends = self.state.backends.by_id
         for key, peer in self.state.in_flight.peers.items():
-            held = {short(backends[id].number): figures for id, figures in peer.held.items() if id in backends}
-            self.aggregator.hear_direct(peer.heard, key, peer.life, peer.seq, held)
+            held = {short(backends[id].number): figures for id, figures in peer.loads.items() if id in backends}
+            self.aggregator.hear_direct(peer.received_at, key, peer.instance_id, peer.sequence, held)
 
     def _report_to_aggregator(self, now: timedelta) -> None:
-        held = {short(report.resource): _figures(report) for report in self._reports()}
+        held = {short(report.resource): report.load() for report in self._reports()}
         self.aggregator.note(now, held, self.state.fleet_size.divisor)
 
     def _send_aggregates(self, now: timedelta) -> None:
@@ -191,7 +183,7 @@
         swim = self.membership.swim
         if self._instances_version != swim.version:
             self._instances_version = swim.version
-            self._instances = {peer.key: peer.life for peer in swim.alive() if peer.role == ROUTER}
+            self._instances = {peer.key: peer.instance_id for peer in swim.alive() if peer.role == ROUTER}
         return self._instances
 
     def _take_view(self, now: timedelta) -> None:
@@ -200,7 +192,7 @@
         if self._indexed_backends is not state.backends:
             self._index_backends()
         in_flight = state.in_flight
-        recent = [key for key, peer in in_flight.peers.items() if now - peer.heard <= in_flight.stale]
+        recent = [key for key, peer in in_flight.peers.items() if now - peer.received_at <= in_flight.stale]
         view = self.aggregator.view(now, recent)
         if view is None:
             in_flight.shared = None
@@ -217,20 +209,19 @@
     # -- receiving ------------------------------------------------------------
     def on_message(self, message: InFlightUpdate | MemberUpdate | GroupAggregate | FleetTotal, source: str) -> None:
         """Takes in another router's message; one of an instance that has ended is dropped."""
-        if not self.membership.swim.holds(message.key, message.life):
-            return
         if isinstance(message, InFlightUpdate):
-            self._on_update(message)
-        else:
+            if self.membership.swim.is_current(message.node, message.instance_id):
+                self._on_update(message)
+        elif self.membership.swim.is_current(message.key, message.life):
             self._on_aggregate(message)
 
     def _on_update(self, update: InFlightUpdate) -> None:
         now, state = monotonic(), self.state
-        state.in_flight.hear(update, now, state.backends.ids_by_number)
+        state.in_flight.on_update(update, now, state.backends.ids_by_number)
         if self.tiered:
-            held = {short(report.resource): _figures(report) for report in update.held}
-            self.aggregator.hear_direct(now, update.key, update.life, update.seq, held)
-        self._note_placements(update.reads)
+            held = {short(report.resource): report.load() for report in update.reports}
+            self.aggregator.hear_direct(now, update.node, update.instance_id, update.sequence, held)
+        self._note_placements(update.placements)
 
     def _on_aggregate(self, message: MemberUpdate | GroupAggregate | FleetTotal) -> None:
         now = monotonic()
@@ -246,11 +237,11 @@
         for placement in placements:
             id = backends.ids_by_number.get(placement.resource)
             if id is not None:
-                backends.by_id[id].cached.saw(((placement.part, placement.tokens),))
+                backends.by_id[id].cached.add(((placement.prefix, placement.tokens),))
 
     def on_departed(self, key: str, instance: int | None) -> None:
         """All instances at an address but the given one have ended: they hold nothing any more."""
-        self.state.in_flight.drop(key, instance)
+        self.state.in_flight.drop_node(key, instance)
         self.aggregator.gone(key, instance)
 
     def known_fleet_sizes(self) -> dict[str, int]:
@@ -259,7 +250,7 @@
         if state.in_flight.shared is not None:
             sizes: dict[str, int] = self.aggregator.crowds(now)
             return sizes
-        told = {key: peer.crowd for key, peer in state.in_flight.peers.items() if key in instances}
+        told = {key: peer.fleet_size for key, peer in state.in_flight.peers.items() if key in instances}
         if self.tiered and now - state.started_at < state.settings.bounds.contact:
             told[""] = 0
         return told
--- a/sparloom/router/membership_service.py
+++ b/sparloom/router/membership_service.py
@@ -83,11 +83,11 @@
 
     def _send(self, messages: Iterable[Send]) -> None:
         for message in messages:
-            self.datagrams.send(message.to, message.rec)
+            self.datagrams.send(message.to, message.record)
 
     def report_departed(self) -> None:
         """Reports the peers whose run has ended since the last call."""
-        for key, instance in self.swim.take_ended():
+        for key, instance in self.swim.take_departed():
             self.on_departed(key, instance)
 
     async def run(self, should_stop: Callable[[], bool]) -> None:
--- a/sparloom/router/prefix_recall.py
+++ b/sparloom/router/prefix_recall.py
@@ -99,10 +99,10 @@
     def on_message(self, source: str, answer: PrefixPlacements) -> None:
         """Takes in an answer; what it tells is older than all that this router has seen itself."""
         backends = self.state.backends
-        for placement in answer.reads:
+        for placement in answer.placements:
             id = backends.ids_by_number.get(placement.resource)
             if id is not None:
-                backends.by_id[id].cached.recalled(placement.part, placement.tokens)
+                backends.by_id[id].cached.add_recalled(placement.prefix, placement.tokens)
         self._answered.add(source)
         if self._queried_at is not None and self._queried <= self._answered:
             self._queried_at = None
--- a/sparloom/router/router_node.py
+++ b/sparloom/router/router_node.py
@@ -159,7 +159,7 @@
         """Notes among how many routers capacity is divided."""
         state = self.snapshots
         keys = sorted(peer.key for peer in self.membership.routers())
-        announced = state.endpoint_list.crowd if state.endpoint_list else 0
+        announced = state.endpoint_list.fleet_size if state.endpoint_list else 0
         state.fleet_size.see(
             monotonic(), 1 + len(keys), announced, self.gossip.known_fleet_sizes(), bisect(keys, state.key)
         )
