--- a/sparloom/router/backend_choice.py
+++ b/sparloom/router/backend_choice.py
@@ -14,13 +14,14 @@
 
 if TYPE_CHECKING:
     from datetime import timedelta
+    from random import Random
 
     from sparloom.dynamic_timeout import Slot
     from sparloom.isolation import Isolation
 
     from .backends import Backend
+    from .forwarding_services import ForwardingServices
     from .request import Request
-    from .router_state import RouterState
 
 # A candidate's penalty adds these up; any sum ranks behind all lower ones, whatever the load.
 UNRESPONSIVE_FOR_PEERS = 1
@@ -49,12 +50,12 @@
     allowed: tuple[Backend, ...]
 
 
-def choose_service(request: Request, state: RouterState) -> str:
+def choose_service(request: Request, random: Random) -> str:
     """Draw one of the route's services by weight; a route with a single service draws nothing."""
     split = request.route.split
     if len(split) == 1:
         return split[0][0]
-    remaining = state.random.random() * sum(weight for _, weight in split)
+    remaining = random.random() * sum(weight for _, weight in split)
     for name, weight in split:
         remaining -= weight
         if remaining < 0 and weight > 0:
@@ -72,17 +73,17 @@
     tried: ids of the backends that an attempt was made at.
     """
 
-    def __init__(self, state: RouterState, request: Request) -> None:
-        self._state = state
+    def __init__(self, services: ForwardingServices, request: Request) -> None:
+        self._services = services
         self._request = request
         self._eligible: _Eligible | None = None
-        self.service = choose_service(request, state)
+        self.service = choose_service(request, services.random)
         self.tried: set[str] = set()
 
     def eligible(self) -> tuple[Backend, ...]:
         """Return the backends that may serve the request; fewer where members' prompts are isolated."""
-        backends = self._state.backends.of(self.service)
-        isolation = self._state.settings.isolation
+        backends = self._services.state.backends.of(self.service)
+        isolation = self._services.state.settings.isolation
         if isolation is None:
             return backends
         cached = self._eligible
@@ -102,7 +103,7 @@
         """
         now = monotonic()
         backends = {backend.id: backend for backend in self.eligible()}
-        connection_limits = self._state.queues.connections(self.service)
+        connection_limits = self._services.queues.connections(self.service)
         count_event("weighed runners", len(backends))
         candidates = [self._candidate(backend, now) for backend in backends.values()]
         shared_tokens = sum(tokens for _, tokens in self._request.shared_parts)
@@ -118,7 +119,7 @@
         return None
 
     def _candidate(self, backend: Backend, now: timedelta) -> Candidate:
-        in_flight = self._state.in_flight
+        in_flight = self._services.in_flight
         return Candidate(
             backend.id,
             backend.cached.prefill_tokens(self._request.parts),
@@ -127,7 +128,7 @@
             backend.slots,
             backend.warming_up,
             self._penalty(backend, now),
-            backend.zone == self._state.settings.zone,
+            backend.zone == self._services.state.settings.zone,
             backend.has_idle_connection(),
             rendezvous_weight(self._request.affinity_key, backend.number),
         )
@@ -135,13 +136,13 @@
     def _penalty(self, backend: Backend, now: timedelta) -> int:
         return (
             SUSPECTED_HERE * backend.is_suspected(now)
-            + UNRESPONSIVE_FOR_PEERS * (self._state.in_flight.unresponsive(backend.id, now) > 0)
+            + UNRESPONSIVE_FOR_PEERS * (self._services.in_flight.unresponsive(backend.id, now) > 0)
             + ALREADY_TRIED * (backend.id in self.tried)
         )
 
     def _take_slot(self, backend: Backend, prefill_tokens: int, now: timedelta, reserved: bool) -> BackendChoice | None:
         buckets = buckets_for(self._request.route, backend.slots, reserved)
-        slot = self._state.in_flight.acquire(backend.id, buckets, now, prefill_tokens)
+        slot = self._services.in_flight.acquire(backend.id, buckets, now, prefill_tokens)
         if slot is None:
             return None
         return BackendChoice(backend, slot, is_heavy_prefill(prefill_tokens, backend.cached.capacity, backend.slots))
@@ -150,5 +151,5 @@
         """Note that the backend will have the prompt cached, here, at the other routers and at a controller."""
         shared = self._request.shared_parts
         backend.cached.add(self._request.parts)
-        self._state.gossip.on_prompt_sent(backend, shared)
-        self._state.prefix_recall.on_prompt_sent(backend, shared)
+        self._services.gossip.on_prompt_sent(backend, shared)
+        self._services.prefix_recall.on_prompt_sent(backend, shared)
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -33,8 +33,8 @@
 
     from sparloom.retry import Verdict
 
+    from .forwarding_services import ForwardingServices
     from .request import Request
-    from .router_state import RouterState
 
 ZERO = timedelta(0)
 FIRST_SERVER_ERROR = 500
@@ -55,17 +55,18 @@
 
     def __init__(
         self,
-        state: RouterState,
+        services: ForwardingServices,
         http_request: web.BaseRequest,
         request: Request,
         closing: Callable[[], bool],
     ) -> None:
-        self._state = state
+        self._services = services
         self.request = request
         self.outcome = Outcome.UNANSWERED
-        self._chooser = BackendChooser(state, request)
+        self._chooser = BackendChooser(services, request)
         self._relay = ResponseRelay(http_request, request, self._on_progress, self._on_prefilled, closing)
         self._hedging = Hedging(self._is_preferable, self._end_wait, self._uncount_attempt)
+        self._budget = services.budgets.of(self._chooser.service)
         self._deadline = request.deadline
         self._attempts = 0
         self._reserved = False
@@ -80,7 +81,7 @@
         ------
         asyncio.CancelledError: the client has left.
         """
-        self._state.budget(self._chooser.service).on_request(monotonic())
+        self._budget.on_request(monotonic())
         try:
             return await self._admit()
         except ClientDisconnectedError as error:
@@ -96,7 +97,7 @@
         """Wait for admission, then forward."""
         if not self._chooser.eligible():
             return self._give_up(GiveUp(refusal.UNAVAILABLE))
-        service, queues = self._chooser.service, self._state.queues
+        service, queues = self._chooser.service, self._services.queues
         try:
             # Only expire() sets an end to this wait: the queue itself rejects what waits too long.
             async with asyncio.timeout(None) as self._wait:
@@ -142,10 +143,10 @@
         if choice is None:
             return None
         if self._attempts:
-            self._state.budget(self._chooser.service).spend(monotonic())
+            self._budget.spend(monotonic())
         self._attempts += 1
         count_event("attempts")
-        return Attempt(self._state, self.request, choice, self._hedge)
+        return Attempt(self._services.state, self.request, choice, self._hedge)
 
     async def _carry_out(self, attempt: Attempt) -> Verdict | None:
         """Open an attempt, unless it is open, and relay its response; None once that is complete."""
@@ -184,8 +185,7 @@
         return isinstance(next_step(self._retry_context(MAY_HAVE_RUN)), Retry)
 
     def _retry_context(self, verdict: Verdict) -> RetryContext:
-        route, state = self.request.route, self._state
-        budget = state.budget(self._chooser.service)
+        route = self.request.route
         return RetryContext(
             idempotent=route.repeatable,
             max_attempts=route.max_attempts,
@@ -193,10 +193,13 @@
             verdict=verdict,
             response_started=self._relay.begun,
             time_left=self._time_left(),
-            within_budget=self._attempts == 0 or budget.allows(monotonic(), state.nodes()),
+            within_budget=self._attempts == 0 or self._within_budget(),
             has_alternatives=self._chooser.has_untried(),
         )
 
+    def _within_budget(self) -> bool:
+        return self._budget.allows(monotonic(), self._services.state.fleet_size.divisor)
+
     # -- hedging ------------------------------------------------------------------
     def _hedge(self) -> None:
         """The backend is unresponsive: an idempotent request is opened at another one as well."""
@@ -219,7 +222,7 @@
             self._end_wait(self._seconds_left())
 
     def _on_prefilled(self, attempt: Attempt) -> None:
-        self._state.gossip.on_prefilled(attempt.slot)
+        self._services.gossip.on_prefilled(attempt.slot)
 
     # -- time ---------------------------------------------------------------------
     def _time_left(self) -> timedelta:
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -28,7 +28,7 @@
     from sparloom.settings import Settings
 
     from .client_connections import ClientConnection
-    from .router_state import RouterState
+    from .router_node import RouterNode
 
 IDLE_SWEEP_INTERVAL = timedelta(seconds=1)
 DRAIN_POLL_INTERVAL = timedelta(milliseconds=25)
@@ -58,10 +58,10 @@
     client_server: ClientServer
     client_runner: web.ServerRunner
 
-    def __init__(self, settings: Settings, router_state: RouterState) -> None:
+    def __init__(self, settings: Settings, node: RouterNode) -> None:
         super().__init__()
         self.settings = settings
-        self.router_state = router_state
+        self.node = node
         self.graceful_shutdown: GracefulShutdown | None = None
         self.forwarders: set[RequestForwarder] = set()
         self.outcomes = Outcomes()
@@ -103,7 +103,7 @@
 
     def idle_timeout(self) -> timedelta:
         """Return for how long a client's idle connection is kept: never less than the configuration allows."""
-        configuration = self.router_state.configuration
+        configuration = self.node.configuration
         if configuration is None:
             return MINIMUM_IDLE_TIMEOUT
         return max(MINIMUM_IDLE_TIMEOUT, configuration.caps.idle)
@@ -120,12 +120,12 @@
             return web.json_response(self.beliefs())
         if http_request.path != READY_PATH:
             return web.Response(status=NOT_FOUND)
-        ready = self.router_state.ready() and not self.stopping
+        ready = self.node.ready() and not self.stopping
         return web.Response(status=200 if ready else UNAVAILABLE)
 
     def beliefs(self) -> dict[str, Any]:
         """Return what this router believes, for the comparison of all nodes."""
-        return beliefs_of(self.settings, self.router_state, self.outcomes)
+        return beliefs_of(self.settings, self.node, self.outcomes)
 
     # -- requests -----------------------------------------------------------------
     async def _handle(self, http_request: web.BaseRequest) -> web.StreamResponse:
@@ -140,8 +140,8 @@
 
     async def _respond(self, http_request: web.BaseRequest) -> web.StreamResponse:
         """Read a request, match it to a route and forward it."""
-        received_at, state = monotonic(), self.router_state
-        await state.wait_known(time_remaining(http_request.headers, self.settings.bounds.contact))
+        received_at, state = monotonic(), self.node.snapshots
+        await self.node.wait_known(time_remaining(http_request.headers, self.settings.bounds.contact))
         if state.configuration is None:
             return web.Response(status=UNAVAILABLE, headers={"Retry-After": RETRY_AFTER_UNCONFIGURED})
         limits = state.configuration.caps
@@ -156,9 +156,10 @@
         route = state.configuration.match(http_request.headers.get("Host", ""), path)
         if route is None:
             return web.Response(status=NOT_FOUND)
-        member, isolation = state.queues.member(route), self.settings.isolation
+        member, isolation = self.node.queues.member(route), self.settings.isolation
         request = parse_request(http_request, body, route, received_at, member, isolation)
-        return await self._forward(RequestForwarder(state, http_request, request, lambda: self.stopping))
+        services = self.node.forwarding_services()
+        return await self._forward(RequestForwarder(services, http_request, request, lambda: self.stopping))
 
     async def _forward(self, forwarder: RequestForwarder) -> web.StreamResponse:
         """Forward a request, or refuse it where this router may stop before it ends."""
