--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -10,7 +10,7 @@
 import asyncio
 from contextlib import suppress
 from datetime import timedelta
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, cast
 
 from attrs import evolve
 
@@ -133,8 +133,9 @@
             if isinstance(step, GiveUp):
                 return self._give_up(step)
             attempt = self._next_attempt()
-        # No backend has capacity.
-        return self._give_up(next_step(evolve(self._retry_context(last_verdict), has_alternatives=False)))
+        # No backend has capacity; without alternatives the next step is never a retry.
+        step = next_step(evolve(self._retry_context(last_verdict), has_alternatives=False))
+        return self._give_up(cast("GiveUp", step))
 
     # -- attempts -----------------------------------------------------------------
     def _next_attempt(self) -> Attempt | None:
--- a/tests/router/test_answers.py
+++ b/tests/router/test_answers.py
@@ -1,4 +1,4 @@
-"""What a router makes of runners' answers that don't fit, and what it may send again."""
+"""Invalid responses of backends, and which requests may be retried."""
 
 import asyncio
 import random
@@ -36,29 +36,29 @@
     async def test_a_connection_with_a_refusal_left_on_it_is_not_taken_up_again(self):
         for i in range(8):
             self.script("leftover")
-            a = await self.rig.send("/once/x", id=f"s{i}")
-            self.assertEqual((a.status, a.whole, len(self.got)), (200, True, i + 1))
+            answer = await self.rig.send("/once/x", id=f"s{i}")
+            self.assertEqual((answer.status, answer.whole, len(self.got)), (200, True, i + 1))
             async with asyncio.timeout(2):
                 while any(p.has_idle_connection() for p in self.rig.state.backends.by_id.values()):
                     await asyncio.sleep(0)
 
     async def test_a_refusal_counts_though_its_body_never_ends(self):
         for word in ("endless", "shedshort"):
-            n = len(self.got)
+            sent_before = len(self.got)
             self.script(word)
-            a = await self.rig.send("/once/x")
-            self.assertEqual((a.status, a.whole, len(self.got) - n), (200, True, 2))
-            for p in self.rig.state.backends.by_id.values():
-                p.record_success()
+            answer = await self.rig.send("/once/x")
+            self.assertEqual((answer.status, answer.whole, len(self.got) - sent_before), (200, True, 2))
+            for backend in self.rig.state.backends.by_id.values():
+                backend.record_success()
 
     async def test_a_connection_that_never_came_about_has_carried_nothing(self):
         for failure in (aiohttp.ConnectionTimeoutError(), aiohttp.ClientConnectorError(None, OSError())):
             first = FailsOnce(failure)
             with mock.patch.object(Backend, "session", first.pipes(Backend.session)):
-                a = await self.rig.send("/unsafe/x")
-            self.assertEqual((a.status, a.whole, first.failed), (200, True, True))
-            for p in self.rig.state.backends.by_id.values():
-                p.record_success()
+                answer = await self.rig.send("/unsafe/x")
+            self.assertEqual((answer.status, answer.whole, first.failed), (200, True, True))
+            for backend in self.rig.state.backends.by_id.values():
+                backend.record_success()
 
     async def test_no_session_repeats_by_itself_nor_keeps_cookies(self):
         session = open_session(Connector())
@@ -68,10 +68,10 @@
 
     async def test_a_get_is_not_sent_again_by_the_library(self):
         await self.rig.send("/unsafe/x", method="GET", body=b"")
-        n = len(self.got)
+        sent_before = len(self.got)
         self.script("reset")
-        a = await self.rig.send("/unsafe/x", method="GET", body=b"")
-        self.assertEqual((a.status, len(self.got) - n), (502, 1))
+        answer = await self.rig.send("/unsafe/x", method="GET", body=b"")
+        self.assertEqual((answer.status, len(self.got) - sent_before), (502, 1))
 
     async def test_what_is_no_sound_answer_is_not_passed_on(self):
         chunk = b"3\r\nabc\r\n0\r\n\r\n"
@@ -92,17 +92,19 @@
             for path in ("/unsafe/x", "/once/x"):
                 with self.subTest(name, path=path):
                     self.script("raw")
-                    a = await self.rig.send(path)
-                    passed_on = a.status == 200 and a.whole or "x-sparloom-runner-seal" in a.heads
-                    self.assertEqual((a.status == 502, passed_on), (True, False))
+                    answer = await self.rig.send(path)
+                    passed_on = answer.status == 200 and answer.whole or "x-sparloom-runner-seal" in answer.heads
+                    self.assertEqual((answer.status == 502, passed_on), (True, False))
 
     async def test_surplus_answers_reach_nobody(self):
         for i in range(6):
             self.script("extra")
-            a = await self.rig.send("/once/x", id=f"e{i}")
-            self.assertIn(a.status, (200, 502))
-            if a.status == 200:
-                self.assertEqual((a.heads["x-sparloom-attempt-id"], a.body, a.whole), (f"e{i}", EVENTS, True))
+            answer = await self.rig.send("/once/x", id=f"e{i}")
+            self.assertIn(answer.status, (200, 502))
+            if answer.status == 200:
+                self.assertEqual(
+                    (answer.heads["x-sparloom-attempt-id"], answer.body, answer.whole), (f"e{i}", EVENTS, True)
+                )
 
 
 class Attempts(Case):
@@ -110,19 +112,19 @@
 
     async def test_refusals_count_among_the_attempts_of_a_route(self):
         for word in ("shed", "moved"):
-            n = len(self.got)
+            sent_before = len(self.got)
             self.script(*[word] * 5)
-            a = await self.rig.send("/once/x")
-            self.assertEqual((a.status, len(self.got) - n), (503, 2))
+            answer = await self.rig.send("/once/x")
+            self.assertEqual((answer.status, len(self.got) - sent_before), (503, 2))
 
     async def test_a_refusal_with_no_room_anywhere_else_is_503(self):
         for word, path, status in (("shed", "/once/x", 503), ("reset", "/safe/x", 502)):
             self.script(word)
             with mock.patch.object(InFlightCounts, "acquire", self.once(InFlightCounts.acquire)):
-                a = await self.rig.send(path)
-            self.assertEqual((a.status, "retry-after" in a.heads), (status, status == 503))
-            for p in self.rig.state.backends.by_id.values():
-                p.record_success()
+                answer = await self.rig.send(path)
+            self.assertEqual((answer.status, "retry-after" in answer.heads), (status, status == 503))
+            for backend in self.rig.state.backends.by_id.values():
+                backend.record_success()
 
     @staticmethod
     def once(take):
@@ -133,8 +135,8 @@
     async def test_runners_that_take_no_connection_do_not(self):
         for r in self.rig.runners[:4]:
             r.server.close()
-        a = await self.rig.send("/single/x")
-        self.assertEqual((a.status, a.whole, len(self.got)), (200, True, 1))
+        answer = await self.rig.send("/single/x")
+        self.assertEqual((answer.status, answer.whole, len(self.got)), (200, True, 1))
 
 
 class Storm(Case):
--- a/tests/router/test_frontend.py
+++ b/tests/router/test_frontend.py
@@ -1,4 +1,4 @@
-"""A router's front against stand-in runners, over loopback."""
+"""The frontend against fake runners, over loopback."""
 
 import asyncio
 import unittest
@@ -35,20 +35,20 @@
         for word in words:
             for path in ("/once/x", "/unsafe/x"):
                 with self.subTest(word=word, path=path):
-                    n = len(self.got)
+                    sent_before = len(self.got)
                     self.script(word)
-                    a = await self.rig.send(path)
-                    self.assertEqual((a.status, len(self.got) - n), (502, 1))
-                    for p in self.rig.state.backends.by_id.values():
-                        p.record_success()
+                    answer = await self.rig.send(path)
+                    self.assertEqual((answer.status, len(self.got) - sent_before), (502, 1))
+                    for backend in self.rig.state.backends.by_id.values():
+                        backend.record_success()
 
 
-class Passing(Case):
+class Forwarding(Case):
     async def test_a_stream_comes_through_unchanged(self):
-        a = await self.rig.send("/once/x")
-        self.assertEqual((a.status, a.body, a.whole), (200, EVENTS, True))
-        self.assertTrue(a.heads["x-sparloom-runner-seal"].startswith("seal.i-"))
-        self.assertEqual(a.heads["x-sparloom-attempt-id"], "a1")
+        answer = await self.rig.send("/once/x")
+        self.assertEqual((answer.status, answer.body, answer.whole), (200, EVENTS, True))
+        self.assertTrue(answer.heads["x-sparloom-runner-seal"].startswith("seal.i-"))
+        self.assertEqual(answer.heads["x-sparloom-attempt-id"], "a1")
 
     async def test_raw_paths_arrive_as_sent(self):
         for path in (
@@ -67,17 +67,17 @@
 
     async def test_method_and_body_arrive_unchanged(self):
         body = bytes(range(256)) * 20
-        for m in ("POST", "PUT", "PATCH", "DELETE", "OPTIONS"):
-            await self.rig.send("/once/m", body=body, method=m)
+        for method in ("POST", "PUT", "PATCH", "DELETE", "OPTIONS"):
+            await self.rig.send("/once/m", body=body, method=method)
         self.assertEqual(sorted(g.line.split()[0] for g in self.got), ["DELETE", "OPTIONS", "PATCH", "POST", "PUT"])
         self.assertTrue(all(g.body == body for g in self.got))
 
     async def test_chunked_bodies_arrive_whole(self):
         raw = b"POST /once/c HTTP/1.1\r\nHost: h.example\r\nX-Sparloom-Attempt-Id: c1\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n"
-        a = await self.rig.send("", raw=raw)
-        self.assertEqual((a.status, self.got[0].body), (200, b"hello world"))
+        answer = await self.rig.send("", raw=raw)
+        self.assertEqual((answer.status, self.got[0].body), (200, b"hello world"))
 
-    async def test_end_to_end_heads_go_along_and_others_do_not(self):
+    async def test_end_to_end_headers_are_forwarded_and_others_are_not(self):
         await self.rig.send(
             "/once/h",
             heads=[
@@ -90,17 +90,18 @@
                 "User-Agent: me",
             ],
         )
-        g = self.got[0]
-        self.assertEqual([v for k, v in g.heads if k == "X-Mine"], ["1", "2"])
+        received = self.got[0]
+        self.assertEqual([value for name, value in received.heads if name == "X-Mine"], ["1", "2"])
         self.assertEqual(
-            (g.head("User-Agent"), g.head("Accept-Encoding"), g.head("Host")), ("me", "identity", "h.example")
+            (received.head("User-Agent"), received.head("Accept-Encoding"), received.head("Host")),
+            ("me", "identity", "h.example"),
         )
-        self.assertIsNone(g.head("Te"))
-        self.assertIsNone(g.head("X-Hop"))
+        self.assertIsNone(received.head("Te"))
+        self.assertIsNone(received.head("X-Hop"))
 
     async def test_nothing_is_added_but_what_the_protocol_names(self):
         await self.rig.send("/once/h")
-        names = {k.lower() for k, _ in self.got[0].heads}
+        names = {name.lower() for name, _ in self.got[0].heads}
         self.assertEqual(
             names,
             {
@@ -115,19 +116,19 @@
 
     async def test_the_runner_is_named_and_the_time_left_shrinks(self):
         await self.rig.send("/once/h", left=1500)
-        g = self.got[0]
-        self.assertIn(g.head("X-Sparloom-Expected-Instance"), ("i-0", "i-1"))
-        self.assertLessEqual(int(g.head("X-Sparloom-Deadline-Remaining")), 1500)
+        received = self.got[0]
+        self.assertIn(received.head("X-Sparloom-Expected-Instance"), ("i-0", "i-1"))
+        self.assertLessEqual(int(received.head("X-Sparloom-Deadline-Remaining")), 1500)
 
     async def test_encoded_replies_are_not_undone(self):
         self.script("gzip")
-        a = await self.rig.send("/once/z")
-        self.assertEqual((a.heads.get("content-encoding"), a.body[:2]), ("gzip", b"\x1f\x8b"))
+        answer = await self.rig.send("/once/z")
+        self.assertEqual((answer.heads.get("content-encoding"), answer.body[:2]), ("gzip", b"\x1f\x8b"))
 
     async def test_redirects_are_passed_on_not_followed(self):
         self.script("redirect")
-        a = await self.rig.send("/once/z")
-        self.assertEqual((a.status, a.heads["location"], len(self.got)), (302, "/elsewhere", 1))
+        answer = await self.rig.send("/once/z")
+        self.assertEqual((answer.status, answer.heads["location"], len(self.got)), (302, "/elsewhere", 1))
 
     async def test_a_runners_own_error_is_passed_on(self):
         self.script("error")
@@ -140,25 +141,25 @@
         self.rig.state.configuration = None
         self.assertEqual(self.rig.front.clients()().keepalive_timeout, 75)
 
-    async def test_pipes_are_used_again(self):
+    async def test_connections_are_reused(self):
         for i in range(6):
             await self.rig.send("/once/z", id=f"k{i}")
         self.assertLessEqual(sum(r.pipes for r in self.rig.runners), 2)
 
 
-class TurningAway(Case):
+class Refusing(Case):
     async def test_a_router_that_knows_nothing_yet_holds_no_request_past_its_deadline(self):
-        k = self.rig.state
-        k.configuration = None
-        k.prefixes_known.clear()
-        async with asyncio.timeout(k.settings.bounds.contact.total_seconds() / 4):
-            a = await self.rig.send("/once/x", left=20)
-        self.assertEqual((a.status, "retry-after" in a.heads), (503, True))
-
-    async def test_what_has_no_time_left_is_not_sent_on(self):
+        state = self.rig.state
+        state.configuration = None
+        state.prefixes_known.clear()
+        async with asyncio.timeout(state.settings.bounds.contact.total_seconds() / 4):
+            answer = await self.rig.send("/once/x", left=20)
+        self.assertEqual((answer.status, "retry-after" in answer.heads), (503, True))
+
+    async def test_what_has_no_time_left_is_not_forwarded(self):
         with mock.patch.object(AdmissionQueues, "enter", self.late(AdmissionQueues.enter)):
-            a = await self.rig.send("/once/x", left=50)
-        self.assertEqual((a.status, self.got), (503, []))
+            answer = await self.rig.send("/once/x", left=50)
+        self.assertEqual((answer.status, self.got), (503, []))
 
     @staticmethod
     def late(enter):
@@ -180,80 +181,80 @@
         self.assertEqual((await self.rig.send("/once/x", heads=["X-Big: " + "y" * 5000])).status, 431)
 
     async def test_ill_formed_http_gets_400_and_a_close(self):
-        a = await self.rig.send("", raw=b"NONSENSE\r\n\r\n")
-        self.assertEqual(a.status, 400)
+        answer = await self.rig.send("", raw=b"NONSENSE\r\n\r\n")
+        self.assertEqual(answer.status, 400)
 
-    async def test_no_runner_is_503_at_once_with_a_time_to_come_back(self):
+    async def test_no_backend_is_503_at_once_with_a_retry_after(self):
         self.rig.state.backends = type(self.rig.state.backends)()
-        a = await self.rig.send("/once/x")
-        self.assertEqual(a.status, 503)
-        self.assertGreater(float(a.heads["retry-after"]), 0)
+        answer = await self.rig.send("/once/x")
+        self.assertEqual(answer.status, 503)
+        self.assertGreater(float(answer.heads["retry-after"]), 0)
 
     async def test_past_the_last_bucket_nothing_is_sent(self):
-        k = self.rig.state
-        for p in k.backends.by_id.values():
-            k.in_flight.own[p.id] = 10**4
-        a = await self.rig.send("/once/x")
-        self.assertEqual((a.status, self.got), (503, []))
-        self.assertIn("retry-after", a.heads)
+        state = self.rig.state
+        for backend in state.backends.by_id.values():
+            state.in_flight.own[backend.id] = 10**4
+        answer = await self.rig.send("/once/x")
+        self.assertEqual((answer.status, self.got), (503, []))
+        self.assertIn("retry-after", answer.heads)
 
 
-class Recovering(Case):
+class Retrying(Case):
     async def test_shed_is_sent_elsewhere(self):
         self.script("shed")
-        a = await self.rig.send("/once/x")
-        self.assertEqual((a.status, a.whole, len(self.got)), (200, True, 2))
+        answer = await self.rig.send("/once/x")
+        self.assertEqual((answer.status, answer.whole, len(self.got)), (200, True, 2))
 
     async def test_shed_with_one_attempt_is_503(self):
         self.script("shed")
-        a = await self.rig.send("/single/x")
-        self.assertEqual((a.status, len(self.got)), (503, 1))
+        answer = await self.rig.send("/single/x")
+        self.assertEqual((answer.status, len(self.got)), (503, 1))
 
-    async def test_another_life_at_the_address_did_not_run_it(self):
+    async def test_another_instance_at_the_address_did_not_run_it(self):
         self.script("moved", "moved")
-        a = await self.rig.send("/once/x")
-        self.assertEqual((a.status, len(self.got)), (503, 2))
+        answer = await self.rig.send("/once/x")
+        self.assertEqual((answer.status, len(self.got)), (503, 2))
 
     async def test_what_may_have_run_is_not_sent_again_nor_promised(self):
         await self.each_is_sent_once("reset", "busy", "noseal", "otherid", "junk")
 
-    async def test_safe_asks_are_sent_again(self):
+    async def test_safe_requests_are_retried(self):
         self.script("reset")
         self.assertEqual((await self.rig.send("/safe/x")).status, 200)
 
     async def test_a_resumable_stream_goes_on_inside_one_reply(self):
         self.script("cut")
-        a = await self.rig.send("/resume/x")
-        self.assertEqual((a.status, a.body, a.whole), (200, EVENTS, True))
+        answer = await self.rig.send("/resume/x")
+        self.assertEqual((answer.status, answer.body, answer.whole), (200, EVENTS, True))
         self.assertEqual([g.head("Last-Event-Id") for g in self.got if g.head("Last-Event-Id")], ["2"])
         first = next(r for r in self.rig.runners if not r.got[0].head("Last-Event-Id"))
-        self.assertIn(first.id, a.heads["x-sparloom-runner-seal"])
+        self.assertIn(first.id, answer.heads["x-sparloom-runner-seal"])
 
     async def test_any_other_stream_is_cut_visibly(self):
         for word in ("cut", "short"):
             self.script(word)
-            a = await self.rig.send("/once/x")
-            self.assertFalse(a.whole)
+            answer = await self.rig.send("/once/x")
+            self.assertFalse(answer.whole)
 
     async def test_the_budget_bounds_further_arrivals(self):
-        b = self.rig.state.budget("s")
-        b.ratio = b.slack = 0
+        budget = self.rig.state.budget("s")
+        budget.ratio = budget.slack = 0
         self.script("shed")
-        a = await self.rig.send("/once/x")
-        self.assertEqual((a.status, len(self.got)), (503, 1))
+        answer = await self.rig.send("/once/x")
+        self.assertEqual((answer.status, len(self.got)), (503, 1))
 
 
-class Waiting(Case):
-    async def test_silence_moves_a_repeatable_ask_on(self):
+class Hedging(Case):
+    async def test_an_unresponsive_backend_makes_an_idempotent_request_hedge(self):
         self.script("hang")
-        a = await self.rig.send("/quick/x")
-        self.assertEqual((a.status, a.whole, len(self.got)), (200, True, 2))
+        answer = await self.rig.send("/quick/x")
+        self.assertEqual((answer.status, answer.whole, len(self.got)), (200, True, 2))
 
-    async def test_silence_does_not_break_off_any_other(self):
+    async def test_an_unresponsive_backend_ends_no_other_request(self):
         self.script("hang")
         task = asyncio.ensure_future(self.rig.send("/brief/x"))
-        a = await task
-        self.assertEqual((a.status, len(self.got)), (504, 1))
+        answer = await task
+        self.assertEqual((answer.status, len(self.got)), (504, 1))
 
     async def test_slots_are_freed_on_every_end(self):
         for word in ("ok", "cut", "reset", "shed", "junk", "noseal"):
@@ -263,7 +264,7 @@
         await self.rig.send("/brief/x")
         self.assertEqual(self.rig.state.in_flight.own, {})
 
-    async def test_a_requester_that_goes_frees_its_slot_and_its_runner(self):
+    async def test_a_client_that_disconnects_frees_its_slot_and_its_backend(self):
         self.script("hang")
         _, writer = await asyncio.open_connection("127.0.0.1", self.rig.port)
         writer.write(
--- a/tests/router/test_graceful_shutdown.py
+++ b/tests/router/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A router that is told to end: every request that it has read is answered, refused, or rightly broken off."""
+"""A graceful shutdown: every request that the router has read is answered, refused, or rightly aborted."""
 
 import asyncio
 import random
--- a/tests/router/test_hedging.py
+++ b/tests/router/test_hedging.py
@@ -1,4 +1,4 @@
-"""A runner that is silent: a repeatable request may go on at another one, and never ends for the silence's sake."""
+"""An unresponsive backend: an idempotent request may go on at another one, and never ends for that alone."""
 
 import asyncio
 import unittest
