--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -10,17 +10,17 @@
 from aiohttp import web
 from mode import Service
 
+from sparloom.feed import CONFIGURATION, ENDPOINTS
+from sparloom.metrics.reporter import process_figures
 from sparloom.transport import bind, monotonic
 
-from .beliefs import beliefs_of
 from .client_connections import MINIMUM_IDLE_TIMEOUT, ClientServer
 from .forwarding import RequestForwarder
 from .graceful_shutdown import GracefulShutdown
 from .headers import time_remaining
 from .outcomes import Outcome, Outcomes
 from .refusal import UNAVAILABLE, closing_response
-from .request import parse_request
-from .request_body import RequestBodyError, read_body
+from .request import RequestBodyError, parse_request, read_body
 
 if TYPE_CHECKING:
     import socket
@@ -41,6 +41,8 @@
 HEADERS_TOO_LARGE = 431
 # Bytes that a header line has beside its name and its value: ": " and the line's end.
 HEADER_LINE_OVERHEAD = 4
+# The names of SWIM's states, by number.
+PEER_STATES = ("alive", "suspect", "dead")
 
 
 class Frontend(Service):
@@ -208,3 +210,35 @@
 def _size_of_headers(http_request: web.BaseRequest) -> int:
     """Return the bytes that the headers took on the wire."""
     return sum(len(name) + len(value) + HEADER_LINE_OVERHEAD for name, value in http_request.raw_headers)
+
+
+def beliefs_of(settings: Settings, node: RouterNode, outcomes: Outcomes) -> dict[str, Any]:
+    """Return the beliefs under the names that the protocol gives them."""
+    now = monotonic()
+    backends = node.backends.by_id
+    peers = (entry.peer for entry in node.swim.table.values())
+    configuration, isolation = node.configuration, settings.isolation
+    return {
+        "node": settings.node,
+        "role": "router",
+        "key": node.key,
+        "policy": list(node.shelf.version(CONFIGURATION)),
+        "runners": list(node.shelf.version(ENDPOINTS)),
+        "revision": configuration.revision if configuration else 0,
+        "members": {peer.key: PEER_STATES[peer.state] for peer in peers},
+        "fleet": {backend.id: "draining" if backend.draining else "ready" for backend in backends.values()},
+        "counts": {backend_id: node.in_flight.count(backend_id, now) for backend_id in backends},
+        "ready": node.ready(),
+        "shares": {
+            f"{service} {member}": figures
+            for service, members in node.queues.figures().items()
+            for member, figures in members.items()
+        },
+        "divisor": node.fleet_size.divisor,
+        "relays": dict.fromkeys(node.relay_tier.relays, "relay"),
+        "tier": node.relay_server.told(),
+        "requests": outcomes.figures(),
+        "isolation": isolation.fingerprints() if isolation else [],
+        "runnersBeforeIsolation": node.lives_before_isolation(),
+        "meter": process_figures(),
+    }
--- a/sparloom/router/request.py
+++ b/sparloom/router/request.py
@@ -1,11 +1,13 @@
-"""A client's request as the router holds it, and the headers that go upstream with it."""
+"""A client's request: its body read, its headers parsed, and those that go upstream with it."""
 
 from __future__ import annotations
 
+import asyncio
 from typing import TYPE_CHECKING
 
 from attrs import define
 
+from sparloom.errors import SparloomError
 from sparloom.isolation import part_ids
 from sparloom.load_balancing import parse_parts
 from sparloom.retry.verdict import ResponseHead
@@ -21,7 +23,7 @@
     from aiohttp.web import BaseRequest
     from multidict import CIMultiDict
 
-    from sparloom.configuration import Route
+    from sparloom.configuration import RequestLimits, Route
     from sparloom.isolation import Isolation
 
     from .backends import Backend
@@ -31,6 +33,8 @@
 # So many bytes at the end of an attempt id stand in for the key of a request without a prompt.
 KEY_BYTES = 8
 STATUSES_WITHOUT_BODY = (204, 304)
+CONTENT_TOO_LARGE = 413
+REQUEST_TIMEOUT = 408
 
 
 @define(frozen=True, slots=True, eq=False)
@@ -74,6 +78,37 @@
         return max(candidates, key=lambda part: part[1])[0]
 
 
+class RequestBodyError(SparloomError):
+    """A body that was not read whole; ``status`` is the one to answer with."""
+
+    def __init__(self, status: int, message: str) -> None:
+        super().__init__(message)
+        self.status = status
+
+
+async def read_body(http_request: BaseRequest, limits: RequestLimits) -> bytes:
+    """Return the whole body.
+
+    Raises
+    ------
+    RequestBodyError: it is larger than the limit, or takes longer to come.
+    """
+    declared = http_request.content_length or 0
+    if declared > limits.body:
+        raise RequestBodyError(CONTENT_TOO_LARGE, f"a body of {declared} bytes, expected at most {limits.body}")
+    chunks, size = [], 0
+    try:
+        async with asyncio.timeout(limits.idle.total_seconds()):
+            async for chunk in http_request.content.iter_any():
+                size += len(chunk)
+                if size > limits.body:
+                    raise RequestBodyError(CONTENT_TOO_LARGE, f"a body of more than {limits.body} bytes")
+                chunks.append(chunk)
+    except TimeoutError as error:
+        raise RequestBodyError(REQUEST_TIMEOUT, f"{size} bytes of a body, not whole after {limits.idle}") from error
+    return b"".join(chunks)
+
+
 def deadline_of(headers: Mapping[str, str], route: Route, now: timedelta) -> timedelta:
     """Return when the client or the route stops waiting, on the monotonic clock."""
     return now + time_remaining(headers, route.timeout)
