--- a/simulator/simulated_router.py
+++ b/simulator/simulated_router.py
@@ -1,6 +1,6 @@
 """A hollow router: all that a router knows and tells, with made-up calls in place of traffic.
 
-It is the router's own ``RouterState`` service: membership, feed, counts, parts of the
+It is the router's own ``RouterNode`` service: membership, feed, counts, parts of the
 whole, budgets, and whatever tier of relays belongs to it. It has no front, so
 it skips requests, replies, connections to runners and the choice among them.
 """
@@ -12,7 +12,7 @@
 from attrs import define
 from mode import Service
 
-from sparloom.router.router_state import RouterState
+from sparloom.router.router_node import RouterNode
 from sparloom.router.timeout_buckets import buckets_for
 from sparloom.transport import monotonic
 
@@ -44,10 +44,10 @@
 
     parts: tuple
     route: object
-    horizon: timedelta
+    deadline: timedelta
 
 
-class HollowRouter(RouterState):
+class HollowRouter(RouterNode):
     """A router without a front."""
 
     def __init__(self, up, load, seed=0):
@@ -56,15 +56,15 @@
         self.seen, self.calls, self.refused, self.now_in = {}, 0, 0, 0
         self.ends = set()
 
-    def renew(self):
+    def update_backends(self):
         """Notes when a revision came into force here."""
-        super().renew()
-        if self.policy is not None:
-            self.seen.setdefault(self.policy.revision, monotonic())
+        super().update_backends()
+        if self.configuration is not None:
+            self.seen.setdefault(self.configuration.revision, monotonic())
 
     @Service.task
     async def _call_often(self):
-        await self.known.wait()
+        await self.prefixes_known.wait()
         while not self.should_stop:
             await asyncio.sleep(self.luck.expovariate(self.load.rate) if self.load.rate else 3600.0)
             if self.ready():
@@ -78,7 +78,7 @@
         await super().on_stop()
 
     def _ask(self):
-        pool = self.policy.routes[:1]
+        pool = self.configuration.routes[:1]
         n = 2048 if self.luck.random() < self.load.long else 200
         parts = ((self.luck.randrange(self.load.prefixes), n), (self.luck.getrandbits(60), 300))
         return Ask(parts, pool[0], monotonic() + pool[0].timeout)
@@ -88,30 +88,30 @@
         service = ask.route.split[0][0]
         self.calls += 1
         self.budget(service).on_request(monotonic())
-        place = await self.lines.enter(service, ask)
+        place = await self.queues.enter(service, ask)
         if not hasattr(place, "id") or hasattr(place, "back"):
             self.refused += 1
             return
         try:
             await self._hold(service, ask)
         finally:
-            self.lines.leave(service, place.id)
+            self.queues.leave(service, place.id)
 
     async def _hold(self, service, ask):
-        posts = self.fleet.of(service)
+        posts = self.backends.of(service)
         if not posts:
             return
         most = self.load.runners or len(posts)
         post = posts[self.luck.randrange(min(most, len(posts)))]
         tokens = sum(n for _, n in ask.parts)
-        slot = self.counts.acquire(post.id, buckets_for(ask.route, post.slots), monotonic(), tokens)
+        slot = self.in_flight.acquire(post.id, buckets_for(ask.route, post.slots), monotonic(), tokens)
         if slot is None:
             self.refused += 1
             return
-        self.tell.sent(post, ask.parts[:-1])
+        self.gossip.on_prompt_sent(post, ask.parts[:-1])
         try:
             await asyncio.sleep(min(0.3, self.load.hold / 4))
-            self.tell.was_read(slot)
+            self.gossip.on_prefilled(slot)
             await asyncio.sleep(self.luck.expovariate(1 / self.load.hold))
         finally:
             slot.release(monotonic())
--- a/tests/relay/test_relay_loopback.py
+++ b/tests/relay/test_relay_loopback.py
@@ -14,9 +14,9 @@
 from sparloom.feed import CONFIGURATION, ENDPOINTS, Subscribe
 from sparloom.feed.payload import decode_payload, encode_state
 from sparloom.relay import RelayTier
-from sparloom.router.router_state import RouterState
+from sparloom.router.router_node import RouterNode
 from sparloom.settings import from_dict
-from tests.controller.test_program import free_ports
+from tests.controller.test_program import free
 from tests.support.router_fixture import POLICY as ROUTES
 from tests.support.router_fixture import STARTUP, route
 
@@ -30,7 +30,7 @@
         self.platform = await Platform(
             [Platform.entry(f"i-{i}", "s", f"127.0.0.1:{9000 + i}") for i in range(30)]
         ).start()
-        inner, control = free_ports(2)
+        inner, control = free(2)
         self.base = {
             **STARTUP,
             "internalPortRange": [inner, inner + 9],
@@ -50,7 +50,7 @@
         self.ctl = Controller(core, "/nowhere")
         await self.ctl.start()
         self.knows = []
-        await self.until(lambda: self.ctl.consensus.member.leading())
+        await self.until(lambda: self.ctl.core.ledger.leading())
 
     async def asyncTearDown(self):
         for k in self.knows:
@@ -67,7 +67,7 @@
         up = from_dict(
             {**self.base, "nodeName": f"front-{i}", "ipAddress": f"127.0.0.{10 + i}", "listenAddresses": {}}
         ).unwrap()
-        k = RouterState(up)
+        k = RouterNode(up)
         self.knows.append(k)
         await k.start()
         return k
@@ -75,16 +75,14 @@
     def tier(self, relay, *followers):
         """Gives the routers a tier by hand, whatever their number; no waiting for it to settle."""
         for k in (relay, *followers):
-            k.see_tier = lambda: None
-            k.follow.upstream.update_tier(
+            k.update_relay_tier = lambda: None
+            k.feed_client.upstream.see(
                 timedelta(0), RelayTier((relay.key, "127.0.0.250:1"), () if k is relay else (relay.key,), k is relay, 1)
             )
 
     async def put(self, policy, base=0):
-        st = self.ctl.consensus.member.data
-        done = await self.ctl.consensus.write(
-            policy["revision"], State.unpack(st.blob).then(policy, b"m").pack(), BOUND
-        )
+        st = self.ctl.core.ledger.data
+        done = await self.ctl.core.write(policy["revision"], State.unpack(st.blob).then(policy, b"m").pack(), BOUND)
         self.assertIsNotNone(done)
 
     async def test_news_goes_down_as_steps_and_the_relays_loss_is_mended(self):
@@ -92,17 +90,20 @@
         await self.put({**ROUTES, "routes": [route(f"r{i}", f"/{i}/") for i in range(200)]})
         await self.until(lambda: all(k.ready() for k in self.knows))
         self.tier(relay, a, b)
-        await self.until(lambda: relay.serve.told()["followers"] == ["front-1", "front-2"])
-        self.assertEqual([k.serve.told()["depth"] for k in self.knows], [1, 2, 2])
-        self.assertLess(a.serve.told()["ageMs"], BOUND / 3 / timedelta(milliseconds=1))
-        got, taken = [], a.follow._take
-        a.follow._take = lambda c: (got.append(c), taken(c))[1]
+        await self.until(lambda: relay.relay_server.told()["followers"] == ["front-1", "front-2"])
+        self.assertEqual([k.relay_server.told()["depth"] for k in self.knows], [1, 2, 2])
+        self.assertLess(a.relay_server.told()["ageMs"], BOUND / 3 / timedelta(milliseconds=1))
+        got, taken = [], a.feed_client.take_change
+        a.feed_client.take_change = lambda c: (got.append(c), taken(c))[1]
         await self.put({**ROUTES, "revision": 2, "routes": [route(f"r{i}", f"/{i}/") for i in range(1, 201)]})
-        await self.until(lambda: all(k.policy.revision == 2 for k in self.knows))
+        await self.until(lambda: all(k.configuration.revision == 2 for k in self.knows))
         self.platform.entries[3]["state"] = "draining"
         del self.platform.entries[7]
         await self.until(
-            lambda: all(len(k.listed.runners) == 29 and any(r.draining for r in k.listed.runners) for k in self.knows)
+            lambda: all(
+                len(k.endpoint_list.runners) == 29 and any(r.draining for r in k.endpoint_list.runners)
+                for k in self.knows
+            )
         )
         self.assertTrue({CONFIGURATION, ENDPOINTS} <= {c.topic for c in got})
         for c in got:
@@ -110,46 +111,45 @@
             self.assertLess(len(c.payload), 400)
         late = await self.router(3)
         self.tier(relay, late)
-        await self.until(lambda: "front-3" in relay.serve.told()["followers"] and late.ready())
-        self.assertEqual(late.policy.revision, 2)
-        self.assertEqual(
-            decode_payload(CONFIGURATION, relay.shelf.items[CONFIGURATION].payload),
-            self.ctl.feed_server.state_of(CONFIGURATION),
-        )
+        await self.until(lambda: "front-3" in relay.relay_server.told()["followers"] and late.ready())
+        self.assertEqual(late.configuration.revision, 2)
         self.assertEqual(
-            decode_payload(ENDPOINTS, relay.shelf.items[ENDPOINTS].payload), self.ctl.feed_server.state_of(ENDPOINTS)
+            decode_payload(CONFIGURATION, relay.shelf.items[CONFIGURATION].payload), self.ctl.shop.held(CONFIGURATION)
         )
+        self.assertEqual(decode_payload(ENDPOINTS, relay.shelf.items[ENDPOINTS].payload), self.ctl.shop.held(ENDPOINTS))
         self.assertEqual(
-            encode_state(ENDPOINTS, late.listed), encode_state(ENDPOINTS, self.ctl.feed_server.state_of(ENDPOINTS))
+            encode_state(ENDPOINTS, late.endpoint_list), encode_state(ENDPOINTS, self.ctl.shop.held(ENDPOINTS))
         )
-        b.follow.raw = None
+        b.feed_client.raw_configuration = None
         await self.put({**ROUTES, "revision": 3})
-        await self.until(lambda: all(k.policy.revision == 3 for k in self.knows))
+        await self.until(lambda: all(k.configuration.revision == 3 for k in self.knows))
         await relay.stop()
         self.knows.remove(relay)
         await self.put({**ROUTES, "revision": 4})
-        await self.until(lambda: all(k.policy.revision == 4 and k.serve.told()["depth"] == 1 for k in self.knows))
+        await self.until(
+            lambda: all(k.configuration.revision == 4 and k.relay_server.told()["depth"] == 1 for k in self.knows)
+        )
 
     async def test_a_follower_that_does_not_read_holds_up_nobody_and_is_dropped(self):
         relay, a = [await self.router(i) for i in range(2)]
         await self.put(ROUTES)
         await self.until(lambda: all(k.ready() for k in self.knows))
         self.tier(relay, a)
-        await self.until(lambda: relay.serve.told()["followers"] == ["front-1"])
-        relay.serve.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        relay.serve.write_timeout = BOUND / 10
+        await self.until(lambda: relay.relay_server.told()["followers"] == ["front-1"])
+        relay.relay_server.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        relay.relay_server.write_timeout = BOUND / 10
         _, deaf = await self.narrow(relay, "deaf")
         reader, slow = await self.narrow(relay, "slow")
         got = bytearray()
         sips = asyncio.ensure_future(self.sip(reader, got))
-        await self.until(lambda: {"deaf", "slow"} <= set(relay.serve.told()["followers"]))
+        await self.until(lambda: {"deaf", "slow"} <= set(relay.relay_server.told()["followers"]))
         await self.put(
             {**ROUTES, "revision": 2, "routes": [route(f"r{i}", f"/{i}/{os.urandom(800).hex()}") for i in range(400)]}
         )
-        await self.until(lambda: a.policy.revision == 2)
-        await self.until(lambda: relay.serve.told()["followers"] == ["front-1", "slow"])
+        await self.until(lambda: a.configuration.revision == 2)
+        await self.until(lambda: relay.relay_server.told()["followers"] == ["front-1", "slow"])
         await self.until(lambda: len(got) > 200_000)
-        self.assertIn("slow", relay.serve.told()["followers"])
+        self.assertIn("slow", relay.relay_server.told()["followers"])
         sips.cancel()
         for w in (deaf, slow):
             w.close()
@@ -158,7 +158,7 @@
         """A follower with small buffers that never reads by itself."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        sock.connect((relay.up.ip, relay.up.router_port))
+        sock.connect((relay.settings.ip, relay.settings.router_port))
         reader, writer = await asyncio.open_connection(sock=sock, limit=64)
         raw = pack(Subscribe(name, 0, 0, 0, 0))
         writer.write(len(raw).to_bytes(4) + raw)
--- a/tests/router/test_feed_client.py
+++ b/tests/router/test_feed_client.py
@@ -11,7 +11,7 @@
 from sparloom.feed import CONFIGURATION, ENDPOINTS, Change, FeedHeartbeat, Subscribe
 from sparloom.feed import payload as news
 from sparloom.membership import ROUTER, Peer, Swim, SwimTiming
-from sparloom.router.router_state import RouterState
+from sparloom.router.router_node import RouterNode
 from sparloom.settings import from_dict
 from sparloom.transport import Frames, monotonic
 from tests.support.router_fixture import POLICY as ROUTES
@@ -68,14 +68,14 @@
 class Router(ForeignRecords, Case):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.know = RouterState(self.up)
-        self.know.swim = Swim(Peer("me:1", ROUTER, "z1", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None)
-        self.follow = self.know.follow
+        self.state = RouterNode(self.up)
+        self.state.swim = Swim(Peer("me:1", ROUTER, "z1", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None)
+        self.follow = self.state.feed_client
 
     async def start(self):
         """Follows the one that the test plays; gives the task and the connection."""
-        self.follow.upstream.on_connecting(monotonic(), self.address)
-        task = asyncio.ensure_future(self.follow._from(self.address))
+        self.follow.upstream.start(monotonic(), self.address)
+        task = asyncio.ensure_future(self.follow.follow(self.address))
         self.addCleanup(task.cancel)
         return task, *await self.greeted()
 
@@ -89,9 +89,9 @@
     async def test_a_fresh_pulse_does_not_make_an_old_policy_current(self):
         _, frames, _ = await self.start()
         await self.send(frames, policy(1, 5), runners(1, 1), self.pulse(1, 7))
-        self.assertFalse(self.know.sure)
+        self.assertFalse(self.state.confirmed)
         await self.send(frames, policy(1, 7), self.pulse(1, 7))
-        self.assertTrue(self.know.sure)
+        self.assertTrue(self.state.confirmed)
 
     async def test_nor_does_another_that_has_not_heard_of_the_newer_one(self):
         """A controller that started again knows less than this router has heard."""
@@ -103,7 +103,7 @@
         _, frames, greeting = await self.start()
         self.assertEqual(greeting.versions, {CONFIGURATION: (1, 5), ENDPOINTS: (1, 1)})
         await self.send(frames, self.pulse(0, 0))
-        self.assertFalse(self.know.sure)
+        self.assertFalse(self.state.confirmed)
         self.assertEqual(self.follow.newest_configuration(), (2, 1))
 
     async def test_a_deposed_primarys_changes_are_not_taken(self):
@@ -111,37 +111,32 @@
         await self.send(frames, policy(3, 7))
         await frames.write(policy(2, 9))
         await self.send(frames, self.pulse(2, 9))
-        self.assertEqual((self.know.policy.revision, self.follow.store.version(CONFIGURATION)), (7, (3, 7)))
+        self.assertEqual((self.state.configuration.revision, self.follow.store.version(CONFIGURATION)), (7, (3, 7)))
 
 
 class Controller(ForeignRecords, Case):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.feed_server = FeedServer(self.up)
+        self.shop = FeedServer(self.up)
         self.primary = SimpleNamespace(id=2, host="127.0.0.1", port=self.port)
-        member = SimpleNamespace(primary=lambda: self.primary, leading=lambda: False)
-        self.feed_server.consensus = SimpleNamespace(member=member)
+        ledger = SimpleNamespace(primary=lambda: self.primary, leading=lambda: False)
+        self.shop.core = SimpleNamespace(ledger=ledger)
 
     async def start(self):
         """Follows the primary that the test plays."""
-        task = asyncio.ensure_future(self.feed_server._follow(self.primary))
+        task = asyncio.ensure_future(self.shop._from(self.primary))
         self.addCleanup(task.cancel)
         return task, *await self.greeted()
 
     async def test_one_that_started_again_passes_on_which_policy_its_followers_must_hold(self):
         _, frames, _ = await self.start()
-        bell = self.feed_server.change_signal.event
+        bell = self.shop.change_signal.event
         await frames.write(self.pulse(4, 7))
         await bell.wait()
-        self.assertEqual(
-            (self.feed_server.newest_configuration(), self.feed_server.store.version(CONFIGURATION)), ((4, 7), (0, 0))
-        )
+        self.assertEqual((self.shop.newest_configuration(), self.shop.store.version(CONFIGURATION)), ((4, 7), (0, 0)))
 
     async def test_a_change_that_can_not_be_read_is_not_taken_nor_passed_on(self):
         task, frames, _ = await self.start()
         await frames.write(Change(CONFIGURATION, 1, 1, 0, 0, b"torn"))
         await task
-        self.assertEqual(
-            (self.feed_server.store.version(CONFIGURATION), self.feed_server.topics_to_resync),
-            ((0, 0), {CONFIGURATION}),
-        )
+        self.assertEqual((self.shop.store.version(CONFIGURATION), self.shop.afresh), ((0, 0), {CONFIGURATION}))
--- a/tests/router/test_graceful_shutdown.py
+++ b/tests/router/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A router that is told to end: every request that it has read is answered, refused, or rightly broken off."""
+"""A graceful shutdown: every request that the router has read is answered, refused, or rightly aborted."""
 
 import asyncio
 import random
@@ -215,9 +215,9 @@
     def test_a_connection_rests_after_a_refusal_too(self):
         async def story():
             client = await self.client()
-            self.rig.know.policy, policy = None, self.rig.know.policy
+            self.rig.state.configuration, policy = None, self.rig.state.configuration
             self.assertEqual((await client.send("/once/x", "a1", pause=0.01)).status, 503)
-            self.rig.know.policy = policy
+            self.rig.state.configuration = policy
             self.assertEqual((await client.send("/none/", "a2", pause=0.01)).status, 404)
             self.assertEqual([c.resting for c in self.rig.front.client_server.connections], [True])
 
@@ -240,13 +240,13 @@
             client = await self.client()
             await self.ask(client)
             server = self.rig.front.client_server
-            server.idle_bound = lambda: timedelta(seconds=0.4)
+            server.idle_timeout = lambda: timedelta(seconds=0.4)
             await asyncio.sleep(0.3)
-            server.end_idle()
+            server.close_idle()
             await asyncio.sleep(0.01)
             self.assertEqual(len(server.connections), 1)
             await asyncio.sleep(0.2)
-            server.end_idle()
+            server.close_idle()
             await client.next_end()
 
         self.play(story)
