--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -83,8 +83,7 @@
         if isolation is None:
             return runners
         if self.allowed is None or self.allowed[0] is not runners or self.allowed[1] is not isolation:
-            allowed = isolation.allowed(self.ask.member, self.ask.part_ids, runners)
-            self.allowed = (runners, isolation, allowed)
+            self.allowed = (runners, isolation, isolation.allowed(self.ask.member, self.ask.part_ids, runners))
         return self.allowed[2]
 
     def _choose_service(self):
@@ -126,9 +125,8 @@
             p = posts[s.id]
             if p.id in self.tried or p.open_calls >= pipes[p.id]:
                 continue
-            slot = self.state.in_flight.acquire(
-                p.id, buckets_for(self.ask.route, p.slots, self.reserved), now, s.prefill_tokens
-            )
+            buckets = buckets_for(self.ask.route, p.slots, self.reserved)
+            slot = self.state.in_flight.acquire(p.id, buckets, now, s.prefill_tokens)
             if slot:
                 self.ask.yields = is_heavy_prefill(s.prefill_tokens, p.cached.capacity, p.slots)
                 p.cached.add(self.ask.parts)
--- a/sparloom/router/in_flight_gossip.py
+++ b/sparloom/router/in_flight_gossip.py
@@ -146,12 +146,12 @@
         """The tier is new: what peers told directly counts until they are heard through the tier."""
         backends = self.state.backends.by_id
         for key, peer in self.state.in_flight.peers.items():
-            held = {short(backends[id].number): figures for id, figures in peer.loads.items() if id in backends}
-            self.aggregator.hear_direct(peer.received_at, key, peer.instance_id, peer.sequence, held)
+            loads = {short(backends[id].number): figures for id, figures in peer.loads.items() if id in backends}
+            self.aggregator.hear_direct(peer.received_at, key, peer.instance_id, peer.sequence, loads)
 
     def _report_to_aggregator(self, now: timedelta) -> None:
-        held = {short(report.resource): report.load() for report in self._reports()}
-        self.aggregator.note(now, held, self.state.fleet_size.divisor)
+        loads = {short(report.resource): report.load() for report in self._reports()}
+        self.aggregator.note(now, loads, self.state.fleet_size.divisor)
 
     def _send_aggregates(self, now: timedelta) -> None:
         for message in self.aggregator.beat(now):
@@ -219,8 +219,8 @@
         now, state = monotonic(), self.state
         state.in_flight.on_update(update, now, state.backends.ids_by_number)
         if self.tiered:
-            held = {short(report.resource): report.load() for report in update.reports}
-            self.aggregator.hear_direct(now, update.node, update.instance_id, update.sequence, held)
+            loads = {short(report.resource): report.load() for report in update.reports}
+            self.aggregator.hear_direct(now, update.node, update.instance_id, update.sequence, loads)
         self._note_placements(update.placements)
 
     def _on_aggregate(self, message: MemberUpdate | GroupAggregate | FleetTotal) -> None:
@@ -248,9 +248,9 @@
         """By how many the others divide, as far as they told; 0 for '' while a first total is waited for."""
         now, state, instances = monotonic(), self.state, self._router_instances()
         if state.in_flight.shared is not None:
-            sizes: dict[str, int] = self.aggregator.crowds(now)
-            return sizes
-        told = {key: peer.fleet_size for key, peer in state.in_flight.peers.items() if key in instances}
+            through_tier: dict[str, int] = self.aggregator.crowds(now)
+            return through_tier
+        sizes = {key: peer.fleet_size for key, peer in state.in_flight.peers.items() if key in instances}
         if self.tiered and now - state.started_at < state.settings.bounds.contact:
-            told[""] = 0
-        return told
+            sizes[""] = 0
+        return sizes
--- a/tests/router/test_in_flight_gossip.py
+++ b/tests/router/test_in_flight_gossip.py
@@ -1,4 +1,4 @@
-"""Routers' words about calls and long prompts: directly in a small fleet, through the tier in a large one."""
+"""Gossip of in-flight counts and long prompts: directly in a small fleet, through the tier in a large one."""
 
 import random
 import unittest
@@ -16,152 +16,159 @@
 from tests.support.router_fixture import STARTUP
 
 MS = timedelta(milliseconds=1)
-OPEN = [Bucket(timedelta(seconds=1), -1)]
+START = timedelta(seconds=100)
+UNLIMITED = [Bucket(timedelta(seconds=1), -1)]
 
 
-class Net:
+class FakeDatagrams:
+    """Delivers each message at once, and counts them."""
+
     def __init__(self, key, fleet):
-        self.key, self.fleet, self.sent = key, fleet, 0
+        self.key = key
+        self.fleet = fleet
+        self.sent = 0
 
-    def send(self, to, rec):
-        for t in (to,) if isinstance(to, str) else to:
+    def send(self, to, message):
+        for address in (to,) if isinstance(to, str) else to:
             self.sent += 1
-            self.fleet.routers[t].gossip.on_message(rec, self.key)
+            self.fleet.by_key[address].gossip.on_message(message, self.key)
 
 
-class Routers:
+class Fleet:
     """Routers that know each other, on a clock that is moved by hand."""
 
-    def __init__(self, n, known=True):
-        self.now, self.turn, self.routers = timedelta(seconds=100), 0, {}
-        for i in range(n):
-            up = from_dict(
-                {**STARTUP, "nodeName": f"front-{i}", "ipAddress": f"10.0.0.{i}", "zone": f"z{i % 3}"}
-            ).unwrap()
-            k = RouterNode(up)
-            k.random = random.Random(i)
-            k.swim = Swim(
-                Peer(k.key, ROUTER, up.zone, "", k.gossip.instance_id, 0, 0),
-                (),
-                SwimTiming.of(timedelta(seconds=3)),
-                k.random,
-            )
-            k.datagrams, k.endpoint_list = (
-                Net(k.key, self),
-                EndpointList([Endpoint(f"i-{r}", "s", f"10.1.0.{r}:1", "z0", 8, False, 0) for r in range(4)], n),
-            )
-            k.gossip.call_later = lambda delay, callback: None
-            k.backends = k.backends.renew(k.endpoint_list.runners, lambda s: 10**6)
-            self.routers[k.key] = k
-        for k in self.routers.values():
-            for o in self.routers.values():
-                if known and o is not k:
-                    k.swim._learn(o.swim.me)
-        self.all = list(self.routers.values())
-
-    def beat(self, turns):
+    def __init__(self, size, known=True):
+        self.now = START
+        self.turn = 0
+        self.by_key = {}
+        for number in range(size):
+            router = self.make_router(number, size)
+            self.by_key[router.key] = router
+        self.running = list(self.by_key.values())
+        for router in self.running:
+            for other in self.running:
+                if known and other is not router:
+                    router.swim._learn(other.swim.me)
+
+    def make_router(self, number, size):
+        node = {"nodeName": f"front-{number}", "ipAddress": f"10.0.0.{number}", "zone": f"z{number % 3}"}
+        settings = from_dict({**STARTUP, **node}).unwrap()
+        router = RouterNode(settings)
+        router.random = random.Random(number)
+        me = Peer(router.key, ROUTER, settings.zone, "", router.gossip.instance_id, 0, 0)
+        router.swim = Swim(me, (), SwimTiming.of(timedelta(seconds=3)), router.random)
+        router.datagrams = FakeDatagrams(router.key, self)
+        endpoints = [Endpoint(f"i-{r}", "s", f"10.1.0.{r}:1", "z0", 8, False, 0) for r in range(4)]
+        router.endpoint_list = EndpointList(endpoints, size)
+        router.gossip.call_later = lambda delay, callback: None
+        router.backends = router.backends.renew(endpoints, lambda service: 10**6)
+        return router
+
+    def tick(self, turns):
         for _ in range(turns):
             self.turn, self.now = self.turn + 1, self.now + 50 * MS
-            for k in self.all:
+            for router in self.running:
                 if self.turn % 4 == 1:
-                    k.update_fleet_size()
-                    k.update_relay_tier()
-                k.gossip.tick(self.turn)
+                    router.update_fleet_size()
+                    router.update_relay_tier()
+                router.gossip.tick(self.turn)
 
 
-class Words(unittest.TestCase):
+class InFlightGossipTest(unittest.TestCase):
     def setUp(self):
-        for m in (gossip_module, node_module, state_module):
-            p = mock.patch.object(m, "monotonic", lambda: self.fleet.now if self.fleet else timedelta(seconds=100))
-            p.start()
-            self.addCleanup(p.stop)
+        for module in (gossip_module, node_module, state_module):
+            patch = mock.patch.object(module, "monotonic", lambda: self.fleet.now if self.fleet else START)
+            patch.start()
+            self.addCleanup(patch.stop)
         self.fleet = None
 
-    def routers(self, n):
-        self.fleet = Routers(n)
-        self.fleet.beat(40)
-        return self.fleet.all
+    def start_routers(self, size):
+        self.fleet = Fleet(size)
+        self.fleet.tick(40)
+        return self.fleet.running
+
+    def acquire(self, router, backend="i-1", tokens=0):
+        return router.in_flight.acquire(backend, UNLIMITED, self.fleet.now, tokens)
+
+    def count(self, router, backend="i-1"):
+        return router.in_flight.count(backend, self.fleet.now)
+
+    def prefill_tokens(self, router):
+        return router.in_flight.prefill_tokens("i-1", self.fleet.now)
 
     def test_each_counts_the_calls_of_all(self):
-        for n, tiered in ((4, False), (36, True)):
-            ks = self.routers(n)
-            self.assertEqual({k.relay_tier.stands for k in ks}, {tiered})
-            slots = [k.in_flight.acquire("i-1", OPEN, self.fleet.now, 64) for k in ks]
-            self.fleet.beat(12)
-            self.assertEqual(
-                {
-                    (k.in_flight.count("i-1", self.fleet.now), k.in_flight.prefill_tokens("i-1", self.fleet.now))
-                    for k in ks
-                },
-                {(n, 64 * n)},
-            )
-            for s in slots[1:]:
-                s.release(self.fleet.now)
-            self.fleet.beat(12)
-            self.assertEqual({k.in_flight.count("i-1", self.fleet.now) for k in ks}, {1})
-            self.assertEqual(sum(k.in_flight.count("i-2", self.fleet.now) for k in ks), 0)
-
-    def test_long_parts_reach_all_within_two_beats(self):
-        for n in (4, 36):
-            ks = self.routers(n)
-            for k in (
-                next(k for k in ks if not k.relay_tier.relay),
-                ks[-1],
-                next((k for k in ks if k.relay_tier.relay), ks[0]),
-            ):
-                part = (k.random.getrandbits(60), 5000)
-                k.gossip.on_prompt_sent(k.backends.by_id["i-3"], (part, (1, 10)))
-                self.fleet.beat(2)
-                self.assertEqual(
-                    [o.key for o in ks if o is not k and part[0] not in o.backends.by_id["i-3"].cached.prefixes], []
-                )
-
-    def test_the_divisor_comes_through(self):
-        ks = self.routers(36)
-        self.assertEqual({k.fleet_size.divisor for k in ks}, {36})
-        self.assertEqual({min(k.gossip.known_fleet_sizes().values()) for k in ks}, {36})
-        self.assertTrue(all(k.fleet_size.open for k in ks))
+        for size, tiered in ((4, False), (36, True)):
+            routers = self.start_routers(size)
+            self.assertEqual({router.relay_tier.stands for router in routers}, {tiered})
+            slots = [self.acquire(router, tokens=64) for router in routers]
+            self.fleet.tick(12)
+            seen = {(self.count(router), self.prefill_tokens(router)) for router in routers}
+            self.assertEqual(seen, {(size, 64 * size)})
+            for slot in slots[1:]:
+                slot.release(self.fleet.now)
+            self.fleet.tick(12)
+            self.assertEqual({self.count(router) for router in routers}, {1})
+            self.assertEqual(sum(self.count(router, "i-2") for router in routers), 0)
+
+    def test_long_prefixes_reach_all_within_two_ticks(self):
+        for size in (4, 36):
+            routers = self.start_routers(size)
+            follower = next(router for router in routers if not router.relay_tier.relay)
+            relay = next((router for router in routers if router.relay_tier.relay), routers[0])
+            for sender in (follower, routers[-1], relay):
+                prefix = sender.random.getrandbits(60)
+                sender.gossip.on_prompt_sent(sender.backends.by_id["i-3"], ((prefix, 5000), (1, 10)))
+                self.fleet.tick(2)
+                others = [router for router in routers if router is not sender]
+                without = [other.key for other in others if prefix not in other.backends.by_id["i-3"].cached.prefixes]
+                self.assertEqual(without, [])
+
+    def test_the_fleet_size_arrives_through_the_tier(self):
+        routers = self.start_routers(36)
+        self.assertEqual({router.fleet_size.divisor for router in routers}, {36})
+        self.assertEqual({min(router.gossip.known_fleet_sizes().values()) for router in routers}, {36})
+        self.assertTrue(all(router.fleet_size.open for router in routers))
 
     def test_while_a_fleet_finds_itself_no_call_counts_twice(self):
         """Each learns of the others one by one: some have a tier when others have none."""
-        self.fleet = Routers(30, known=False)
-        ks, rng = self.fleet.all, random.Random(1)
-        for k in ks:
-            k.in_flight.acquire("i-1", OPEN, self.fleet.now)
-        pairs = [(k, o) for k in ks for o in ks if o is not k]
+        self.fleet = Fleet(30, known=False)
+        routers, rng = self.fleet.running, random.Random(1)
+        for router in routers:
+            self.acquire(router)
+        pairs = [(router, other) for router in routers for other in routers if other is not router]
         rng.shuffle(pairs)
         while pairs:
-            for k, o in pairs[:40]:
-                k.swim._learn(o.swim.me)
+            for router, other in pairs[:40]:
+                router.swim._learn(other.swim.me)
             del pairs[:40]
-            self.fleet.beat(1)
-            self.assertLessEqual(max(k.in_flight.count("i-1", self.fleet.now) for k in ks), 30)
-        self.fleet.beat(80)
-        self.assertEqual({k.in_flight.count("i-1", self.fleet.now) for k in ks}, {30})
-
-    def test_a_fleet_that_shrinks_goes_back_to_direct_words(self):
-        ks = self.routers(30)
-        slots = [k.in_flight.acquire("i-1", OPEN, self.fleet.now) for k in ks]
-        self.fleet.beat(12)
-        for k in ks[6:]:
-            for o in ks[:6]:
-                o.swim._learn(Peer(k.key, ROUTER, k.settings.zone, "", k.gossip.instance_id, 1, 2))
-                o.membership.report_departed()
-        self.fleet.all = ks[:6]
+            self.fleet.tick(1)
+            self.assertLessEqual(max(self.count(router) for router in routers), 30)
+        self.fleet.tick(80)
+        self.assertEqual({self.count(router) for router in routers}, {30})
+
+    def test_a_fleet_that_shrinks_goes_back_to_direct_messages(self):
+        routers = self.start_routers(30)
+        slots = [self.acquire(router) for router in routers]
+        self.fleet.tick(12)
+        remaining = routers[:6]
+        for gone in routers[6:]:
+            dead = Peer(gone.key, ROUTER, gone.settings.zone, "", gone.gossip.instance_id, 1, 2)
+            for router in remaining:
+                router.swim._learn(dead)
+                router.membership.report_departed()
+        self.fleet.running = remaining
         for _ in range(20):
-            self.fleet.beat(4)
-            self.assertLessEqual(max(k.in_flight.count("i-1", self.fleet.now) for k in ks[:6]), 30)
-        self.assertEqual(
-            {(k.relay_tier.stands, k.gossip.tiered, k.in_flight.count("i-1", self.fleet.now)) for k in ks[:6]},
-            {(False, False, 6)},
-        )
+            self.fleet.tick(4)
+            self.assertLessEqual(max(self.count(router) for router in remaining), 30)
+        seen = {(router.relay_tier.stands, router.gossip.tiered, self.count(router)) for router in remaining}
+        self.assertEqual(seen, {(False, False, 6)})
         self.assertEqual(len(slots), 30)
 
     def test_datagrams_are_a_quarter_of_those_without_a_tier(self):
-        ks = self.routers(72)
-        before = sum(k.datagrams.sent for k in ks)
-        for t in range(20):
-            for k in ks:
-                k.in_flight.acquire(f"i-{t % 4}", OPEN, self.fleet.now)
-            self.fleet.beat(1)
-        self.assertLess(sum(k.datagrams.sent for k in ks) - before, 72 * 71 * 5 / 4)
+        routers = self.start_routers(72)
+        before = sum(router.datagrams.sent for router in routers)
+        for turn in range(20):
+            for router in routers:
+                self.acquire(router, f"i-{turn % 4}")
+            self.fleet.tick(1)
+        self.assertLess(sum(router.datagrams.sent for router in routers) - before, 72 * 71 * 5 / 4)
--- a/tests/support/router_fixture.py
+++ b/tests/support/router_fixture.py
@@ -1,4 +1,4 @@
-"""A router's front on loopback, with a policy and runners given by hand."""
+"""A router's front on loopback, with a configuration and runners given by hand."""
 
 import asyncio
 import random
@@ -6,8 +6,7 @@
 
 from fakes.runner import Runner
 from sparloom.configuration import build
-from sparloom.discovery import Endpoint as Listed
-from sparloom.discovery import EndpointList
+from sparloom.discovery import Endpoint, EndpointList
 from sparloom.membership import ROUTER, Peer, Swim, SwimTiming
 from sparloom.router.backends import BackendTable
 from sparloom.router.frontend import Frontend
@@ -27,8 +26,8 @@
 }
 
 
-def route(name, prefix, **kw):
-    d = {
+def route(name, prefix, **options):
+    defaults = {
         "name": name,
         "hostname": "h.example",
         "pathPrefix": prefix,
@@ -41,7 +40,7 @@
         "resumeStreams": False,
         "gapTargetMs": 200,
     }
-    return {**d, **kw}
+    return {**defaults, **options}
 
 
 POLICY = {
@@ -60,47 +59,53 @@
 }
 
 
-class Deaf:
-    """Stands for the datagram socket."""
+class NoDatagrams:
+    """Stands for the datagram socket; sends nothing."""
 
     def send(self, to, rec):
         pass
 
 
 class Rig:
-    """The front, some stand-in runners, and a raw requester."""
+    """The front, some stand-in runners, and a raw client."""
 
     def __init__(self, runners=1, policy=POLICY, startup=STARTUP):
-        self.n, self.policy, self.up = runners, policy, from_dict(startup).unwrap()
+        self.runner_count, self.policy, self.up = runners, policy, from_dict(startup).unwrap()
 
     async def __aenter__(self):
-        self.runners = [await Runner(id=f"i-{i}").start() for i in range(self.n)]
-        self.state = k = RouterNode(self.up)
-        k.started_at = monotonic() - timedelta(minutes=1)
-        k.random = random.Random(1)
-        k.swim = Swim(Peer("me:1", ROUTER, "z1", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), k.random)
-        k.datagrams = Deaf()
-        k.configuration, k.confirmed = build(self.policy), True
-        k.endpoint_list = EndpointList(
-            [Listed(r.id, "s", f"127.0.0.1:{r.port}", "z1", 8, False, 0) for r in self.runners], 1
-        )
-        k.backends = BackendTable().renew(k.endpoint_list.runners, lambda s: 10000)
-        k.prefixes_known.set()
-        self.front = Frontend(self.up, k)
+        self.runners = [await Runner(id=f"i-{i}").start() for i in range(self.runner_count)]
+        self.state = self._make_node()
+        self.front = Frontend(self.up, self.state)
         await self.front.serve_clients(bind(Address("127.0.0.1", 0)))
         self.port = self.front.client_runner.addresses[0][1]
         return self
 
+    def _make_node(self):
+        """A node that isn't started: it has all that it needs to forward requests."""
+        node = RouterNode(self.up)
+        node.started_at = monotonic() - timedelta(minutes=1)
+        node.random = random.Random(1)
+        me = Peer("me:1", ROUTER, "z1", "", 1, 0, 0)
+        node.swim = Swim(me, (), SwimTiming.of(timedelta(seconds=3)), node.random)
+        node.datagrams = NoDatagrams()
+        node.configuration = build(self.policy)
+        node.confirmed = True
+        endpoints = [Endpoint(runner.id, "s", f"127.0.0.1:{runner.port}", "z1", 8, False, 0) for runner in self.runners]
+        node.endpoint_list = EndpointList(endpoints, 1)
+        node.backends = BackendTable().renew(endpoints, lambda service: 10000)
+        node.prefixes_known.set()
+        return node
+
     async def __aexit__(self, *exc):
-        for r in self.runners:
-            await r.stop()
+        for runner in self.runners:
+            await runner.stop()
         await self.front.on_stop()
-        for p in self.state.backends.by_id.values():
-            if p.client_session:
-                await p.client_session.close()
+        for backend in self.state.backends.by_id.values():
+            if backend.client_session:
+                await backend.client_session.close()
 
     async def send(self, path, body=b"hello", heads=(), method="POST", id="a1", left=2000, raw=None):
-        """One request on a pipe of its own; the raw answer till the close."""
+        """Sends one request on a connection of its own; gives the answer up to its close."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         lines = [
             f"{method} {path} HTTP/1.1",
--- a/tests/transport/test_dialing.py
+++ b/tests/transport/test_dialing.py
@@ -32,7 +32,7 @@
 
 class PowerComesLate(unittest.IsolatedAsyncioTestCase):
     async def late_by(self, follow, up_at):
-        """How long after the machine has power it is reached, with a pause after each try."""
+        """How long after the machine has power it is reached, with a pause after each attempt."""
         machine = Unpowered(up_at)
         with mock.patch.object(sockets, "dial", machine.dial):
             while not machine.reached:
@@ -48,27 +48,27 @@
                 self.assertLessEqual(await self.late_by(follow(), up_at * MS), contact / 10 + PAUSE)
 
     async def test_a_controller_reaches_a_primary_that_starts_after_it(self):
-        up = from_dict(STARTUP).unwrap()
+        settings = from_dict(STARTUP).unwrap()
         primary = SimpleNamespace(id=2, host="127.0.0.1", port=1)
 
         def follow():
-            shop = FeedServer(up)
+            shop = FeedServer(settings)
             shop.core = SimpleNamespace(ledger=SimpleNamespace(primary=lambda: primary, leading=lambda: False))
             return lambda: shop._from(primary)
 
-        await self.check(up.bounds.contact, follow)
+        await self.check(settings.bounds.contact, follow)
 
     async def test_a_router_reaches_a_controller_that_starts_after_it(self):
-        up = from_dict(STARTUP).unwrap()
+        settings = from_dict(STARTUP).unwrap()
 
         def follow():
-            follower = RouterNode(up).feed_client
-            return lambda: follower.follow("127.0.0.1:1")
+            client = RouterNode(settings).feed_client
+            return lambda: client.follow("127.0.0.1:1")
 
-        await self.check(up.bounds.contact, follow)
+        await self.check(settings.bounds.contact, follow)
 
 
-class Patience(unittest.IsolatedAsyncioTestCase):
+class DialTimeoutTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_peer_that_is_far_away_gets_the_time_that_it_needs(self):
         needed, opened = 300 * MS, object()
 
@@ -77,17 +77,17 @@
                 raise TimeoutError
             return opened
 
-        patience = DialTimeout(75 * MS, 600 * MS)
+        dial_timeout = DialTimeout(75 * MS, 600 * MS)
         with mock.patch.object(sockets, "dial", dial):
             for _ in range(4):
                 with self.assertRaises(TimeoutError):
-                    await patience.dial("h", 1)
-            self.assertIs(await patience.dial("h", 1), opened)
-        self.assertEqual(patience.span, 75 * MS)
+                    await dial_timeout.dial("h", 1)
+            self.assertIs(await dial_timeout.dial("h", 1), opened)
+        self.assertEqual(dial_timeout.span, 75 * MS)
 
     async def test_a_refusal_is_no_reason_to_wait_longer(self):
-        patience = DialTimeout(75 * MS, 600 * MS)
+        dial_timeout = DialTimeout(75 * MS, 600 * MS)
         refused = mock.AsyncMock(side_effect=ConnectionRefusedError)
         with mock.patch.object(sockets, "dial", refused), self.assertRaises(ConnectionRefusedError):
-            await patience.dial("h", 1)
-        self.assertEqual(patience.span, 75 * MS)
+            await dial_timeout.dial("h", 1)
+        self.assertEqual(dial_timeout.span, 75 * MS)
