--- a/sparloom/admission/controller.py
+++ b/sparloom/admission/controller.py
@@ -10,7 +10,7 @@
 from .reserve import NO_EXCESS, NO_USAGE, Excess, Reserves, Usage
 
 if TYPE_CHECKING:
-    from collections.abc import Hashable, Iterable, Mapping
+    from collections.abc import Iterable, Mapping
 
 # The member of all requests that no declared member owns.
 OTHERS = ""
@@ -40,7 +40,7 @@
 class Admitted:
     """The request may be forwarded; ``reserved``: out of its member's own reserve."""
 
-    id: Hashable
+    id: int
     reserved: bool = False
 
 
@@ -48,14 +48,14 @@
 class Queued:
     """The request waits in its member's queue."""
 
-    id: Hashable
+    id: int
 
 
 @define(frozen=True, slots=True)
 class Rejected:
     """The request can't be served in time; the client may retry after a while."""
 
-    id: Hashable
+    id: int
     retry_after: timedelta
 
 
@@ -63,7 +63,7 @@
 class _Request:
     """A request that waits or is admitted; ``tokens``: what it was charged."""
 
-    id: Hashable
+    id: int
     member: str
     priority: int
     received_at: timedelta
@@ -121,7 +121,7 @@
     capacity: Capacity
     shares: Mapping[str, float]
     queue_limit: int = QUEUE_LIMIT
-    admitted: dict[Hashable, _Request] = field(factory=dict)
+    admitted: dict[int, _Request] = field(factory=dict)
     usage: dict[str, Usage] = field(factory=dict)
     queues: dict[str, list[_Request]] = field(factory=dict)
     rejections: dict[str, int] = field(factory=dict)
@@ -195,7 +195,7 @@
         return self.mean_duration * ((queue_length + 1) / max(1, self.reserves.maximum(member)))
 
     def acquire(
-        self, now: timedelta, id: Hashable, member: str, priority: int, demand: Demand, deadline: timedelta
+        self, now: timedelta, id: int, member: str, priority: int, demand: Demand, deadline: timedelta
     ) -> Admitted | Queued | Rejected:
         """Takes a new request: it is admitted, queued, or rejected at once.
 
@@ -233,7 +233,7 @@
         self.admitted[request.id] = request
         return Admitted(request.id, reserved)
 
-    def release(self, now: timedelta, id: Hashable) -> list[Admitted]:
+    def release(self, now: timedelta, id: int) -> list[Admitted]:
         """A request has ended, or its client has gone; gives the admissions that follow.
 
         >>> AdmissionController(Capacity(0), {}).release(timedelta(0), 1)
--- a/sparloom/router/admission_queues.py
+++ b/sparloom/router/admission_queues.py
@@ -10,7 +10,7 @@
 from sparloom.admission import AdmissionController, Admitted, Capacity, Demand, Queued, Rejected, members_of
 from sparloom.transport import monotonic
 
-from .timeout_buckets import most
+from .timeout_buckets import maximum_in_flight
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -54,7 +54,7 @@
     backends: Sequence[Backend]
     service: Service | None
     divisor: int
-    index: int
+    position: int
     limits: dict[str, int]
 
 
@@ -82,8 +82,14 @@
         # Per service: when the other routers' requests were summed, and the sum.
         self._peers_in_flight: dict[str, tuple[timedelta, int]] = {}
 
+    def _configuration(self) -> Configuration:
+        """The configuration in force; requests come here only once there is one."""
+        configuration = self.state.configuration
+        assert configuration is not None, "a request was admitted without a configuration"
+        return configuration
+
     def _current_members(self) -> _MembersCache:
-        configuration, declared = self.state.policy, self.state.up.members
+        configuration, declared = self._configuration(), self.state.settings.members
         known = self._members
         if known and known.configuration is configuration and known.declared is declared:
             return known
@@ -97,8 +103,8 @@
         return self._members
 
     def _capacity(self, service_name: str) -> _CapacityCache:
-        state, fleet_size = self.state, self.state.crowd
-        backends, service = state.fleet.of(service_name), state.policy.services.get(service_name)
+        state, fleet_size = self.state, self.state.fleet_size
+        backends, service = state.backends.of(service_name), self._configuration().services.get(service_name)
         known = self._capacities.get(service_name)
         divided_by = (fleet_size.divisor, fleet_size.admitting)
         if (
@@ -109,7 +115,7 @@
         ):
             return known
         default_slots = service.slots if service else 0
-        total_slots = sum(most(backend.slots or default_slots) for backend in backends)
+        total_slots = sum(maximum_in_flight(backend.slots or default_slots) for backend in backends)
         tokens = fleet_size.share(service.cache_tokens * len(backends)) if service else 0
         capacity = Capacity(fleet_size.share(total_slots), tokens)
         cache = _CapacityCache(backends, service, fleet_size.divisor, fleet_size.admitting, total_slots, capacity)
@@ -121,18 +127,18 @@
 
         Where this router's share is none at any runner, it may hold one to each.
         """
-        state, fleet_size = self.state, self.state.crowd
-        backends, service = state.fleet.of(service_name), state.policy.services.get(service_name)
+        state, fleet_size = self.state, self.state.fleet_size
+        backends, service = state.backends.of(service_name), self._configuration().services.get(service_name)
         known = self._connections.get(service_name)
         position = (fleet_size.divisor, fleet_size.index)
         if (
             known
             and known.backends is backends
             and known.service is service
-            and (known.divisor, known.index) == position
+            and (known.divisor, known.position) == position
         ):
             return known.limits
-        limit = service.pipe_limit if service else DEFAULT_CONNECTION_LIMIT
+        limit = service.connection_limit if service else DEFAULT_CONNECTION_LIMIT
         limits = {backend.id: fleet_size.indivisible_share(limit, backend.number) for backend in backends}
         if not any(limits.values()):
             limits = dict.fromkeys(limits, 1)
@@ -152,7 +158,7 @@
     def member(self, route: Route) -> str:
         """The name of the member that a route belongs to."""
         owners = self._current_members().owners
-        return owners.get(route.name, "" if self.state.up.members else route.host)
+        return owners.get(route.name, "" if self.state.settings.members else route.host)
 
     async def enter(self, service_name: str, request: Request) -> Admitted | Rejected:
         """Waits until a request is admitted or rejected."""
@@ -161,11 +167,12 @@
         self._tick(service_name, controller)
         route = request.route
         decision = controller.acquire(
-            monotonic(), request_id, self.member(route), route.priority, demand, request.horizon
+            monotonic(), request_id, self.member(route), route.priority, demand, request.deadline
         )
         if not isinstance(decision, Queued):
             return decision
-        future = self.waiting[request_id] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[Admitted | Rejected] = asyncio.get_running_loop().create_future()
+        self.waiting[request_id] = future
         try:
             return await future
         except asyncio.CancelledError:
@@ -181,7 +188,7 @@
 
     def tick(self) -> None:
         """Time moves on for all queues."""
-        if self.state.policy is not None:
+        if self.state.configuration is not None:
             for service_name, controller in self.controllers.items():
                 self._tick(service_name, controller)
 
@@ -192,12 +199,12 @@
         if controller.is_saturated():
             reserved = known.total_slots * sum(shares.values())
             in_flight = self._in_flight(service_name, now)
-            controller.extra_slots = self.state.crowd.surplus(known.total_slots, reserved, in_flight)
+            controller.extra_slots = self.state.fleet_size.surplus(known.total_slots, reserved, in_flight)
         self._notify(controller.tick(now, known.capacity, shares))
 
     def _in_flight(self, service_name: str, now: timedelta) -> int:
         """Requests in flight at a service over all routers: this one's are exact, the others' as last summed."""
-        in_flight, backends = self.state.counts, self.state.fleet.of(service_name)
+        in_flight, backends = self.state.in_flight, self.state.backends.of(service_name)
         own = sum(in_flight.own.get(backend.id, 0) for backend in backends)
         summed_at, peers = self._peers_in_flight.get(service_name, (None, 0))
         if summed_at is None or now - summed_at >= PEERS_SUM_INTERVAL:
--- a/sparloom/router/backend_choice.py
+++ b/sparloom/router/backend_choice.py
@@ -13,6 +13,7 @@
 from .timeout_buckets import buckets_for
 
 if TYPE_CHECKING:
+    from collections.abc import Sequence
     from datetime import timedelta
     from random import Random
 
@@ -45,9 +46,9 @@
 class _Eligible:
     """The backends that may serve a request, and the snapshots that this was worked out from."""
 
-    backends: tuple[Backend, ...]
+    backends: Sequence[Backend]
     isolation: Isolation
-    allowed: tuple[Backend, ...]
+    allowed: Sequence[Backend]
 
 
 def choose_service(request: Request, random: Random) -> str:
@@ -80,7 +81,7 @@
         self.service = choose_service(request, services.random)
         self.tried: set[str] = set()
 
-    def eligible(self) -> tuple[Backend, ...]:
+    def eligible(self) -> Sequence[Backend]:
         """Return the backends that may serve the request; fewer where members' prompts are isolated."""
         backends = self._services.state.backends.of(self.service)
         isolation = self._services.state.settings.isolation
--- a/sparloom/router/feed_client.py
+++ b/sparloom/router/feed_client.py
@@ -17,7 +17,7 @@
 from sparloom.feed import payload as feed_payload
 from sparloom.feed.serving import ChangeSignal
 from sparloom.membership import CONTROLLER
-from sparloom.relay import GONE, Upstream, UpstreamTiming
+from sparloom.relay import LeaveReason, Upstream, UpstreamTiming
 from sparloom.transport import DialTimeout, monotonic
 
 if TYPE_CHECKING:
@@ -70,8 +70,8 @@
         self.on_change = on_change
         self.store = VersionedStore()
         self.change_signal = ChangeSignal()
-        self.upstream = Upstream(state.key, UpstreamTiming.of(contact_bound), state.random)
-        self.dial_timeout = DialTimeout(contact_bound / FIRST_DIAL_PART, self.upstream.spans.dial)
+        self.upstream = Upstream(state.key, UpstreamTiming.from_contact_bound(contact_bound), state.random)
+        self.dial_timeout = DialTimeout(contact_bound / FIRST_DIAL_PART, self.upstream.timing.dial)
         self.raw_configuration: dict[str, Any] | None = None
         self.resync: set[int] = set()
         self.announced_version: tuple[int, int] = NO_VERSION
@@ -90,14 +90,14 @@
         while not self.should_stop:
             address = upstream.choose(monotonic(), self._controllers())
             if address is not None:
-                upstream.start(monotonic(), address)
-                reason = GONE
+                upstream.on_connecting(monotonic(), address)
+                reason = LeaveReason.GONE
                 with suppress(OSError, EOFError, DecodeError, TimeoutError):
                     reason = await self.follow(address)
-                upstream.ended(monotonic(), reason)
+                upstream.on_disconnected(monotonic(), reason)
             await asyncio.sleep(MINIMUM_PAUSE_S + RANDOM_PAUSE_S * self.router_state.random.random())
 
-    async def follow(self, address: str) -> str:
+    async def follow(self, address: str) -> LeaveReason:
         """Follows one controller or relay; gives the reason to leave it.
 
         Raises
@@ -114,14 +114,14 @@
             logging.info("feed: follows %s at depth %d.", address, upstream.depth)
             while True:
                 # After a stall of its own it first reads what waits, and then judges.
-                leave: str | None = upstream.leave(monotonic())
-                stall_check = upstream.spans.contact / STALL_CHECK_PART
-                record = await self._read(frames, stall_check if leave else upstream.due(monotonic()))
+                leave: LeaveReason | None = upstream.leave_reason(monotonic())
+                stall_check = upstream.timing.contact / STALL_CHECK_PART
+                record = await self._read(frames, stall_check if leave else upstream.next_check_delay(monotonic()))
                 if record is None and leave:
                     logging.info("feed: leaves %s (%s).", address, leave)
                     return leave
                 if record is not None and not self._take_record(record):
-                    return GONE
+                    return LeaveReason.GONE
         finally:
             frames.close()
 
@@ -156,7 +156,7 @@
 
     def _take_heartbeat(self, heartbeat: FeedHeartbeat) -> None:
         """Confirms what this router has, only where it has the configuration that the heartbeat speaks of."""
-        self.upstream.pulse(monotonic(), heartbeat.confirmation_age_ms, heartbeat.sent_at_ms)
+        self.upstream.on_heartbeat(monotonic(), heartbeat.confirmation_age_ms, heartbeat.sent_at_ms)
         self.announced_version = max(self.announced_version, heartbeat.configuration_version)
         state = self.router_state
         known = state.endpoint_list is not None and state.configuration is not None
@@ -179,7 +179,7 @@
         """
         if change.topic not in TOPICS:
             raise DecodeError(f"expected a topic of {sorted(TOPICS)}, found {change.topic}")
-        self.upstream.change(monotonic())
+        self.upstream.on_change(monotonic())
         present = self.store.version(change.topic)
         if change.version <= present:
             return True
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -105,7 +105,7 @@
         except TimeoutError:
             return self._give_up(GiveUp(refusal.UNAVAILABLE))
         if isinstance(admission, Rejected):
-            return self._give_up(GiveUp(refusal.UNAVAILABLE), admission.back)
+            return self._give_up(GiveUp(refusal.UNAVAILABLE), admission.retry_after)
         self._reserved = admission.reserved
         try:
             return await self._attempt_until_done()
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -12,6 +12,7 @@
 
 from sparloom.feed import CONFIGURATION, ENDPOINTS
 from sparloom.metrics.reporter import process_figures
+from sparloom.settings import SettingsError
 from sparloom.transport import bind, monotonic
 
 from .client_connections import MINIMUM_IDLE_TIMEOUT, ClientServer
@@ -25,7 +26,7 @@
 if TYPE_CHECKING:
     import socket
 
-    from sparloom.settings import Settings
+    from sparloom.settings import Address, Settings
 
     from .client_connections import ClientConnection
     from .router_node import RouterNode
@@ -45,6 +46,18 @@
 PEER_STATES = ("alive", "suspect", "dead")
 
 
+def _required(address: Address | None, name: str) -> Address:
+    """A listen address that this program needs.
+
+    Raises
+    ------
+    SettingsError: the settings lack it.
+    """
+    if address is None:
+        raise SettingsError(f"listenAddresses.{name} is missing")
+    return address
+
+
 class Frontend(Service):
     """Takes clients' requests and answers them.
 
@@ -78,8 +91,8 @@
     async def on_start(self) -> None:
         """Listen at both addresses."""
         readiness = web.Server(self._answer_platform, access_log=None)
-        await self.serve(readiness, bind(self.settings.listen.readiness))
-        await self.serve_clients(bind(self.settings.listen.front))
+        await self.serve(readiness, bind(_required(self.settings.listen.readiness, "readiness")))
+        await self.serve_clients(bind(_required(self.settings.listen.front, "front")))
 
     async def serve_clients(self, listening: socket.socket) -> None:
         """Serve clients on a listening socket."""
@@ -108,7 +121,7 @@
         configuration = self.node.configuration
         if configuration is None:
             return MINIMUM_IDLE_TIMEOUT
-        return max(MINIMUM_IDLE_TIMEOUT, configuration.caps.idle)
+        return max(MINIMUM_IDLE_TIMEOUT, configuration.limits.idle_timeout)
 
     @Service.task
     async def _close_idle_connections(self) -> None:
@@ -146,8 +159,8 @@
         await self.node.wait_known(time_remaining(http_request.headers, self.settings.bounds.contact))
         if state.configuration is None:
             return web.Response(status=UNAVAILABLE, headers={"Retry-After": RETRY_AFTER_UNCONFIGURED})
-        limits = state.configuration.caps
-        if _size_of_headers(http_request) > limits.head:
+        limits = state.configuration.limits
+        if _size_of_headers(http_request) > limits.maximum_header_bytes:
             return web.Response(status=HEADERS_TOO_LARGE)
         try:
             body = await read_body(http_request, limits)
@@ -231,7 +244,7 @@
         "ready": node.ready(),
         "shares": {
             f"{service} {member}": figures
-            for service, members in node.queues.figures().items()
+            for service, members in node.queues.statistics().items()
             for member, figures in members.items()
         },
         "divisor": node.fleet_size.divisor,
--- a/sparloom/router/in_flight_gossip.py
+++ b/sparloom/router/in_flight_gossip.py
@@ -9,7 +9,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from sparloom.aggregation import FleetTotal, GroupAggregate, InFlightAggregator, MemberUpdate, short
+from sparloom.aggregation import FleetTotal, GroupAggregate, InFlightAggregator, MemberUpdate, short_id
 from sparloom.dynamic_timeout import InFlightReport, InFlightUpdate, PrefixPlacement
 from sparloom.membership import ROUTER
 from sparloom.transport import monotonic
@@ -70,7 +70,7 @@
         ]
         if placements and self.tiered:
             self._report_to_aggregator(monotonic())
-            self.aggregator.read(monotonic(), placements)
+            self.aggregator.add_placements(monotonic(), placements)
             self._send_soon()
         elif placements:
             self._unsent_placements += placements
@@ -104,14 +104,14 @@
         """Sends what is due; called every 50 ms with the number of the tick."""
         state = self.state
         was_tiered = self.tiered
-        self.tiered = state.relay_tier.stands or self.aggregator.busy
-        if not state.relay_tier.stands and (turn % CHANGED_TICKS == 0 or self._urgent):
+        self.tiered = state.relay_tier.exists or self.aggregator.is_active
+        if not state.relay_tier.exists and (turn % CHANGED_TICKS == 0 or self._urgent):
             self._send_directly(turn)
         if self.tiered and turn % UNCHANGED_TICKS == 0:
             state.in_flight.note_callers(self._router_instances().items(), monotonic())
         if self.tiered or was_tiered:
             self._send_through_tier(was_tiered)
-            view_ticks = RELAY_VIEW_TICKS if self.aggregator.acting else CHANGED_TICKS
+            view_ticks = RELAY_VIEW_TICKS if self.aggregator.is_relay else CHANGED_TICKS
             if turn % view_ticks == 0 or not self.tiered:
                 self._take_view(monotonic())
 
@@ -125,7 +125,7 @@
         update = InFlightUpdate(
             self.state.key,
             self.instance_id,
-            self.aggregator.word(monotonic()),
+            self.aggregator.next_sequence(monotonic()),
             self.state.fleet_size.divisor,
             reports,
             self._unsent_placements,
@@ -137,7 +137,7 @@
         now, instances = monotonic(), self._router_instances()
         if not was_tiered:
             self._hand_over_direct_counts()
-        self.aggregator.see(now, self.state.relay_tier, instances, self.upstream.parent)
+        self.aggregator.update_membership(now, self.state.relay_tier, instances, self.upstream.parent)
         self._report_to_aggregator(now)
         self._send_aggregates(now)
         self._urgent = False
@@ -146,21 +146,21 @@
         """The tier is new: what peers told directly counts until they are heard through the tier."""
         backends = self.state.backends.by_id
         for key, peer in self.state.in_flight.peers.items():
-            held = {short(backends[id].number): figures for id, figures in peer.loads.items() if id in backends}
-            self.aggregator.hear_direct(peer.received_at, key, peer.instance_id, peer.sequence, held)
+            loads = {short_id(backends[id].number): figures for id, figures in peer.loads.items() if id in backends}
+            self.aggregator.on_direct_update(peer.received_at, key, peer.instance_id, peer.sequence, loads)
 
     def _report_to_aggregator(self, now: timedelta) -> None:
-        held = {short(report.resource): report.load() for report in self._reports()}
-        self.aggregator.note(now, held, self.state.fleet_size.divisor)
+        loads = {short_id(report.resource): report.load() for report in self._reports()}
+        self.aggregator.update_in_flight(now, loads, self.state.fleet_size.divisor)
 
     def _send_aggregates(self, now: timedelta) -> None:
-        for message in self.aggregator.beat(now):
-            self.membership.datagrams.send(message.to, message.rec)
+        for message in self.aggregator.due_messages(now):
+            self.membership.datagrams.send(message.destinations, message.message)
 
     def _send_soon(self) -> None:
         """Long prompts don't wait for the next tick."""
-        delay = self.aggregator.wait(monotonic())
-        if delay is not None and not delay and not self.aggregator.acting:
+        delay = self.aggregator.flush_delay(monotonic())
+        if delay is not None and not delay and not self.aggregator.is_relay:
             self._send_aggregates(monotonic())
         elif delay is not None and self._timer is None:
             self._timer = self.call_later(delay, self._on_timer)
@@ -169,7 +169,7 @@
         self._timer = None
         now = monotonic()
         self._send_aggregates(now)
-        if self.aggregator.acting:
+        if self.aggregator.is_relay:
             self._take_view(now)
         self._send_soon()
 
@@ -193,7 +193,7 @@
             self._index_backends()
         in_flight = state.in_flight
         recent = [key for key, peer in in_flight.peers.items() if now - peer.received_at <= in_flight.stale]
-        view = self.aggregator.view(now, recent)
+        view = self.aggregator.peers_in_flight(now, recent)
         if view is None:
             in_flight.shared = None
             return
@@ -204,7 +204,7 @@
         self._indexed_backends = self.state.backends
         self._ids_by_short_number = {}
         for backend in self._indexed_backends.by_id.values():
-            self._ids_by_short_number.setdefault(short(backend.number), []).append(backend.id)
+            self._ids_by_short_number.setdefault(short_id(backend.number), []).append(backend.id)
 
     # -- receiving ------------------------------------------------------------
     def on_message(self, message: InFlightUpdate | MemberUpdate | GroupAggregate | FleetTotal, source: str) -> None:
@@ -212,21 +212,21 @@
         if isinstance(message, InFlightUpdate):
             if self.membership.swim.is_current(message.node, message.instance_id):
                 self._on_update(message)
-        elif self.membership.swim.is_current(message.key, message.life):
+        elif self.membership.swim.is_current(message.key, message.instance_id):
             self._on_aggregate(message)
 
     def _on_update(self, update: InFlightUpdate) -> None:
         now, state = monotonic(), self.state
         state.in_flight.on_update(update, now, state.backends.ids_by_number)
         if self.tiered:
-            held = {short(report.resource): report.load() for report in update.reports}
-            self.aggregator.hear_direct(now, update.node, update.instance_id, update.sequence, held)
+            loads = {short_id(report.resource): report.load() for report in update.reports}
+            self.aggregator.on_direct_update(now, update.node, update.instance_id, update.sequence, loads)
         self._note_placements(update.placements)
 
     def _on_aggregate(self, message: MemberUpdate | GroupAggregate | FleetTotal) -> None:
         now = monotonic()
-        self.aggregator.hear(now, message)
-        self._note_placements(message.reads)
+        self.aggregator.on_message(now, message)
+        self._note_placements(message.placements)
         if isinstance(message, FleetTotal):
             self._take_view(now)
         self._send_soon()
@@ -242,15 +242,15 @@
     def on_departed(self, key: str, instance: int | None) -> None:
         """All instances at an address but the given one have ended: they hold nothing any more."""
         self.state.in_flight.drop_node(key, instance)
-        self.aggregator.gone(key, instance)
+        self.aggregator.on_departed(key, instance)
 
     def known_fleet_sizes(self) -> dict[str, int]:
         """By how many the others divide, as far as they told; 0 for '' while a first total is waited for."""
         now, state, instances = monotonic(), self.state, self._router_instances()
         if state.in_flight.shared is not None:
-            sizes: dict[str, int] = self.aggregator.crowds(now)
-            return sizes
-        told = {key: peer.fleet_size for key, peer in state.in_flight.peers.items() if key in instances}
+            through_tier: dict[str, int] = self.aggregator.fleet_sizes(now)
+            return through_tier
+        sizes = {key: peer.fleet_size for key, peer in state.in_flight.peers.items() if key in instances}
         if self.tiered and now - state.started_at < state.settings.bounds.contact:
-            told[""] = 0
-        return told
+            sizes[""] = 0
+        return sizes
--- a/sparloom/router/relay_server.py
+++ b/sparloom/router/relay_server.py
@@ -80,7 +80,7 @@
 
     def is_open(self) -> bool:
         """Whether followers are served."""
-        return self.feed_client.upstream.serves() and not self.should_stop
+        return self.feed_client.upstream.can_serve() and not self.should_stop
 
     def heartbeat_interval(self) -> timedelta:
         """How long a follower waits for a heartbeat when none comes from above."""
@@ -114,7 +114,7 @@
             frames.close()
 
     def _has_room(self) -> bool:
-        return self.is_open() and len(self.followers) < self.feed_client.upstream.room()
+        return self.is_open() and len(self.followers) < self.feed_client.upstream.follower_limit()
 
     def told(self) -> dict[str, Any]:
         """This router's place in the tier, for its beliefs (a JSON object)."""
@@ -123,6 +123,6 @@
             "follows": upstream.parent,
             "depth": upstream.depth,
             "ageMs": self._last_confirmed_age_ms(),
-            "relay": upstream.tier.relay,
+            "relay": upstream.tier.is_relay,
             "followers": sorted(self.followers.values()),
         }
--- a/sparloom/router/request.py
+++ b/sparloom/router/request.py
@@ -94,18 +94,22 @@
     RequestBodyError: it is larger than the limit, or takes longer to come.
     """
     declared = http_request.content_length or 0
-    if declared > limits.body:
-        raise RequestBodyError(CONTENT_TOO_LARGE, f"a body of {declared} bytes, expected at most {limits.body}")
+    if declared > limits.maximum_body_bytes:
+        raise RequestBodyError(
+            CONTENT_TOO_LARGE, f"a body of {declared} bytes, expected at most {limits.maximum_body_bytes}"
+        )
     chunks, size = [], 0
     try:
-        async with asyncio.timeout(limits.idle.total_seconds()):
+        async with asyncio.timeout(limits.idle_timeout.total_seconds()):
             async for chunk in http_request.content.iter_any():
                 size += len(chunk)
-                if size > limits.body:
-                    raise RequestBodyError(CONTENT_TOO_LARGE, f"a body of more than {limits.body} bytes")
+                if size > limits.maximum_body_bytes:
+                    raise RequestBodyError(CONTENT_TOO_LARGE, f"a body of more than {limits.maximum_body_bytes} bytes")
                 chunks.append(chunk)
     except TimeoutError as error:
-        raise RequestBodyError(REQUEST_TIMEOUT, f"{size} bytes of a body, not whole after {limits.idle}") from error
+        raise RequestBodyError(
+            REQUEST_TIMEOUT, f"{size} bytes of a body, not whole after {limits.idle_timeout}"
+        ) from error
     return b"".join(chunks)
 
 
--- a/sparloom/router/router_node.py
+++ b/sparloom/router/router_node.py
@@ -160,7 +160,7 @@
         state = self.snapshots
         keys = sorted(peer.key for peer in self.membership.routers())
         announced = state.endpoint_list.fleet_size if state.endpoint_list else 0
-        state.fleet_size.see(
+        state.fleet_size.update(
             monotonic(), 1 + len(keys), announced, self.gossip.known_fleet_sizes(), bisect(keys, state.key)
         )
 
@@ -173,7 +173,7 @@
             self.tier_members = members
             state.relay_tier = plan_tier(state.key, state.settings.zone, list(members))
         suspects = frozenset(peer.key for peer in routers if peer.state == SUSPECT)
-        self.feed_client.upstream.see(monotonic(), state.relay_tier, suspects)
+        self.feed_client.upstream.update_tier(monotonic(), state.relay_tier, suspects)
 
     def update_backends(self) -> None:
         """Takes the next snapshot of the backends, after a change came."""
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -17,7 +17,7 @@
     parse_members,
 )
 from sparloom.configuration import Route
-from sparloom.router.timeout_buckets import buckets_for, most
+from sparloom.router.timeout_buckets import buckets_for, maximum_in_flight
 from tests.support.aggregation_fleet import Fleet as AggregationFleet
 
 MS = timedelta(milliseconds=1)
@@ -260,7 +260,7 @@
     SLOTS, RUNNERS, ROUTERS = 64, 6, 8
 
     def flood(self, seed, steps=60):
-        rng, whole, parts = random.Random(seed), self.RUNNERS * most(self.SLOTS), {"a": 0.2, "b": 0.1}
+        rng, whole, parts = random.Random(seed), self.RUNNERS * maximum_in_flight(self.SLOTS), {"a": 0.2, "b": 0.1}
         fleet_sizes = [FleetSize(3 * S, divisor=self.ROUTERS, index=i) for i in range(self.ROUTERS)]
         controllers = [AdmissionController(Capacity(c.share(whole)), parts) for c in fleet_sizes]
         route = Route("r", "h", "/", "safe", (), 9 * S, S, S)
