--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -16,6 +16,7 @@
 PATH_NAME = re.compile(rf"(?<![\w/.-])(?:{'|'.join(TOPS)})(?:/[\w.\-]+)++/?+(?![\w*<])")
 MODULE_NAME = re.compile(r"(?<![\w/.-])(?:sparloom|simulator|fakes)(?:\.\w+)+(?![\w/])")
 CLASS_NAME = re.compile(r"(?<!\w)[A-Z][a-z]+(?:[A-Z][a-z]+)+(?!\w)")
+MEMBER_NAME = re.compile(r"(?<![\w.])([A-Z]\w+)\.(_?[a-z]\w+)")
 TEST_NAME = re.compile(r"(?<![\w/.])test_\w{8,}(?![\w.])")
 
 
@@ -50,7 +51,26 @@
     return [*re.findall(r"`([^`\n]+)`", text), *re.findall(r"^    (\S.*)$", text, flags=re.MULTILINE)]
 
 
-def missing(text: str, names: set[str]) -> list[str]:
+def class_members() -> dict[str, set[str]]:
+    """The names of the methods and attributes of each class, by the class's name, with those of its bases."""
+    members: dict[str, set[str]] = {}
+    bases: dict[str, set[str]] = {}
+    for top in ("sparloom", "simulator", "fakes"):
+        for path in pathlib.Path(ROOT, top).rglob("*.py"):
+            tree = ast.parse(path.read_text(encoding="utf-8"))
+            for node in (found for found in ast.walk(tree) if isinstance(found, ast.ClassDef)):
+                found = {
+                    inner.name for inner in node.body if isinstance(inner, (ast.FunctionDef, ast.AsyncFunctionDef))
+                }
+                stored = [inner for inner in ast.walk(node) if isinstance(getattr(inner, "ctx", None), ast.Store)]
+                found |= {inner.attr for inner in stored if isinstance(inner, ast.Attribute)}
+                found |= {inner.id for inner in stored if isinstance(inner, ast.Name)}
+                members.setdefault(node.name, set()).update(found)
+                bases.setdefault(node.name, set()).update(base.id for base in node.bases if isinstance(base, ast.Name))
+    return {name: own.union(*(members.get(base, set()) for base in bases[name])) for name, own in members.items()}
+
+
+def missing(text: str, names: set[str], members: dict[str, set[str]]) -> list[str]:
     """What a page's code names and the project has not."""
     root, faults = pathlib.Path(ROOT), []
     for span in spans(text):
@@ -60,20 +80,23 @@
             if parts[-1] not in FILE_ENDINGS and not all(part in names or part in TOPS for part in parts):
                 faults.append(module)
         faults += [name for name in CLASS_NAME.findall(span) if name not in names | FOREIGN]
+        for owner, name in MEMBER_NAME.findall(span):
+            if owner in members and name not in members[owner]:
+                faults.append(f"{owner}.{name}")
         faults += [name for name in TEST_NAME.findall(span) if name not in names]
     return faults
 
 
 class Documentation(unittest.TestCase):
     def test_pages_name_only_what_exists(self):
-        names = defined_names()
+        names, members = defined_names(), class_members()
         for page in pages():
             with self.subTest(page.relative_to(ROOT)):
-                self.assertEqual(missing(page.read_text(encoding="utf-8"), names), [])
+                self.assertEqual(missing(page.read_text(encoding="utf-8"), names, members), [])
 
     def test_names_that_are_gone_are_found(self):
-        text = "`sparloom/nowhere.py` `sparloom.nowhere` `NoSuchClass` `test_nothing_of_the_kind`"
-        self.assertEqual(len(missing(text, defined_names())), 4)
+        text = "`sparloom/nowhere.py` `sparloom.nowhere` `NoSuchClass` `Swim.nothing` `test_nothing_of_the_kind`"
+        self.assertEqual(len(missing(text, defined_names(), class_members())), 5)
 
 
 if __name__ == "__main__":
