--- a/sparloom/admission/fleet_size.py
+++ b/sparloom/admission/fleet_size.py
@@ -22,8 +22,8 @@
     It is the most routers that were seen within two contact bounds, or that
     the control state records, whichever is more; so a crash, a freeze or a partition
     gives nobody more at once, and a start of all together begins with the
-    recorded number. A router that raises the number waits until all whom it
-    sees divide by it too. An eighth of the whole is never granted: it covers
+    recorded number. A router that has just started waits until all whom it
+    sees divide by the new number too; one that has admitted goes on. An eighth of the whole is never granted: it covers
     those that are partitioned and still divide by the old number.
 
     Attributes
--- a/sparloom/configuration/table.py
+++ b/sparloom/configuration/table.py
@@ -32,7 +32,7 @@
     cache_tokens
         Tokens that a runner's prefix cache holds; 0 where it is not given.
     health_path
-        Path of the health check; empty for none.
+        ``healthPath`` of the configuration; kept, but routers don't probe runners.
     """
 
     name: str
@@ -71,7 +71,7 @@
     resume
         Whether an interrupted stream is resumed at another runner.
     sticky
-        Whether requests of a session go to the same runner.
+        ``stickySessions`` of the configuration; kept, but nothing depends on it.
     """
 
     name: str
@@ -109,9 +109,10 @@
     maximum_header_bytes, maximum_body_bytes
         The largest size of all headers together, and of the body.
     header_timeout
-        How long a client may take for the headers.
+        ``headerTimeoutMs`` of the configuration; not applied yet.
     idle_timeout
-        How long a client may send nothing.
+        How long the whole body may take; also how long a connection may rest
+        between requests, but there never less than 75 s.
     """
 
     maximum_header_bytes: int = 16384
--- a/sparloom/controller/control_api.py
+++ b/sparloom/controller/control_api.py
@@ -1,8 +1,11 @@
 """What operators call over HTTP: PUT, PATCH and GET of the configuration, and the controller's beliefs.
 
-Only the primary answers, and only from committed state that a majority
-confirmed after the request came; any other answer is a 503 or a redirect,
-never a refusal. What a change leads to is decided in ``configuration_writer``.
+Any controller answers 400, 408 and 413 for faults of the request alone, and
+the beliefs. Whatever depends on the configuration is answered by the primary
+alone: 200 to a change once every holder has it on disk, a read or a refusal
+from state that a majority confirmed after the request came. Otherwise the
+answer is a 503 or a redirect. What a change leads to is decided in
+``configuration_writer``.
 """
 
 from __future__ import annotations
--- a/sparloom/controller/control_state.py
+++ b/sparloom/controller/control_state.py
@@ -1,9 +1,9 @@
 """The control state as bytes: the newest configuration, and which changes led to it.
 
-Layout of version 2: a header (version, oldest revision of which nothing is
-known any more, number of routers, number of records), one record of fixed size
-for each committed change, ascending by revision, then the configuration as
-compressed JSON. Version 1 was one compressed JSON list, whose first byte is
+Layout of version 2: a header (version, newest revision that is forgotten - of
+it and all below nothing is known -, number of routers, number of records), one
+record of fixed size for each committed change, ascending by revision, then the
+configuration as compressed JSON. Version 1 was one compressed JSON list, whose first byte is
 that of a zlib stream.
 """
 
--- a/sparloom/dynamic_timeout/counts.py
+++ b/sparloom/dynamic_timeout/counts.py
@@ -47,9 +47,7 @@
         calls: Requests in flight.
         prefill_tokens: Prompt tokens sent there whose prefill has not ended.
         unresponsive: How many nodes get no answer from it.
-        successes: Requests that ended well recently.
-        failures: Requests that failed recently.
-        accusers: How many nodes saw it fail recently.
+        successes, failures, accusers: Recent outcomes; part of the wire format, but routers send 0.
     """
 
     resource: UInt64
--- a/sparloom/feed/records.py
+++ b/sparloom/feed/records.py
@@ -93,7 +93,7 @@
 
 @record(62)
 class FeedHeartbeat(Record):
-    """Tells a follower that its source lives, and how recently the primary was confirmed.
+    """Tells a follower that its source is up, and how recently the primary was confirmed.
 
     Attributes
     ----------
--- a/sparloom/relay/__init__.py
+++ b/sparloom/relay/__init__.py
@@ -1,4 +1,4 @@
-"""The tier of relays: who passes news on, chosen from membership without a vote."""
+"""The tier of relays: which routers pass the feed on, chosen from membership without a vote."""
 
 from .plan import RelayTier, plan_tier
 from .upstream import LeaveReason, Upstream, UpstreamTiming
--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -114,7 +114,7 @@
     def broke_off(self, error: Exception) -> Verdict:
         """Return the verdict after the backend closed the connection or sent an invalid response."""
         self._suspect(BROKE_OFF)
-        logging.info("attempt: backend %s broke off (%s).", self.backend.id, type(error).__name__)
+        logging.info("attempt: backend broke off id=%s error=%s", self.backend.id, type(error).__name__)
         return MAY_HAVE_RUN
 
     async def _judge(self, response: aiohttp.ClientResponse) -> Verdict | None:
--- a/sparloom/router/backends.py
+++ b/sparloom/router/backends.py
@@ -1,4 +1,4 @@
-"""The runners as this router knows them: a snapshot that is replaced whole."""
+"""The runners as this router knows them: a new table after each change, of ``Backend`` objects that go on."""
 
 from __future__ import annotations
 
--- a/sparloom/router/feed_client.py
+++ b/sparloom/router/feed_client.py
@@ -111,14 +111,14 @@
         try:
             await frames.write(self.store.subscription(self.router_state.settings.node, self.resync))
             upstream.tracker.start(monotonic())
-            logging.info("feed: follows %s at depth %d.", address, upstream.depth)
+            logging.info("feed: following source=%s depth=%d", address, upstream.depth)
             while True:
                 # After a stall of its own it first reads what waits, and then judges.
                 leave: LeaveReason | None = upstream.leave_reason(monotonic())
                 stall_check = upstream.timing.contact / STALL_CHECK_PART
                 record = await self._read(frames, stall_check if leave else upstream.next_check_delay(monotonic()))
                 if record is None and leave:
-                    logging.info("feed: leaves %s (%s).", address, leave)
+                    logging.info("feed: left source=%s reason=%s", address, leave)
                     return leave
                 if record is not None and not self._take_record(record):
                     return LeaveReason.GONE
@@ -190,7 +190,7 @@
         try:
             new = feed_payload.apply_change(change, old)
         except feed_payload.PayloadError as error:
-            logging.warning("feed: a change does not fit (%s); the whole is asked for.", error)
+            logging.warning("feed: change rejected topic=%d error=%r", change.topic, str(error))
             self.resync.add(change.topic)
             return False
         self._use(is_configuration, new)
@@ -202,7 +202,7 @@
         if is_configuration:
             self.raw_configuration = new
             state.configuration = build(new)
-            logging.info("feed: revision %d is in force.", state.configuration.revision)
+            logging.info("feed: configuration in force revision=%d", state.configuration.revision)
         else:
             state.endpoint_list = new
             self.on_endpoints()
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -1,8 +1,9 @@
-"""Forwards one request. Its steps, in order, each in a module of its own:
+"""Forwards one request that ``frontend`` has read, matched and parsed.
 
-parse (``request``), match (``frontend``), admit (``admission_queues``), choose
-(``backend_choice``), attempt (``attempt``), hedge (``hedging``), relay
-(``response_relay``), and where nothing can be relayed, refuse (``refusal``).
+Its steps, in order: choose a service (``backend_choice``), admit
+(``admission_queues``), choose a backend (``backend_choice``), attempt
+(``attempt``), hedge (``hedging``), relay (``response_relay``); where nothing
+can be relayed, refuse (``refusal``).
 """
 
 from __future__ import annotations
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -191,18 +191,18 @@
     def _count(self, forwarder: RequestForwarder) -> None:
         self.outcomes.add(forwarder.outcome)
         if forwarder.outcome is Outcome.UNANSWERED:
-            logging.warning("frontend: request %s ended without a response.", forwarder.request.attempt_id)
+            logging.warning("frontend: request ended without response id=%s", forwarder.request.attempt_id)
 
     # -- graceful shutdown --------------------------------------------------------
     async def drain(self) -> None:
         """Shut down gracefully: unready at once, later no new connections, then each closes once it is idle."""
         self.graceful_shutdown = shutdown = GracefulShutdown.starting_at(monotonic(), self.settings.bounds.grace)
-        logging.info("frontend: draining; %d requests are in flight.", len(self.forwarders))
+        logging.info("frontend: draining in_flight=%d", len(self.forwarders))
         await asyncio.sleep((shutdown.accepts_until - monotonic()).total_seconds())
         await self._stop_listening()
         await self._close_resting_connections(shutdown.aborts_at)
         if self.forwarders:
-            logging.warning("frontend: %d requests are aborted.", len(self.forwarders))
+            logging.warning("frontend: aborting requests=%d", len(self.forwarders))
         for forwarder in list(self.forwarders):
             forwarder.expire()
         await self._close_resting_connections(shutdown.ends_at)
--- a/sparloom/router/outcomes.py
+++ b/sparloom/router/outcomes.py
@@ -1,4 +1,4 @@
-"""How requests ended that this router has read: one count for each way to end."""
+"""How requests ended that matched a route: one count for each way to end."""
 
 from __future__ import annotations
 
@@ -21,7 +21,9 @@
 
 
 class Outcomes:
-    """Counts of outcomes; each request that was read whole is counted once.
+    """Counts of outcomes; each request that matched a route is counted once.
+
+    A 404, 408, 413, 431 and the 503 of a router without a configuration are not counted.
 
     >>> outcomes = Outcomes()
     >>> outcomes.add(Outcome.ANSWERED)
--- a/sparloom/router/router_node.py
+++ b/sparloom/router/router_node.py
@@ -188,7 +188,11 @@
         return found.cache_tokens if found and found.cache_tokens else DEFAULT_CACHE_TOKENS
 
     async def wait_known(self, maximum: timedelta) -> None:
-        """Waits after a start for the first configuration and runners, for a third of the contact bound at most."""
+        """Waits after a start until this router can place prompts, for a third of the contact bound at most.
+
+        It can once the configuration and the endpoint list came, and the
+        controllers have answered which prefixes are cached where.
+        """
         known = self.snapshots.prefixes_known
         if known.is_set():
             return
--- a/sparloom/router/router_state.py
+++ b/sparloom/router/router_state.py
@@ -34,9 +34,10 @@
 class RouterState:
     """What this router knows now.
 
-    Snapshots (settings, configuration, endpoint list, backends) are replaced
-    whole and never changed in place, so their identity tells whether they are
-    the same.
+    Settings, configuration and endpoint list are immutable: a change puts a new
+    object here, so identity shows whether they are the same. ``backends`` is a
+    new table after each change too, but its ``Backend`` objects go on into the
+    next table and are updated in place.
 
     Attributes
     ----------
--- a/sparloom/settings/model.py
+++ b/sparloom/settings/model.py
@@ -99,7 +99,7 @@
     grace
         From SIGTERM to the end of the process.
     config_apply
-        When a committed configuration must be in force everywhere.
+        When a committed configuration must be in force everywhere; kept, not read.
     budget_window
         The period over which retries are counted.
     budget_ratio
@@ -107,9 +107,9 @@
     budget_slack
         Retries allowed beyond the ratio.
     pass_time
-        ``passMs`` of the startup file; nothing depends on it yet.
+        ``passMs`` of the startup file; kept, not read.
     recovery
-        When the system must serve as before after a fault has ended.
+        When the system must serve as before after a fault has ended; kept, not read.
     """
 
     contact: timedelta = timedelta(milliseconds=3000)
@@ -135,7 +135,7 @@
     rate
         Requests allowed each second, by all controllers together.
     lag
-        How old a list may be when it is answered.
+        How old a list may be when it is answered; kept, not read.
     """
 
     address: Address
@@ -164,11 +164,11 @@
     listen
         Where the process listens for others than nodes.
     zones
-        Region of each zone.
+        Region of each zone; kept, not read.
     first_start
         Whether the whole system starts for the first time, with empty disks.
     loss_counted
-        Whether the loss of this machine is one of ``tolerated``.
+        Whether the loss of this machine is one of ``tolerated``; kept, not read.
     data
         Directory for data that must outlast the process.
     limits, tolerated, bounds
