--- a/fakes/__main__.py
+++ b/fakes/__main__.py
@@ -1,6 +1,9 @@
 """A local try-out: a platform and two runners, and the files that the programs need."""
 
+from __future__ import annotations
+
 import asyncio
+import contextlib
 import json
 import os
 import sys
@@ -45,7 +48,7 @@
 }
 
 
-def _write(folder):
+def _write(folder: str) -> None:
     data = os.path.abspath(os.path.join(folder, "data"))
     os.makedirs(data, exist_ok=True)
     files = {
@@ -58,28 +61,30 @@
         "policy.json": json.dumps(POLICY, indent=1),
     }
     for name, text in files.items():
-        with open(os.path.join(folder, name), "w", encoding="utf-8") as f:
-            f.write(text)
+        with open(os.path.join(folder, name), "w", encoding="utf-8") as file:
+            file.write(text)
 
 
-async def _serve(events, pause):
+async def _serve(events: int, pause: float) -> None:
+    # The runners and the platform serve until the process ends.
     runners = [await Runner(id=f"i-{i}", events=events, pause=pause).start(port=18401 + i) for i in range(2)]
-    await Platform([Platform.entry(r.id, "talkers", f"127.0.0.1:{r.port}") for r in runners]).start(port=18266)
+    await Platform([Platform.entry(runner.id, "talkers", f"127.0.0.1:{runner.port}") for runner in runners]).start(
+        port=18266
+    )
     print(f"A platform on 127.0.0.1:18266, two runners; files in {FOLDER}. End with Ctrl-C.", flush=True)
     await asyncio.Event().wait()
 
 
-def main(*, events: int = 10, pause: float = 0.2):
+def main(*, events: int = 10, pause: float = 0.2) -> int:
     """Serve a platform and two runners on this machine.
 
     :param events: events in each stream
     :param pause: seconds between events
     """
     _write(FOLDER)
-    try:
+    with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(_serve(events, pause))
-    except KeyboardInterrupt:
-        return 0
+    return 0
 
 
 sys.exit(defopt.run(main))
