--- a/tests/router/test_feed_client.py
+++ b/tests/router/test_feed_client.py
@@ -13,7 +13,7 @@
 from sparloom.membership import ROUTER, Peer, Swim, SwimTiming
 from sparloom.router.router_node import RouterNode
 from sparloom.settings import from_dict
-from sparloom.transport import Frames, monotonic
+from sparloom.transport import DialTimeout, Frames, monotonic
 from tests.support.router_fixture import POLICY as ROUTES
 from tests.support.router_fixture import STARTUP
 
@@ -30,6 +30,10 @@
     return Change(ENDPOINTS, epoch, number, 0, 0, news.encode_state(ENDPOINTS, EndpointList([], 1)))
 
 
+# The programs dial for 75 ms at first; a busy machine may take longer even on loopback (tests/transport/test_dialing.py).
+PATIENT = timedelta(seconds=30)
+
+
 class FeedTestCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.accepted = asyncio.Queue()
@@ -72,6 +76,7 @@
         me = Peer("me:1", ROUTER, "z1", "", 1, 0, 0)
         self.router.swim = Swim(me, (), SwimTiming.of(timedelta(seconds=3)), None)
         self.client = self.router.feed_client
+        self.client.dial_timeout = DialTimeout(PATIENT, PATIENT)
 
     async def start(self):
         """Follows the one that the test plays; gives the task and the connection."""
@@ -119,6 +124,7 @@
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.feed_server = FeedServer(self.settings)
+        self.feed_server.dialing = DialTimeout(PATIENT, PATIENT)
         self.primary = SimpleNamespace(id=2, host="127.0.0.1", port=self.port)
         member = SimpleNamespace(primary=lambda: self.primary, leading=lambda: False)
         self.feed_server.consensus = SimpleNamespace(member=member)
