--- a/sparloom/consensus/__init__.py
+++ b/sparloom/consensus/__init__.py
@@ -1,8 +1,9 @@
-"""Consensus of the controllers on the control state.
+"""Consensus protocol that replicates the control state among the controllers.
 
-A primary replicates the data to its backups; witnesses vote but keep no data.
-``ConsensusMember`` holds the decisions, without I/O: messages and time in,
-actions out. The service in ``sparloom.controller`` carries the actions out.
+A primary replicates the data to its backups; witnesses vote but store no data.
+``ConsensusMember`` is the protocol's state machine and performs no I/O: it takes
+messages and the time and returns actions. The service in
+``sparloom.controller`` executes the actions.
 """
 
 from .actions import (
--- a/sparloom/consensus/actions.py
+++ b/sparloom/consensus/actions.py
@@ -1,7 +1,7 @@
-"""Actions that a consensus member asks of its service, and its time-outs.
+"""Actions that a consensus member returns to its service, and the member's timeouts.
 
 The member performs no I/O: each call returns actions, which the service
-carries out in order.
+executes in order.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 if TYPE_CHECKING:
     from .records import Data, Member, Message, Register
 
-# Earlier than any time of the monotonic clock: what has not happened yet.
+# Timestamp of an event that has not happened yet; earlier than any time of the monotonic clock.
 NEVER = timedelta(days=-1)
 
 
 @define(frozen=True, slots=True)
 class ConsensusTiming:
-    """Time-outs of a consensus member, all derived from the contact bound.
+    """Intervals and timeouts of a consensus member, all derived from the contact bound.
 
     Attributes
     ----------
     heartbeat_interval
-        Between two heartbeats of the primary.
+        Time between two heartbeats of the primary.
     election_timeout
-        Silence after which a member is passed over, and a primary replaced.
+        Time without a message after which a member counts as unreachable and a primary is replaced.
     resend_interval
-        Between two sendings of a message that lacks its answer.
+        Time between two transmissions of an unanswered message.
     candidacy_timeout
-        How long a pre-vote or an election may take.
+        Maximum duration of a pre-vote or an election.
     removal_timeout
-        Silence after which a member's seat may go to another one.
+        Time without a message after which a voter's seat may be given to another member.
     """
 
     heartbeat_interval: timedelta
@@ -45,7 +45,7 @@
 
     @classmethod
     def of(cls, contact_bound: timedelta) -> ConsensusTiming:
-        """Time-outs that replace a lost primary well inside the contact bound.
+        """Returns timeouts that replace a failed primary well within the contact bound.
 
         >>> ConsensusTiming.of(timedelta(seconds=3)).election_timeout
         datetime.timedelta(microseconds=600000)
@@ -60,7 +60,7 @@
 
 
 class Destination(Enum):
-    """A group of receivers that the service knows and the member does not."""
+    """A group of receivers whose addresses the service knows and the member does not."""
 
     SEEDS = "seeds"
     CONTROLLERS = "controllers"
@@ -68,18 +68,18 @@
 
 # The configured seed addresses.
 SEEDS: Final = Destination.SEEDS
-# All controllers that the membership protocol knows.
+# All controllers known to the membership protocol.
 CONTROLLERS: Final = Destination.CONTROLLERS
 
 
 @define(frozen=True, slots=True)
 class Send:
-    """Send a message: a ``Copy`` by connection, all others by datagram.
+    """Send a message: a ``Copy`` over a connection, all others as datagrams.
 
     Attributes
     ----------
     destination
-        One member, or a group of receivers.
+        One member or a group of receivers.
     record
         The message.
     """
@@ -90,22 +90,22 @@
 
 @define(frozen=True, slots=True)
 class Save:
-    """Put the register, and the data if given, on disk; then carry out ``followups``.
+    """Write the register, and the data if given, to disk; then execute ``followups``.
 
-    Saves are carried out in order. One that fails is retried together with
-    those behind it: a later register must never reach the disk without the
-    data of an earlier save, or it would claim a copy that is not there.
+    Saves are executed in order. A failed save is retried together with all
+    later ones: a later register must never reach the disk without the data of
+    an earlier save, because it would claim a copy that does not exist.
 
     Attributes
     ----------
     register
-        The register as it was when the save was asked for.
+        The register at the time of the request.
     data
-        The data, or None where it did not change.
+        The data, or None if it did not change.
     sequence
-        Counts the member's saves since its start.
+        Number of the save, counted from the member's start.
     followups
-        Answers that claim what was saved, so they may go out only after it.
+        Answers that acknowledge the saved state, so they may only be sent once it is on disk.
     """
 
     register: Register
@@ -121,7 +121,7 @@
     Attributes
     ----------
     id
-        Of the write call; 0 for the state with which a new primary begins.
+        Id of the write call; 0 for the initial state of a new primary.
     data
         The committed state.
     """
@@ -132,12 +132,12 @@
 
 @define(frozen=True, slots=True)
 class Aborted:
-    """A write or a read can't be answered here any more; a write may still take effect.
+    """A write or read can no longer be answered by this member; a write may still take effect.
 
     Attributes
     ----------
     id
-        Of the call.
+        Id of the call.
     """
 
     id: int
@@ -150,7 +150,7 @@
     Attributes
     ----------
     id
-        Of the read call.
+        Id of the read call.
     data
         The committed state.
     """
@@ -161,7 +161,7 @@
 
 @define(frozen=True, slots=True)
 class LeaveCompleted:
-    """A planned leave is complete: neither data nor majorities depend on this member."""
+    """The planned leave is complete: neither the data nor a majority depends on this member."""
 
 
 Action: TypeAlias = Save | Send | Committed | Aborted | ReadConfirmed | LeaveCompleted
--- a/sparloom/consensus/election.py
+++ b/sparloom/consensus/election.py
@@ -1,9 +1,10 @@
-"""A candidate's side: an epoch of its own, promises of a quorum, a view to lead.
+"""Candidate side of the protocol: pre-votes and elections.
 
-A candidate first has its own epoch on disk, so that no epoch is ever used
-twice. It then collects promises until a majority of each roster that has a say
-has promised. Only a member that holds the data of the view on which it builds
-may lead; another one asks such a holder to stand instead.
+``PreVoting`` checks whether an election could be won; ``Election`` is one
+candidacy in a new epoch. A candidate first writes its epoch to disk, so that no
+epoch is ever used twice. It then collects promises from a majority of each
+roster that is required. Only a member that holds the data of the basis view may
+lead; any other candidate asks such a holder to start an election instead.
 """
 
 from __future__ import annotations
@@ -25,21 +26,21 @@
     from .records import Member, PreVoteAnswer, Promise
     from .views import Basis
 
-# How long a quorum that has promised waits for the other members, as a part of the resend interval.
-ABSENT_WAIT = 0.75
-# The first pause between two requests, as a part of the resend interval.
-FIRST_PAUSE = 0.25
+# Time a candidate with a quorum of promises waits for the remaining voters, as a fraction of the resend interval.
+ABSENT_VOTER_WAIT_FACTOR = 0.75
+# Minimum interval between retries of a request, as a fraction of the resend interval.
+INITIAL_RETRY_FACTOR = 0.25
 
 
 def _request_due(consensus: ConsensusMember, started_at: timedelta, sent_at: timedelta) -> bool:
-    """Whether requests that lack an answer go out again.
+    """Returns whether unanswered requests are due for a retry.
 
-    Pauses begin short and grow with the age of the candidacy up to the resend
-    interval: after a loss of all power those that are asked first may not
-    listen yet, and come up a moment later.
+    The retry interval starts short and grows with the age of the candidacy up to
+    the resend interval: after a total power loss, the first receivers may not
+    be listening yet and start shortly afterwards.
     """
     interval = consensus.timing.resend_interval
-    pause = min(interval, max(interval * FIRST_PAUSE, sent_at - started_at))
+    pause = min(interval, max(interval * INITIAL_RETRY_FACTOR, sent_at - started_at))
     return consensus.now - sent_at >= pause
 
 
@@ -48,7 +49,7 @@
     answers: Mapping[int, PreVoteAnswer | Promise],
     roster: Iterable[Member] = (),
 ) -> list[Member]:
-    """The other members whose answer may be needed and lacks, by the views known here and reported in answers."""
+    """Returns the other members that have not answered, from the locally known and the reported views."""
     first = None if consensus.view else consensus.genesis_view()
     known = members_by_id([consensus.view, first, *(answer.view for answer in answers.values())])
     known |= {member.id: member for member in roster}
@@ -57,25 +58,25 @@
 
 @define(slots=True, eq=False)
 class PreVoting:
-    """Asks whether an election would be won, before any epoch is used.
+    """Asks the other members whether an election would be won, without using an epoch.
 
-    A member that was cut off so raises no promise, its own included, and does
-    not depose the primary when it comes back.
+    A partitioned member therefore raises no promised epoch, not even its own,
+    and does not depose the primary when it reconnects.
     """
 
-    # The member that asks; it owns this object.
+    # The candidate; it owns this object.
     consensus: ConsensusMember
-    # Tells answers to this pre-vote from those to an earlier one.
+    # Number of the pre-vote; separates its answers from those to an earlier one.
     round: int
-    # When it began, by ``ConsensusMember.now``.
+    # Start of the pre-vote, in the time of ``ConsensusMember.now``.
     started_at: timedelta
-    # When members were last asked.
+    # Time of the last request.
     sent_at: timedelta = NEVER
-    # The granting answers, by member id.
+    # Granting answers by member id.
     answers: dict[int, PreVoteAnswer] = field(factory=dict)
 
     def tick(self) -> list[Action]:
-        """Asks again those that lack; gives up once it takes too long."""
+        """Retries unanswered requests; gives up after the candidacy timeout."""
         consensus = self.consensus
         if consensus.now - self.started_at > consensus.timing.candidacy_timeout:
             return consensus.abandon_candidacy()
@@ -87,7 +88,7 @@
         return [*requests, *self._conclude()]
 
     def on_answer(self, answer: PreVoteAnswer) -> list[Action]:
-        """Takes a member's answer; one refusal is enough to give up."""
+        """Handles a member's answer; a single refusal ends the pre-vote."""
         if answer.round != self.round:
             return []
         if not answer.granted:
@@ -96,11 +97,11 @@
         return self._conclude()
 
     def _conclude(self) -> list[Action]:
-        """Stands for primary once a quorum would promise."""
+        """Starts an election once a quorum would promise."""
         consensus = self.consensus
         answers = self.answers | {consensus.member.id: consensus.replica.pre_vote_answer(self.round, True)}
         basis = find_basis(answers.values(), consensus.genesis_view())
-        return consensus.stand() if basis and quorum(answers, basis.rosters) else []
+        return consensus.start_election() if basis and quorum(answers, basis.rosters) else []
 
 
 @define(frozen=True, slots=True)
@@ -110,9 +111,9 @@
     Attributes
     ----------
     base_epoch : int
-        Epoch of the view that is changed; the plan is void for any other.
+        Epoch of the view to change; the plan does not apply to any other view.
     roster : tuple of Member
-        The voters that should follow.
+        The voters of the next view.
     """
 
     base_epoch: int
@@ -121,38 +122,38 @@
 
 @define(slots=True, eq=False)
 class Election:
-    """One candidacy. Times are those of ``ConsensusMember.now``."""
+    """One candidacy; timestamps are in the time of ``ConsensusMember.now``."""
 
     # The candidate; it owns this object.
     consensus: ConsensusMember
-    # The epoch that is asked for; it belongs to this candidacy alone.
+    # The requested epoch, used by this candidacy only.
     epoch: int
     started_at: timedelta
-    # Whether members that hear a primary are to promise as well.
+    # Whether members with a live primary must promise as well.
     forced: bool = False
-    # The roster to lead, where it is to change.
+    # The planned roster change, or None.
     plan: RosterPlan | None = None
-    # When members were last asked.
+    # Time of the last request.
     sent_at: timedelta = NEVER
-    # The promises of other members, by member id.
+    # Promises of the other members by member id.
     promises: dict[int, Promise] = field(factory=dict)
-    # When each member was last heard, by member id: by a primary that stands again and by its
-    # promise, so that silence is not forgotten with each new view.
-    heard_at: dict[int, timedelta] = field(factory=dict)
+    # Time of the last message from each member, by member id. A primary that starts an election passes
+    # its own timestamps on, so that a new view does not reset the time a member has been unresponsive.
+    last_contact_at: dict[int, timedelta] = field(factory=dict)
 
     @property
     def prepared(self) -> bool:
-        """Whether this member's own promise of the epoch is on disk."""
+        """Whether the candidate's own promise of the epoch is on disk."""
         durable = self.consensus.durable
         return durable is not None and durable.promised_epoch >= self.epoch
 
     def tick(self) -> list[Action]:
-        """Asks again for the promises that lack; gives up once it takes too long."""
+        """Retries requests for missing promises; gives up after the candidacy timeout."""
         consensus = self.consensus
         if consensus.now - self.started_at > consensus.timing.candidacy_timeout:
             return consensus.abandon_candidacy()
         if not self.prepared:
-            # After a restart it would use the epoch once more.
+            # Without the promise on disk, a restarted candidate would use the same epoch again.
             return []
         actions: list[Action] = []
         if _request_due(consensus, self.started_at, self.sent_at):
@@ -167,50 +168,50 @@
         return self.plan.roster if self.plan else ()
 
     def on_promise(self, promise: Promise) -> list[Action]:
-        """Takes a promise, or its refusal."""
+        """Handles a promise or a refusal."""
         if promise.epoch != self.epoch or not self.prepared:
             return []
         if not promise.granted:
             return self.consensus.abandon_candidacy()
         self.promises[promise.sender] = promise
-        self.heard_at[promise.sender] = self.consensus.now
+        self.last_contact_at[promise.sender] = self.consensus.now
         return self._conclude()
 
     def _conclude(self) -> list[Action]:
-        """Leads, or asks a holder to, once a quorum has promised and nobody is worth waiting for."""
+        """Becomes primary, or asks a holder to, once a quorum has promised and the wait for other voters is over."""
         consensus = self.consensus
         promises = self.promises | {consensus.member.id: consensus.replica.durable_promise(self.epoch)}
         basis = find_basis(promises.values(), consensus.genesis_view())
         if basis is None or not quorum(promises, basis.rosters):
             return []
-        waited = consensus.now - self.started_at >= consensus.timing.resend_interval * ABSENT_WAIT
-        if not waited and self._awaited(basis) - set(promises):
-            # A view that is formed at once would lack members that answer a moment later.
+        wait_over = consensus.now - self.started_at >= consensus.timing.resend_interval * ABSENT_VOTER_WAIT_FACTOR
+        if not wait_over and self._expected_voters(basis) - set(promises):
+            # A view formed now would exclude members whose answers are still in flight.
             return []
         if not self._holds(basis, promises[consensus.member.id]):
-            return self._yield_to_holder(basis, promises)
-        roster = self._roster(basis, promises, waited)
+            return self._transfer_to_holder(basis, promises)
+        roster = self._roster(basis, promises, wait_over)
         backups = self._backups(basis, promises, roster) if roster else None
         if roster is None or backups is None:
             return []
         view = next_view(self.epoch, consensus.member.id, backups, roster, basis)
         return consensus.become_primary(view, self)
 
-    def _awaited(self, basis: Basis) -> set[int]:
-        """The members that are worth a short wait: all but suspected ones and, unless forced, the old primary."""
-        awaited = set(basis.view.ids) - set(self.consensus.membership.suspected)
-        awaited |= {member.id for member in self._planned_roster}
-        return awaited if self.forced else awaited - {basis.view.primary}
+    def _expected_voters(self, basis: Basis) -> set[int]:
+        """Returns the members to wait for: all but suspected ones and, unless forced, the old primary."""
+        expected = set(basis.view.ids) - set(self.consensus.membership.suspected)
+        expected |= {member.id for member in self._planned_roster}
+        return expected if self.forced else expected - {basis.view.primary}
 
     @staticmethod
     def _holds(basis: Basis, promise: Promise) -> bool:
-        """Whether the member that promised has the data of the basis on disk."""
+        """Returns whether the promising member has the data of the basis view on disk."""
         if basis.view.epoch == 0:
             return promise.sender in basis.view.ids
         return promise.sender in basis.view.holders and promise.copy_epoch >= basis.view.epoch
 
-    def _yield_to_holder(self, basis: Basis, promises: Mapping[int, Promise]) -> list[Action]:
-        """Asks a holder of the data to stand instead, one with a fast disk if there is any."""
+    def _transfer_to_holder(self, basis: Basis, promises: Mapping[int, Promise]) -> list[Action]:
+        """Asks a holder of the data to start an election instead, preferably one that is not suspected."""
         consensus = self.consensus
         holders = [promise.sender for promise in promises.values() if self._holds(basis, promise)]
         consensus.abandon_candidacy()
@@ -220,21 +221,21 @@
         transfer = TransferLeadership(consensus.member.id, self.epoch, False, basis.view)
         return consensus.send_to(successor, transfer)
 
-    def _roster(self, basis: Basis, promises: Mapping[int, Promise], waited: bool) -> list[Member] | None:
-        """The planned roster if it still fits and can vote, else the one there is; None: wait."""
-        present = list(basis.view.roster)
+    def _roster(self, basis: Basis, promises: Mapping[int, Promise], wait_over: bool) -> list[Member] | None:
+        """Returns the planned roster if it still applies and can vote, else the current one; None to wait."""
+        current = list(basis.view.roster)
         if self.plan is None or self.plan.base_epoch != basis.view.epoch:
-            return present
+            return current
         planned_ids = [member.id for member in self.plan.roster]
         if self.consensus.member.id not in planned_ids:
-            return present
+            return current
         added = set(planned_ids) - set(basis.view.ids)
         if added <= set(promises) and quorum(promises, [planned_ids]):
             return list(self.plan.roster)
-        return present if waited else None
+        return current if wait_over else None
 
     def _backups(self, basis: Basis, promises: Mapping[int, Promise], roster: list[Member]) -> list[int] | None:
-        """The backups of the next view; None while too few members have promised."""
+        """Returns the backups of the next view, or None while too few members have promised."""
         consensus = self.consensus
         avoided = set(consensus.membership.suspected) | consensus.leaving_members()
         preferred = set(basis.view.holders) - avoided
--- a/sparloom/consensus/leadership.py
+++ b/sparloom/consensus/leadership.py
@@ -1,11 +1,11 @@
-"""The primary's side: copy the data, activate the view, serve.
+"""Primary side of the protocol: replicate the data, activate the view, serve calls.
 
-Nothing is answered before the view is active: each holder has the data on
-disk and a majority of each roster has marked the view. Whoever leads later
-must hear of it, since its own quorum intersects those majorities.
+``Leadership`` answers no call before its view is active: each holder has the
+data on disk, and a majority of each roster has marked the view active. Every
+later primary learns of the view, since its quorum intersects those majorities.
 
-The class reads in the order of a primary's life: activation of its view,
-heartbeats and reads, calls. ``view_change`` has what repairs and changes the view.
+The methods are grouped by view activation, heartbeats with reads, and calls.
+``view_change`` repairs and changes the view.
 """
 
 from __future__ import annotations
@@ -28,20 +28,20 @@
     from .member import ConsensusMember
     from .records import Activated, Member, View
 
-# How many heartbeats may wait for the answers of a majority before the oldest is forgotten.
+# Maximum number of unconfirmed heartbeats whose send times are stored; older ones are dropped.
 MAXIMUM_UNCONFIRMED_HEARTBEATS = 30
-# A copy that took less than this part of the time-out makes the next time-out shorter.
-QUICK_COPY = 0.25
-# A member that was not heard of for this many heartbeat intervals makes heartbeats more frequent.
-LATE_HEARTBEATS = 1.5
-# By how much more frequent heartbeats are then.
-LATE_HEARTBEAT_RATE = 3
-# Activations and copies are sent again at a multiple of the resend interval.
-RESEND_INTERVALS = 4
+# A copy that completes within this fraction of the copy timeout halves the timeout factor.
+FAST_COPY_FRACTION = 0.25
+# Heartbeats are sent more often while a member has been unresponsive for this many heartbeat intervals.
+LATE_HEARTBEAT_INTERVALS = 1.5
+# Divisor of the heartbeat interval while a member is late.
+LATE_HEARTBEAT_DIVISOR = 3
+# Unanswered activations and copies are resent after this many resend intervals.
+RESEND_INTERVAL_FACTOR = 4
 
 
 class Phase(Enum):
-    """How far a primary has come in its epoch."""
+    """Progress of a primary in its epoch."""
 
     COPYING = 0
     ACTIVATING = 1
@@ -50,55 +50,55 @@
 
 @define(slots=True, eq=False)
 class Leadership:
-    """A primary's state in its epoch.
+    """State of a primary in one epoch.
 
-    Times are those of ``ConsensusMember.now``.
+    Timestamps are in the time of ``ConsensusMember.now``.
     """
 
-    # The member that leads; it owns this object.
+    # The primary; it owns this object.
     consensus: ConsensusMember
-    # The view that is led: its epoch, its holders, its voters.
+    # The view of the epoch: its holders and voters.
     view: View
-    # When the election was won; once the view is served: when that began.
+    # Time at which the election was won; after activation, the time at which serving began.
     started_at: timedelta
     phase: Phase = Phase.COPYING
-    # Whether the view was served, so that earlier rosters have no say any more.
+    # Whether the view has been served, so that earlier rosters are no longer required for a quorum.
     committed: bool = False
     # Number of the last heartbeat, counted from 1 in each epoch.
     heartbeat_sequence: int = 0
     heartbeat_sent_at: timedelta = NEVER
-    # When each heartbeat was sent, by its number; without those confirmed earlier.
+    # Send time of each heartbeat by its number, without those confirmed earlier.
     heartbeat_times: dict[int, timedelta] = field(factory=dict)
-    # Number of the last heartbeat that each member acknowledged, by member id.
+    # Number of the last acknowledged heartbeat by member id.
     acknowledged: dict[int, int] = field(factory=dict)
-    # When each member was last heard, by member id; also by earlier views of this primary.
-    heard_at: dict[int, timedelta] = field(factory=dict)
-    # When the newest heartbeat that a majority acknowledged was sent: up to then no other member led.
+    # Time of the last message from each member, by member id, including earlier views of this primary.
+    last_contact_at: dict[int, timedelta] = field(factory=dict)
+    # Send time of the newest heartbeat acknowledged by a majority; until then no other member was primary.
     confirmed_at: timedelta = NEVER
     confirmed_sequence: int = 0
     # Number of the data (``Data.number``) on the disk of each holder, by member id.
     stored: dict[int, int] = field(factory=dict)
-    # Ids of members that have the view as active on disk.
+    # Ids of members that have the view marked active on disk.
     activated: set[int] = field(factory=set)
-    # Ids of members that have the view as committed on disk.
+    # Ids of members that have the view marked committed on disk.
     committed_by: set[int] = field(factory=set)
-    # When copies and activations were last sent.
+    # Time at which copies and activations were last sent.
     resent_at: timedelta = NEVER
-    # The caller's id of the write under way, or None.
+    # Id of the write in flight, as given by the caller, or None.
     write: int | None = None
     write_started_at: timedelta = timedelta(0)
-    # Number of the first heartbeat after a read began, by the caller's id of the read.
+    # Number of the first heartbeat after each read began, by the read's id as given by the caller.
     reads: dict[int, int] = field(factory=dict)
-    # What every holder has on disk; None before the view is served.
+    # The committed data, which every holder has on disk; None before the view is served.
     decided: Data | None = None
-    # Number of the first heartbeat after a leaving member last asked for its release, by member id.
+    # Number of the first heartbeat after the last release request of each leaving member, by member id.
     release_requests: dict[int, int] = field(factory=dict)
-    # Since when a change of the roster or the backups is due, or None.
+    # Time since which a change of the roster or the backups is due, or None.
     change_due_since: timedelta | None = None
 
     @property
     def epoch(self) -> int:
-        """The epoch in which it leads."""
+        """The epoch of the led view."""
         return self.view.epoch
 
     @property
@@ -113,45 +113,47 @@
 
     @property
     def copy_timeout(self) -> timedelta:
-        """How long a holder may take for a copy; it grows where every copy is slow."""
+        """Time allowed for a holder to store a copy; it grows if all copies are slow."""
         return self.consensus.timing.election_timeout * self.consensus.copy_timeout_factor
 
-    def add_pause(self, paused: timedelta) -> None:
-        """The primary's own process stood still for a while: nobody was silent meanwhile."""
-        self.heard_at = {member_id: heard_at + paused for member_id, heard_at in self.heard_at.items()}
+    def exclude_pause(self, pause: timedelta) -> None:
+        """Excludes a pause of this process from the time for which members have been unresponsive."""
+        self.last_contact_at = {
+            member_id: last_contact_at + pause for member_id, last_contact_at in self.last_contact_at.items()
+        }
 
-    def is_silent(self, member_id: int, timeout: timedelta) -> bool:
-        """Whether a member has been silent for longer than a time-out."""
+    def is_unresponsive(self, member_id: int, timeout: timedelta) -> bool:
+        """Returns whether no message of a member has arrived for longer than ``timeout``."""
         if member_id == self.own_id:
             return False
-        return self.consensus.now - self.heard_at.get(member_id, self.started_at) > timeout
+        return self.consensus.now - self.last_contact_at.get(member_id, self.started_at) > timeout
 
     # -- activation of the view -------------------------------------------------
     def start(self) -> list[Action]:
-        """Begins to copy the data to each holder."""
-        return [*self._copy_out(), *self.tick()]
+        """Starts replicating the data to each holder."""
+        return [*self._replicate_data(), *self.tick()]
 
-    def _copy_out(self) -> list[Action]:
-        """Sends the data to the backups and to the own disk, whose save is answered like a backup's."""
+    def _replicate_data(self) -> list[Action]:
+        """Sends the data to the backups and saves it locally; the local save is acknowledged like a backup's."""
         consensus, view = self.consensus, self.view
         self.stored, self.resent_at = {}, consensus.now
         own = CopyAck(self.own_id, view.epoch, consensus.data.number, True, view.epoch)
         save = consensus.replica.save(Send(consensus.member, own), data=consensus.data)
-        return [save, *self._copies(view.backups)]
+        return [save, *self._copy_messages(view.backups)]
 
-    def _copies(self, backups: Collection[int]) -> list[Action]:
+    def _copy_messages(self, backups: Collection[int]) -> list[Action]:
         copy = Copy(self.own_id, self.view, self.consensus.data)
         return [Send(member, copy) for member in self.view.roster if member.id in backups]
 
-    def _activations(self, members: Iterable[Member]) -> list[Action]:
+    def _activation_messages(self, members: Iterable[Member]) -> list[Action]:
         activate = Activate(self.own_id, self.view, self.committed)
         return [Send(member, activate) for member in members]
 
     def on_ack(self, ack: HeartbeatAck | CopyAck | Activated) -> list[Action]:
-        """Takes an answer to a heartbeat, a copy or an activation of this epoch; others are dropped."""
+        """Handles an answer to a heartbeat, copy or activation of this epoch; drops answers of other epochs."""
         if ack.epoch != self.view.epoch:
             return []
-        self.heard_at[ack.sender] = self.consensus.now
+        self.last_contact_at[ack.sender] = self.consensus.now
         if isinstance(ack, HeartbeatAck):
             return self.on_heartbeat_ack(ack)
         if not ack.accepted:
@@ -159,22 +161,22 @@
         return self.on_copy_ack(ack) if isinstance(ack, CopyAck) else self.on_activated(ack)
 
     def _on_rejection(self, ack: HeartbeatAck | CopyAck | Activated) -> list[Action]:
-        """Another member promised a later epoch: this one leads no more."""
+        """Steps down if a member has promised a later epoch."""
         if ack.promised_epoch <= self.view.epoch:
             return []
         self.consensus.defer_candidacy(self.consensus.timing.election_timeout)
         return self.consensus.step_down()
 
     def on_copy_ack(self, ack: CopyAck) -> list[Action]:
-        """A holder has the data on disk; once all have, the view is activated or the write committed."""
-        # An acknowledgement of an earlier copy may overtake that of a later one.
+        """Records that a holder has the data on disk; once all have it, activates the view or commits the write."""
+        # Acknowledgements may arrive out of order.
         self.stored[ack.sender] = max(ack.number, self.stored.get(ack.sender, 0))
         if any(self.stored.get(holder) != self.consensus.data.number for holder in self.view.holders):
             return []
         if self.phase is Phase.COPYING:
             self._shorten_copy_timeout(self.started_at)
             self.phase, self.resent_at = Phase.ACTIVATING, self.consensus.now
-            return self._activations(self.view.members)
+            return self._activation_messages(self.view.members)
         if self.write is None:
             return []
         self._shorten_copy_timeout(self.write_started_at)
@@ -183,13 +185,13 @@
         return [Committed(write, self.decided)]
 
     def _shorten_copy_timeout(self, copied_since: timedelta) -> None:
-        """All holders have a copy: one that was quick makes the time for the next shorter again."""
+        """Halves the copy timeout factor after a fast copy to all holders."""
         consensus = self.consensus
-        if consensus.now - copied_since < self.copy_timeout * QUICK_COPY:
+        if consensus.now - copied_since < self.copy_timeout * FAST_COPY_FRACTION:
             consensus.copy_timeout_factor = max(1, consensus.copy_timeout_factor // 2)
 
     def on_activated(self, ack: Activated) -> list[Action]:
-        """A member has marked the view active, or committed; once a quorum has, the view is served."""
+        """Records that a member has marked the view active or committed; serves the view once a quorum has."""
         self.consensus.membership.record_activation(ack.sender, ack.epoch, self.consensus.now)
         self.activated.add(ack.sender)
         if ack.committed:
@@ -204,58 +206,58 @@
         self.decided = consensus.data
         actions = [Committed(0, self.decided), *self._heartbeat(at_once=True)]
         if self.view.previous:
-            # Earlier rosters lose their say only now: before, a candidate that did not know of
-            # this view could still have won with a majority of one of them.
+            # Earlier rosters are required up to this point: a candidate that did not know this view
+            # could have won with a majority of one of them.
             self.committed = True
             self.resent_at = consensus.now
-            actions += self._activations(self.view.members)
-        return actions + self._activations(learner.member for learner in consensus.membership.learners.values())
+            actions += self._activation_messages(self.view.members)
+        return actions + self._activation_messages(learner.member for learner in consensus.membership.learners.values())
 
     def complete(self) -> bool:
-        """Whether the last change of the roster is committed on a majority's disks."""
+        """Returns whether the last roster change is committed on the disks of a majority."""
         return self.serving and (not self.view.previous or majority(self.committed_by, self.view.ids))
 
     # -- time and heartbeats ----------------------------------------------------
     def tick(self) -> list[Action]:
-        """Sends heartbeats and what lacks an answer, and repairs; steps down where that is in vain."""
+        """Sends due heartbeats, resends unanswered messages and repairs the view; steps down after a timeout."""
         consensus, timing = self.consensus, self.consensus.timing
-        if self.serving and self._unconfirmed_for() > timing.election_timeout:
+        if self.serving and self._unconfirmed_duration() > timing.election_timeout:
             consensus.defer_candidacy(timing.election_timeout)
             return consensus.step_down()
         activation_timeout = max(timing.candidacy_timeout * 2, self.copy_timeout * 2)
         if not self.serving and consensus.now - self.started_at > activation_timeout:
-            # At random, so that two members don't depose each other in turn.
+            # The random delay prevents two members from deposing each other in turn.
             consensus.defer_candidacy(timing.election_timeout * consensus.rng.random())
             return consensus.step_down()
         actions = self._heartbeat()
-        if consensus.now - self.resent_at > timing.resend_interval * RESEND_INTERVALS:
+        if consensus.now - self.resent_at > timing.resend_interval * RESEND_INTERVAL_FACTOR:
             self.resent_at = consensus.now
             actions += self._resend()
         if self.serving:
             return actions + repair(self)
         return actions + (replace_unresponsive(self) if self.phase is Phase.COPYING else [])
 
-    def _unconfirmed_for(self) -> timedelta:
-        """For how long a majority has left a heartbeat unanswered; a stall of this process doesn't count."""
+    def _unconfirmed_duration(self) -> timedelta:
+        """Returns the age of the oldest heartbeat without a majority, excluding pauses of this process."""
         sent_at = self.heartbeat_times.get(self.confirmed_sequence + 1, self.consensus.now)
         return self.consensus.now - max(sent_at, self.started_at)
 
     def _heartbeat(self, at_once: bool = False) -> list[Action]:
-        """The next heartbeat if one is due: sooner where a member is late, as the last may be lost."""
+        """Sends a heartbeat if one is due; sooner if a member is late, as the last heartbeat may be lost."""
         consensus, interval = self.consensus, self.consensus.timing.heartbeat_interval
-        if any(self.is_silent(member_id, interval * LATE_HEARTBEATS) for member_id in self.view.ids):
-            interval /= LATE_HEARTBEAT_RATE
+        if any(self.is_unresponsive(member_id, interval * LATE_HEARTBEAT_INTERVALS) for member_id in self.view.ids):
+            interval /= LATE_HEARTBEAT_DIVISOR
         if not at_once and consensus.now - self.heartbeat_sent_at < interval:
             return []
         self.heartbeat_sequence += 1
         self.heartbeat_sent_at = consensus.now
-        self._note_heartbeat()
+        self._record_sent_heartbeat()
         heartbeat = Heartbeat(self.own_id, self.view.epoch, self.heartbeat_sequence)
         others = [member for member in self.view.roster if member.id != self.own_id]
         return [*(Send(member, heartbeat) for member in others), *self._confirm()]
 
-    def _note_heartbeat(self) -> None:
-        """Notes when the last heartbeat was sent, and that this member itself acknowledges it."""
+    def _record_sent_heartbeat(self) -> None:
+        """Records the send time of the last heartbeat and the primary's own acknowledgement of it."""
         sequence = self.heartbeat_sequence
         oldest = min(self.confirmed_sequence, sequence - MAXIMUM_UNCONFIRMED_HEARTBEATS)
         self.heartbeat_times = {number: at for number, at in self.heartbeat_times.items() if number > oldest}
@@ -263,42 +265,43 @@
         self.acknowledged[self.own_id] = sequence
 
     def _resend(self) -> list[Action]:
-        """Copies and activations that lack an answer."""
+        """Returns the unanswered copies and activations."""
         actions: list[Action] = []
         if self.phase is Phase.COPYING or self.write is not None:
-            actions += self._copies(self.backups_without_data())
+            actions += self._copy_messages(self.backups_without_data())
         if self.phase is not Phase.COPYING:
             done = self.committed_by if self.committed else self.activated
-            actions += self._activations(member for member in self.view.roster if member.id not in done)
+            actions += self._activation_messages(member for member in self.view.roster if member.id not in done)
         if self.phase is Phase.ACTIVATING:
             answered = {*self.view.ids, *self.activated}
-            actions += self._activations(member for member in self.view.members if member.id not in answered)
+            actions += self._activation_messages(member for member in self.view.members if member.id not in answered)
         return actions
 
     def backups_without_data(self) -> list[int]:
-        """The backups that have not confirmed the newest data."""
+        """Returns the backups that have not acknowledged the newest data."""
         return [i for i in self.view.backups if self.stored.get(i) != self.consensus.data.number]
 
     def on_heartbeat_ack(self, ack: HeartbeatAck) -> list[Action]:
-        """A member has heard a heartbeat, or has promised a later epoch."""
+        """Handles the acknowledgement of a heartbeat, or its rejection for a later promised epoch."""
         if ack.promised_epoch > self.view.epoch:
             return self._on_rejection(ack)
         if ack.accepted:
-            self.consensus.membership.record_heard(ack.sender)
-            # Datagrams overtake each other.
+            self.consensus.membership.record_response(ack.sender)
+            # Datagrams may arrive out of order.
             self.acknowledged[ack.sender] = max(ack.sequence, self.acknowledged.get(ack.sender, 0))
         if not ack.active:
-            # This answer and the member's ``Activated`` may overtake each other. Asking once more is
-            # harmless; to count a member that lacks the mark is not.
+            # This answer may arrive after the member's later ``Activated``. A second activation request
+            # is harmless; counting a member that has not marked the view active is not.
             self.activated.discard(ack.sender)
             self.committed_by.discard(ack.sender)
         return self._confirm()
 
     def _confirm(self) -> list[Action]:
-        """Reads that began before a heartbeat that a majority has answered are confirmed.
+        """Confirms the reads that began before a heartbeat which a majority has acknowledged.
 
-        The answers show that no other member led when that heartbeat was sent,
-        so no write of a later epoch can have been acknowledged before the read.
+        The acknowledgements show that no other member was primary when that
+        heartbeat was sent, so no write of a later epoch can have been
+        acknowledged before the read.
         """
         if not self.serving or self.decided is None:
             return []
@@ -314,22 +317,22 @@
 
     # -- calls ------------------------------------------------------------------
     def begin_write(self, write: int, revision: int, blob: bytes) -> list[Action] | None:
-        """Starts a write; None before the view is active or while another write is under way."""
+        """Starts a write; returns None before the view is active or while another write is in flight."""
         if not self.serving or self.write is not None:
             return None
         consensus = self.consensus
         consensus.replica.data = Data(self.view.epoch, consensus.data.number + 1, revision, blob)
         self.write, self.write_started_at = write, consensus.now
-        return self._copy_out()
+        return self._replicate_data()
 
     def begin_read(self, read: int) -> list[Action] | None:
-        """Starts a confirmed read; None before the view is active."""
+        """Starts a confirmed read; returns None before the view is active."""
         if not self.serving:
             return None
         self.reads[read] = self.heartbeat_sequence + 1
         return self._heartbeat(at_once=True)
 
     def abort_calls(self) -> list[Action]:
-        """What can't be answered any more once this member leads no longer."""
+        """Returns the aborts of all pending calls, for when this member stops being primary."""
         writes = [] if self.write is None else [Aborted(self.write)]
         return [*writes, *(Aborted(read) for read in self.reads)]
--- a/sparloom/consensus/member_state.py
+++ b/sparloom/consensus/member_state.py
@@ -1,4 +1,4 @@
-"""What a consensus member knows, and what follows from it; nothing here changes who leads."""
+"""``MemberState``: the fields of a consensus member and queries on them; nothing here changes the leadership."""
 
 from __future__ import annotations
 
@@ -21,59 +21,59 @@
     from .leadership import Leadership
     from .records import Data, Member, Register, View
 
-# For how many election time-outs a heartbeat shows that there is a primary.
-RECENT_HEARTBEAT = 0.6
+# Time for which a heartbeat proves that there is a primary, in election timeouts.
+RECENT_HEARTBEAT_FACTOR = 0.6
 
 
 @define(slots=True, eq=False)
 class MemberState:
-    """What one member of the core knows.
+    """State of one consensus member.
 
-    Times count from any fixed origin, by the monotonic clock of the service
-    (``now`` of each call).
+    Timestamps are those of the service's monotonic clock (``now`` of each call),
+    which has an arbitrary origin.
     """
 
     # The register and the copy of the data.
     replica: Replica
-    # The member's intervals and time-outs.
+    # The member's intervals and timeouts.
     timing: ConsensusTiming
-    # Source of random waits, one per member.
+    # Random generator for backoffs, one per member.
     rng: random.Random
-    # How many lost members are tolerated; as many backups hold the data.
+    # Number of tolerated member losses, and of backups that hold the data.
     replicas: int = 1
-    # The (host, port) pairs of the first roster.
+    # (host, port) pairs of the first roster.
     genesis: frozenset[tuple[str, int]] = frozenset()
-    # The time of the newest call.
+    # Time of the latest call.
     now: timedelta = timedelta(0)
-    # When this process started.
+    # Start time of this process.
     started_at: timedelta = timedelta(0)
-    # When a primary was last heard, or this member last was one.
-    primary_heard_at: timedelta = NEVER
-    # Epoch of the last accepted heartbeat; 0 if there was none or this member led since.
+    # Time of the last message from a primary, or at which this member last was the primary.
+    primary_contact_at: timedelta = NEVER
+    # Epoch of the last accepted heartbeat; 0 if there was none, or this member was primary since.
     heartbeat_epoch: int = 0
-    # Until when this member does not stand for primary.
+    # Time before which this member does not become a candidate.
     candidacy_deferred_until: timedelta = timedelta(0)
-    # The newest epoch that any member is known to have promised.
+    # Highest epoch that any member is known to have promised.
     highest_epoch: int = 0
     # At most one of these three is set.
     pre_voting: PreVoting | None = None
     election: Election | None = None
     leadership: Leadership | None = None
-    # An active view that another member reported, newer than the own register's.
+    # Active view reported by another member that is newer than the one in the own register.
     learned_view: View | None = None
-    # Founders that have said hello, by id; needed until a first view is known.
+    # Founders that have announced themselves, by id; used until a first view is known.
     known_founders: dict[int, Member] = field(factory=dict)
-    # Learners, leaving members and suspicions.
+    # Learners, leaving members and suspected members.
     membership: Membership = field(factory=Membership)
-    # This member's own leave, once it was asked for.
+    # This member's planned leave, once requested.
     planned_leave: PlannedLeave | None = None
-    # Pre-votes since the last heartbeat or won election; numbers their rounds.
+    # Number of pre-votes since the last heartbeat or won election; used as their round.
     pre_vote_attempts: int = 0
-    # When this member last said hello or asked to join.
+    # Time at which this member last announced itself or asked to join.
     announced_at: timedelta = NEVER
-    # Until when this member as primary leaves the roster as it is, after a change that failed.
-    roster_change_not_before: timedelta = NEVER
-    # By how much copies may take longer than an election time-out; a power of two.
+    # Time before which this member as primary does not change the roster again after a failed change.
+    roster_change_deferred_until: timedelta = NEVER
+    # Copy timeout in election timeouts; a power of two.
     copy_timeout_factor: int = 1
 
     @property
@@ -83,22 +83,22 @@
 
     @property
     def register(self) -> Register:
-        """The register as it is in memory."""
+        """The register in memory."""
         return self.replica.register
 
     @property
     def durable(self) -> Register | None:
-        """The register as it is on disk, or None before the first save."""
+        """The register on disk, or None before the first save."""
         return self.replica.durable
 
     @property
     def data(self) -> Data:
-        """The newest copy of the data, perhaps undecided."""
+        """The newest copy of the data, which may not be committed."""
         return self.replica.data
 
     @property
     def view(self) -> View | None:
-        """The newest view that this member knows of."""
+        """The newest view known to this member, or None."""
         known = [view for view in (self.register.view, self.learned_view) if view]
         return max(known, key=lambda view: view.epoch, default=None)
 
@@ -112,61 +112,61 @@
 
     @property
     def voter(self) -> bool:
-        """Whether the newest known view counts this member."""
+        """Whether this member is a voter of the newest known view."""
         return self.view is not None and self.member.id in self.view.ids
 
     def learn_view(self, view: View) -> None:
-        """Takes note of a view that another member reported active."""
+        """Records a view that another member reported active, if it is newer."""
         if self.view is None or view.epoch > self.view.epoch:
             self.learned_view = view
 
     def primary(self) -> Member | None:
-        """The member believed to be primary, or None."""
+        """Returns the primary of the newest known view, or None."""
         view = self.view
         return next((member for member in view.roster if member.id == view.primary), None) if view else None
 
     @property
     def serving_leadership(self) -> Leadership | None:
-        """The leadership, while it is that of an active view."""
+        """The leadership while its view is active, else None."""
         return self.leadership if self.leadership and self.leadership.serving else None
 
     def leading(self) -> bool:
-        """Whether this member is the primary of an active view."""
+        """Returns whether this member is the primary of an active view."""
         return self.serving_leadership is not None
 
     @property
     def decided(self) -> Data | None:
-        """What every holder has on disk, while this member is primary; else None."""
+        """The committed data while this member is primary, else None."""
         leadership = self.serving_leadership
         return leadership.decided if leadership else None
 
     def confirmation_age(self, now: timedelta) -> timedelta | None:
-        """How long ago this member was last known to be the primary, or None."""
+        """Returns the time since this member was last confirmed as primary, or None."""
         leadership = self.serving_leadership
         if leadership is None or not leadership.confirmed_sequence:
             return None
         return now - leadership.confirmed_at
 
-    def hears_primary(self) -> bool:
-        """Whether this member leads, or heard the primary of its epoch, just now."""
-        recent = self.timing.election_timeout * RECENT_HEARTBEAT
+    def has_recent_primary(self) -> bool:
+        """Returns whether this member was confirmed as primary, or received a heartbeat of its epoch, recently."""
+        recent = self.timing.election_timeout * RECENT_HEARTBEAT_FACTOR
         leadership = self.serving_leadership
         if leadership and self.now - leadership.confirmed_at < recent:
             return True
-        heard = 0 != self.heartbeat_epoch == self.register.promised_epoch
-        return heard and self.now - self.primary_heard_at < recent
+        current_epoch = 0 != self.heartbeat_epoch == self.register.promised_epoch
+        return current_epoch and self.now - self.primary_contact_at < recent
 
     def genesis_view(self) -> View | None:
-        """The first roster, for a member of it; None for any other member."""
+        """Returns the view of the first roster if this member belongs to it, else None."""
         return first_view(self.genesis, self.known_founders.values()) if self.founder else None
 
     def leaving_members(self) -> set[int]:
-        """The ids of members that are about to end."""
+        """Returns the ids of members that are about to shut down."""
         own = {self.member.id} if self.planned_leave else set()
         return own | set(self.membership.leaving)
 
     def known_members(self) -> Collection[Member]:
-        """All members whose address is known, this one last if no view names it."""
+        """Returns all members with a known address; this one is last if no view contains it."""
         led = self.leadership.view if self.leadership else None
         known = members_by_id([self.register.view, self.learned_view, self.genesis_view(), led])
         known |= {member_id: learner.member for member_id, learner in self.membership.learners.items()}
--- a/sparloom/consensus/message_handlers.py
+++ b/sparloom/consensus/message_handlers.py
@@ -1,4 +1,4 @@
-"""What a member does with each kind of message."""
+"""Handlers of a consensus member, one for each message type."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 @singledispatch
 def handle(message: Record, consensus: ConsensusMember) -> list[Action]:
-    """Gives the actions that follow from a message; one of no known kind is dropped.
+    """Returns the actions that result from a message; drops a message of unknown type.
 
     Parameters
     ----------
     message
-        What another member sent; those of an earlier epoch are refused or dropped.
+        The message of another member; messages of earlier epochs are rejected or dropped.
     consensus
-        The member that received it, with its clock at the time of receipt.
+        The receiving member, with ``now`` set to the time of receipt.
     """
     return []
 
@@ -59,18 +59,18 @@
 # -- elections ------------------------------------------------------------------
 @handle.register(PreVote)
 def _(message: PreVote, consensus: ConsensusMember) -> list[Action]:
-    granted = not consensus.hears_primary()
+    granted = not consensus.has_recent_primary()
     return [Send(message.candidate, consensus.replica.pre_vote_answer(message.round, granted))]
 
 
 @handle.register(Prepare)
 def _(message: Prepare, consensus: ConsensusMember) -> list[Action]:
     replica, epoch = consensus.replica, message.epoch
-    if replica.is_outdated(epoch) or (consensus.hears_primary() and not message.forced):
+    if replica.is_outdated(epoch) or (consensus.has_recent_primary() and not message.forced):
         return [Send(message.candidate, replica.promise_answer(epoch, False, consensus.register))]
     if epoch != consensus.register.promised_epoch:
-        return [*consensus.follow_epoch(epoch), replica.grant_promise(message)]
-    # A repeated request. While the promise is on its way to the disk, its save brings the answer.
+        return [*consensus.adopt_epoch(epoch), replica.grant_promise(message)]
+    # A repeated request. Before the promise is on disk, its pending save will send the answer.
     return [Send(message.candidate, replica.durable_promise(epoch))] if replica.is_promise_durable(epoch) else []
 
 
@@ -87,7 +87,7 @@
 
 
 def _learn_from_vote(message: PreVoteAnswer | Promise, consensus: ConsensusMember) -> None:
-    """Takes note of the epoch and, from a refusal, of the view that another member reports."""
+    """Records the promised epoch of another member and, from a refusal, its active view."""
     consensus.observe_promised_epoch(message.promised_epoch)
     if not message.granted and message.view:
         consensus.learn_view(message.view)
@@ -99,19 +99,19 @@
         consensus.membership.record_leave(message.sender, consensus.now)
     consensus.learn_view(message.view)
     if consensus.leadership or consensus.election or message.epoch < consensus.register.view_epoch:
-        # It is sent several times, and may arrive after the epoch that it brought about.
+        # The transfer is sent several times; a copy may arrive after the election that it started.
         return []
     slow_disk = consensus.membership.is_suspected(consensus.member.id, consensus.now, consensus.timing.removal_timeout)
-    return consensus.stand(forced=True) if consensus.voter and not slow_disk else []
+    return consensus.start_election(forced=True) if consensus.voter and not slow_disk else []
 
 
-# -- messages of the primary ----------------------------------------------------
+# -- messages from the primary ---------------------------------------------------
 @handle.register(Heartbeat)
 def _(message: Heartbeat, consensus: ConsensusMember) -> list[Action]:
     epoch, register = message.epoch, consensus.register
     accepted = not consensus.replica.is_outdated(epoch)
     if accepted:
-        consensus.note_heartbeat(epoch)
+        consensus.record_heartbeat(epoch)
     active = accepted and register.view_epoch == epoch
     ack = HeartbeatAck(consensus.member.id, epoch, message.sequence, accepted, active, register.promised_epoch)
     return consensus.send_to(message.sender, ack)
@@ -122,10 +122,10 @@
     replica, view = consensus.replica, message.view
     if replica.is_outdated(view.epoch):
         return [replica.reject_activation(view)]
-    consensus.primary_heard_at = consensus.now
+    consensus.primary_contact_at = consensus.now
     if replica.is_activated(message):
         return replica.repeat_activation(view)
-    aborted = consensus.follow_epoch(view.epoch)
+    aborted = consensus.adopt_epoch(view.epoch)
     consensus.learned_view = None
     return [*aborted, replica.activate(message)]
 
@@ -137,8 +137,8 @@
         return [replica.reject_copy(message)]
     if not replica.is_newest_copy(message):
         return []
-    aborted = consensus.follow_epoch(message.view.epoch)
-    consensus.primary_heard_at = consensus.now
+    aborted = consensus.adopt_epoch(message.view.epoch)
+    consensus.primary_contact_at = consensus.now
     return [*aborted, replica.store_copy(message)]
 
 
@@ -151,7 +151,7 @@
     return consensus.leadership.on_ack(message) if consensus.leadership else []
 
 
-# -- changes of the membership --------------------------------------------------
+# -- membership changes ---------------------------------------------------------
 @handle.register(Join)
 def _(message: Join, consensus: ConsensusMember) -> list[Action]:
     member, leadership = message.member, consensus.serving_leadership
@@ -177,5 +177,5 @@
     leave = consensus.planned_leave
     if not leave or leave.released or message.member_id != consensus.member.id:
         return []
-    # The word of a primary that was deposed meanwhile does not count: a later view may need this member.
+    # A release by a deposed primary is ignored, because a later view may need this member.
     return leave.release() if message.epoch >= consensus.register.promised_epoch else []
--- a/sparloom/consensus/records.py
+++ b/sparloom/consensus/records.py
@@ -1,16 +1,15 @@
-"""Messages between members of the consensus group, and the state that a member keeps on disk.
+"""Messages between members of the consensus group, and the records that a member stores on disk.
 
-An answer always names the epoch (or round) of the request that it answers, so
-an answer that is late, or that belongs to another candidacy, is recognized and
-dropped. Epochs are numbers that grow; each belongs to one candidate alone (see
-``views.epoch_after``).
+An answer always contains the epoch (or round) of its request, so that a late
+answer, or one to another candidacy, is recognized and dropped. Epochs increase
+monotonically; each is used by one candidate only (see ``views.epoch_after``).
 
 Fields that several messages share are documented here:
 
 - ``sender``: id of the member that sends the message.
-- ``epoch``, ``round``, ``sequence``, ``number``: an answer repeats those of its request.
-- ``accepted``: the request was carried out, on disk where it changes the
-  disk; false when the sender of the answer has promised a later epoch.
+- ``epoch``, ``round``, ``sequence``, ``number``: an answer repeats the values of its request.
+- ``accepted``: the request was executed, and is on disk if it changes the
+  disk; false if the sender of the answer has promised a later epoch.
 - ``promised_epoch``, ``views``, ``committed``, ``copy_epoch``, ``initial``: as in the
   ``Register`` of the sender.
 
@@ -26,22 +25,22 @@
 
 
 def _active_view(views: list[View]) -> View | None:
-    """The only element of a list that stands for an optional view."""
+    """Returns the only element of a list that encodes an optional view, or None."""
     return views[0] if views else None
 
 
 @record(20)
 class Member(Record):
-    """A controller that takes part, with a disk of its own.
+    """A controller in the consensus group, with a disk of its own.
 
     Attributes
     ----------
     id
-        Belongs to the disk: a member with an empty disk draws a new one.
+        Bound to the disk: a member with an empty disk gets a new id.
     host, port
         Address for messages of the consensus group.
     zone
-        Failure domain; backups are preferred in other zones than the primary's.
+        Failure domain; backups in other zones than the primary's are preferred.
     control
         Address of its HTTP control interface, as ``host:port``.
     """
@@ -55,7 +54,7 @@
 
 @record(26)
 class Roster(Record):
-    """The voters of an earlier view whose majority is still required.
+    """The voters of an earlier view, of which a majority is still required.
 
     Attributes
     ----------
@@ -73,20 +72,20 @@
 
 @record(27)
 class View(Record):
-    """Which members hold the data in an epoch, and which vote.
+    """The members that hold the data in an epoch, and those that vote.
 
     Attributes
     ----------
     epoch
         The epoch in which the view was elected; 0 for the view before the first election.
     primary
-        Id of the member that leads.
+        Id of the primary.
     backups
         Ids of the members that replicate the data besides the primary.
     roster
         The voters; those that are neither primary nor backup are witnesses.
     previous
-        Rosters of earlier views whose majorities this view needs as well, until it is committed.
+        Rosters of earlier views of which this view also needs majorities until it is committed.
     """
 
     epoch: UInt64
@@ -97,7 +96,7 @@
 
     @property
     def holders(self) -> tuple[int, ...]:
-        """The ids of the members that hold the data, the primary's first."""
+        """The ids of the members that hold the data, the primary first."""
         return (self.primary, *self.backups)
 
     @property
@@ -119,22 +118,24 @@
 
 @record(28)
 class Register(Record):
-    """What a member keeps on disk about epochs and views.
+    """Durable state of a member about epochs and views.
 
     Attributes
     ----------
     id
         The member's id.
     initial
-        It started together with the whole system and was never a voter of an active view, so it may found the group.
+        The member took part in the first start of the system and was never a voter of an active view, so it may
+        found the group.
     promised_epoch
-        The highest epoch promised to a candidate; messages of earlier epochs are rejected.
+        Highest epoch promised to a candidate; messages of earlier epochs are rejected.
     views
-        The newest view that it marked active, or empty.
+        The newest view marked active, or empty.
     committed
-        That view is known to have been served with the consent of its previous rosters, which have no say any more.
+        Whether that view is known to have been served with the consent of its previous rosters, which are then no
+        longer required.
     copy_epoch
-        The epoch whose primary sent the copy of the data on this disk; 0 without a copy.
+        Epoch of the primary that sent the copy of the data on this disk; 0 without a copy.
     """
 
     id: UInt64
@@ -151,7 +152,7 @@
 
     @property
     def view_epoch(self) -> int:
-        """The epoch of that view; 0 without one."""
+        """The epoch of the newest view marked active; 0 without one."""
         return self.views[0].epoch if self.views else 0
 
 
@@ -162,11 +163,11 @@
     Attributes
     ----------
     epoch
-        The epoch in which it was written.
+        Epoch of the write.
     number
-        Counts the writes; within an epoch a higher one is newer.
+        Number of the write; within an epoch a higher number is newer.
     revision
-        The revision of the operator's configuration that it holds.
+        The revision of the operators' configuration in the data.
     blob
         The encoded state.
     """
@@ -178,7 +179,7 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """(epoch, number), by which copies are ordered."""
+        """(epoch, number), the order of copies."""
         return (self.epoch, self.number)
 
 
@@ -189,7 +190,7 @@
 class Hello(Record):
     """A founder announces itself to the other founders before the first election.
 
-    ``empty_disk``: no view was ever marked active on its disk.
+    ``empty_disk``: no view was ever marked active on the founder's disk.
     """
 
     member: Member
@@ -208,7 +209,7 @@
 
 @record(44)
 class HeartbeatAck(Record):
-    """Answer to a heartbeat; ``active``: the view of the epoch is marked active here."""
+    """Answer to a heartbeat; ``active``: the sender has marked the view of the epoch active."""
 
     sender: UInt64
     epoch: UInt64
@@ -220,7 +221,7 @@
 
 @record(53)
 class PreVote(Record):
-    """Asks whether a promise would be granted; ``round`` counts the pre-votes of the candidate."""
+    """Asks whether a promise would be granted; ``round`` numbers the pre-votes of the candidate."""
 
     candidate: Member
     round: UInt32
@@ -228,7 +229,7 @@
 
 @record(54)
 class PreVoteAnswer(Record):
-    """Answer to a pre-vote; ``granted``: no primary was heard of lately."""
+    """Answer to a pre-vote; ``granted``: the sender has had no recent contact with a primary."""
 
     sender: UInt64
     round: UInt32
@@ -250,9 +251,10 @@
     Attributes
     ----------
     epoch
-        The epoch in which it wants to lead.
+        The requested epoch.
     forced
-        Members that hear a primary promise as well: that primary itself stands again, or has handed over.
+        Whether members with a live primary must promise as well: the primary itself is the candidate, or has
+        transferred its leadership.
     """
 
     candidate: Member
@@ -262,7 +264,7 @@
 
 @record(46)
 class Promise(Record):
-    """Answer to a ``Prepare``; ``granted``: the epoch is promised on disk."""
+    """Answer to a ``Prepare``; ``granted``: the promise of the epoch is on disk."""
 
     sender: UInt64
     epoch: UInt64
@@ -280,7 +282,7 @@
 
 @record(41)
 class Copy(Record):
-    """A primary replicates all its data to a backup; its ``view`` may not be active yet."""
+    """The primary's complete data for a backup; the ``view`` may not be active yet."""
 
     sender: UInt64
     view: View
@@ -289,7 +291,7 @@
 
 @record(42)
 class CopyAck(Record):
-    """Answer to a ``Copy``: the data is on the disk of a holder, or rejected."""
+    """Answer to a ``Copy``: the data is on the sender's disk, or was rejected."""
 
     sender: UInt64
     epoch: UInt64
@@ -300,9 +302,9 @@
 
 @record(47)
 class Activate(Record):
-    """Every holder has the data: mark the view active.
+    """Asks a member to mark a view active, as every holder has the data.
 
-    ``committed``: the view is served, so its previous rosters have no say any more.
+    ``committed``: the view is served, so its previous rosters are no longer required.
     """
 
     sender: UInt64
@@ -323,14 +325,14 @@
 
 @record(49)
 class TransferLeadership(Record):
-    """Asks a holder of the data to stand for primary at once.
+    """Asks a holder of the data to start an election at once.
 
     Attributes
     ----------
     sender
-        Id of the primary that hands over, or of a candidate that lacks the data.
+        Id of the primary that transfers its leadership, or of a candidate without the data.
     leaving
-        The sender is about to shut down.
+        Whether the sender is about to shut down.
     view
         The newest active view. The receiver holds its data, but may not have marked it active yet.
     """
@@ -343,7 +345,7 @@
 
 @record(50)
 class Join(Record):
-    """A member without a vote asks for the active view, and for a seat once one is free."""
+    """A member without a vote asks for the active view, and for a seat when one is free."""
 
     member: Member
     initial: bool
@@ -351,21 +353,21 @@
 
 @record(51)
 class Leave(Record):
-    """A member is about to shut down and asks that its copy and its vote be moved."""
+    """A member is about to shut down and asks the primary to move its copy and its vote."""
 
     member: Member
 
 
 @record(52)
 class Released(Record):
-    """A leaving member may shut down: neither data nor majorities depend on it.
+    """A leaving member may shut down: neither the data nor a majority depends on it.
 
     Attributes
     ----------
     member_id
         Id of the member that may shut down.
     epoch
-        The primary's epoch; an answer of an epoch before the one promised is stale.
+        The primary's epoch; an answer is stale if its epoch is lower than the receiver's promised epoch.
     """
 
     sender: UInt64
--- a/sparloom/consensus/store.py
+++ b/sparloom/consensus/store.py
@@ -1,4 +1,4 @@
-"""The durable state of a consensus member: one SQLite file, synced before anything is acknowledged."""
+"""``Store``: the durable state of a consensus member in one SQLite file, synced before each acknowledgement."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 JOURNAL = FILE + "-journal"
 SET_ASIDE = FILE + ".unreadable"
 PRAGMAS = (
-    # No second process may write behind this one's back.
+    # Prevents a second process from writing to the file.
     "locking_mode=EXCLUSIVE",
-    # The journal is invalidated by overwriting its header: no name in the directory changes at a commit.
+    # The journal is invalidated by overwriting its header, so a commit changes no directory entry.
     "journal_mode=PERSIST",
     # Journal and file are synced before a commit returns.
     "synchronous=EXTRA",
     "temp_store=MEMORY",
     "cache_size=200",
-    # A read error is raised by SQLite instead of ending the process by a signal.
+    # Without memory mapping, SQLite raises a read error instead of the process ending by a signal.
     "mmap_size=0",
 )
-# The table, its columns and its keys are the format on disk, and never change.
+# The table, its columns and its keys are the format on disk and must not change.
 CREATE_TABLE = "CREATE TABLE IF NOT EXISTS kept (what TEXT PRIMARY KEY, body BLOB NOT NULL)"
 SELECT_ROWS = "SELECT what, body FROM kept"
 REPLACE_ROW = "INSERT OR REPLACE INTO kept VALUES (?, ?)"
@@ -34,7 +34,7 @@
 
 
 def _sync_directory(folder: str) -> None:
-    """Puts the directory's entries on disk, so that a new file is still there after a loss of power."""
+    """Syncs the directory's entries to disk, so that a new file survives a power loss."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -43,17 +43,17 @@
 
 
 class Store:
-    """Keeps a member's register and its copy of the data.
+    """Stores a member's register and its copy of the data.
 
-    Rows are replaced as a whole in one transaction, and a commit is on disk
-    when it returns. The store is used by one thread at a time.
+    Rows are replaced as a whole in one transaction, and a commit returns once it
+    is on disk. The store may be used by one thread at a time.
 
     Attributes
     ----------
     path
-        Of the SQLite file.
+        Path of the SQLite file.
     db
-        The connection, in autocommit mode: transactions are begun explicitly.
+        The connection, in autocommit mode; transactions are started explicitly.
 
     >>> import tempfile
     >>> with tempfile.TemporaryDirectory() as d:
@@ -77,18 +77,18 @@
 
     @classmethod
     def open(cls, folder: str) -> Store:
-        """Opens the store; a file that is no database any more is set aside.
+        """Opens the store; a corrupt database file is renamed and replaced by a new one.
 
-        A member whose file is corrupt has lost its disk: it starts as a new
-        one, without a vote, since it can't know what it has promised.
+        A member with a corrupt file is treated like one with a lost disk: it
+        starts as a new member without a vote, since its promises are unknown.
 
         Raises
         ------
         sqlite3.OperationalError
-            An I/O error, a full or a locked disk: what is on it may be
-            complete, so it is not set aside.
+            An I/O error, or a full or locked disk. The file may be intact, so
+            it is not renamed.
         OSError
-            The directory can't be made or synced, or the file not renamed.
+            The directory can't be created or synced, or the file can't be renamed.
 
         >>> import tempfile
         >>> with tempfile.TemporaryDirectory() as d:
@@ -105,17 +105,17 @@
         except sqlite3.OperationalError:
             raise
         except sqlite3.DatabaseError:
-            # A journal left behind would be rolled back into the new file.
+            # SQLite would roll a remaining journal back into the new file.
             with contextlib.suppress(OSError):
                 os.remove(os.path.join(folder, JOURNAL))
             os.replace(os.path.join(folder, FILE), os.path.join(folder, SET_ASIDE))
             return cls(folder)
 
     def load(self) -> tuple[Register, Data] | None:
-        """The register and the data on disk.
+        """Returns the register and the data on disk.
 
-        None on an empty disk, and where the rows don't belong together: a
-        register that claims a copy that is missing must not vote.
+        Returns None if the disk is empty, a row can't be decoded, or the rows are
+        inconsistent: a member whose register claims a missing copy must not vote.
 
         Raises
         ------
@@ -135,15 +135,15 @@
         return None if register.copy_epoch and DATA_KEY not in rows else (register, data)
 
     def save(self, register: Register, data: Data | None = None) -> None:
-        """Puts a register, and data if given, on disk before it returns.
+        """Writes a register, and data if given, to disk before it returns.
 
-        Both are written in one transaction: after a crash between two, the
-        register could claim a copy that the disk does not hold.
+        Both are written in one transaction: after a crash between two
+        transactions, the register could claim a copy that is not on disk.
 
         Raises
         ------
         sqlite3.Error
-            Nothing of it is known to be on disk; the save may be repeated.
+            The write is not known to be on disk; the save may be retried.
         """
         rows = [(REGISTER_KEY, pack(register))]
         if data is not None:
--- a/sparloom/consensus/views.py
+++ b/sparloom/consensus/views.py
@@ -16,14 +16,14 @@
 
     from .records import PreVoteAnswer, Promise
 
-# (host, port) of a seat of the first roster.
+# (host, port) of a seat in the first roster.
 Address: TypeAlias = tuple[str, int]
 
 MAXIMUM_VOTERS = 9
-# Ids of founders have this bit; those drawn at random are shorter.
+# Set in the ids of founders; random ids are shorter.
 FOUNDER_BIT = 1 << 60
 FOUNDER_DIGEST_BYTES = 7
-# An epoch is a counter above the low bits of the id of the candidate to which it belongs.
+# Number of low bits of an epoch that hold the low bits of the candidate's id; the bits above are a counter.
 EPOCH_ID_BITS = 32
 EPOCH_ID_MASK = (1 << EPOCH_ID_BITS) - 1
 
@@ -33,25 +33,25 @@
 
 
 def primary_of(view: View) -> Member:
-    """The member that leads a view.
+    """Returns the primary of a view.
 
     Raises
     ------
     UnknownPrimaryError
         The roster has no member with the primary's id.
 
-    >>> me = Member(1, "h", 1, "z", "")
-    >>> primary_of(View(7, 1, [], [me], [])) is me
+    >>> primary = Member(1, "h", 1, "z", "")
+    >>> primary_of(View(7, 1, [], [primary], [])) is primary
     True
     """
     for member in view.roster:
         if member.id == view.primary:
             return member
-    raise UnknownPrimaryError(f"view {view.epoch}: found primary {view.primary}, expected one of {view.ids}")
+    raise UnknownPrimaryError(f"view {view.epoch}: primary {view.primary} is not in the roster {view.ids}")
 
 
 def majority(ids: Collection[int], roster: Collection[int]) -> bool:
-    """Whether some ids are more than half of a roster.
+    """Returns whether ``ids`` contains more than half of a roster.
 
     >>> majority({1, 2}, (1, 2, 3)), majority({1, 2}, (1, 2, 3, 4))
     (True, False)
@@ -60,7 +60,7 @@
 
 
 def quorum(ids: Collection[int], rosters: Iterable[Collection[int]]) -> bool:
-    """Whether some ids hold a majority of each roster.
+    """Returns whether ``ids`` contains a majority of each roster.
 
     >>> quorum({1, 2}, [(1, 2, 3), (1, 2, 4)]), quorum({1, 4}, [(1, 2, 3), (1, 2, 4)])
     (True, False)
@@ -69,7 +69,7 @@
 
 
 def epoch_after(epoch: int, member_id: int) -> int:
-    """The next epoch that belongs to one member alone, so that no two candidates share one.
+    """Returns the next epoch of a member; the member's id in it keeps candidates from sharing an epoch.
 
     >>> epoch_after(0, 5) == (1 << 32) + 5
     True
@@ -79,14 +79,14 @@
 
 @define(frozen=True, slots=True)
 class Basis:
-    """The view on which a candidate builds: the newest one that a quorum reported active.
+    """The view that a candidate's view follows: the newest one that a quorum reported active.
 
     Attributes
     ----------
     view
         The view.
     committed
-        A member reported it committed, so its previous rosters have no say any more.
+        Whether a member reported it committed, so that its previous rosters are no longer required.
     """
 
     view: View
@@ -94,17 +94,17 @@
 
     @property
     def rosters(self) -> tuple[tuple[int, ...], ...]:
-        """The rosters of which a majority must have promised."""
+        """The rosters of which majorities must have promised."""
         return (self.view.ids,) if self.committed else self.view.rosters
 
 
 def founder_id(genesis: Iterable[Address], host: str, port: int) -> int:
-    """The id of the machine that has a seat of the first roster, from the (host, port) pairs of all its seats.
+    """Returns the id of a machine in the first roster, from the (host, port) pairs of all its seats.
 
-    All founders compute the same ids without having heard of each other, so
-    the first roster is the same for all of them: otherwise two halves of the
-    founders could each elect a primary. A machine that has lost its disk gets
-    another id, and is no founder any more.
+    All founders compute the same ids without communication, so the first roster
+    is the same for all of them. Otherwise two halves of the founders could each
+    elect a primary. A machine that has lost its disk gets another id and is no
+    longer a founder.
 
     >>> founder_id([("h", 1)], "h", 1) == founder_id([("h", 1), ("h", 2)], "h", 1)
     False
@@ -115,7 +115,7 @@
 
 
 def members_by_id(views: Iterable[View | None]) -> dict[int, Member]:
-    """The voters of some views, those of previous rosters too, by id; a later view's entry replaces an earlier one's.
+    """Returns the voters of some views, including previous rosters, by id; entries of later views replace earlier ones.
 
     >>> members_by_id([None, View(1, 1, [], [Member(1, "h", 1, "z", "")], [])])[1].host
     'h'
@@ -124,7 +124,7 @@
 
 
 def first_view(genesis: Collection[Address], known: Iterable[Member]) -> View:
-    """The view before the first election: the first roster, with what its ``known`` members say of themselves.
+    """Returns the view before the first election: the first roster, with the details of its ``known`` members.
 
     >>> [member.host for member in first_view([("h", 1), ("g", 1)], []).roster]
     ['g', 'h']
@@ -136,7 +136,7 @@
 
 
 def find_basis(answers: Collection[Promise | PreVoteAnswer], genesis: View | None) -> Basis | None:
-    """The newest view reported active, or the first roster where none was; None without either.
+    """Returns the newest view reported active, else the first roster, else None.
 
     >>> find_basis([], None) is None, find_basis([], View(0, 0, [], [], [])).committed
     (True, True)
@@ -148,14 +148,15 @@
     return Basis(newest, any(committed for view, committed in reported if view.epoch == newest.epoch))
 
 
-def backups_wanted(replicas: int, voters: int) -> int:
-    """How many backups a roster of so many voters has, where ``replicas`` losses are tolerated in the end.
+def target_backup_count(replicas: int, voters: int) -> int:
+    """Returns the number of backups of a roster with ``voters`` members.
 
-    A roster that is still growing tolerates fewer losses than that, as its
-    majority is lost with them. More backups would only delay the replacement
-    of a lost one. One backup is always wanted.
+    ``replicas`` is the number of losses that a complete roster tolerates. A
+    roster that is still growing tolerates fewer, as it would lose its majority.
+    More backups would only delay the replacement of a lost one. A roster of two
+    or more voters has at least one backup.
 
-    >>> [backups_wanted(2, voters) for voters in (1, 2, 3, 4, 5, 7)], backups_wanted(1, 4)
+    >>> [target_backup_count(2, voters) for voters in (1, 2, 3, 4, 5, 7)], target_backup_count(1, 4)
     ([0, 1, 1, 1, 2, 2], 1)
     """
     return max(0, min(replicas, voters - 1, max(1, (voters - 1) // 2)))
@@ -164,27 +165,27 @@
 def choose_backups(
     primary: int,
     roster: Sequence[Member],
-    able: Collection[int],
-    prefer: Collection[int],
+    eligible: Collection[int],
+    preferred: Collection[int],
     replicas: int,
     suspected: Collection[int] = frozenset(),
 ) -> list[int] | None:
-    """Picks backups among the voters that are able to hold data: other zones first, previous holders first.
+    """Chooses backups among the eligible voters; prefers other zones, then previous holders.
 
-    A suspected one comes last, but is taken when no other is there: its
-    promise is on disk, so its disk works. None when there are too few.
+    A suspected member is chosen last, but is chosen if there is no other: its
+    promise is on disk, so its disk works. Returns None if there are too few.
 
     >>> choose_backups(1, [], {1}, (), 0)
     []
     """
-    wanted = backups_wanted(replicas, len(roster))
+    wanted = target_backup_count(replicas, len(roster))
     zone_of = {member.id: member.zone for member in roster}
-    candidates = [member.id for member in roster if member.id != primary and member.id in able]
+    candidates = [member.id for member in roster if member.id != primary and member.id in eligible]
     chosen: list[int] = []
     zones = {zone_of.get(primary)}
 
     def cost(member_id: int) -> tuple[bool, bool, bool, int]:
-        return (member_id in suspected, zone_of[member_id] in zones, member_id not in prefer, member_id)
+        return (member_id in suspected, zone_of[member_id] in zones, member_id not in preferred, member_id)
 
     while len(chosen) < wanted and candidates:
         best = min(candidates, key=cost)
@@ -195,10 +196,10 @@
 
 
 def next_view(epoch: int, primary: int, backups: Iterable[int], roster: Sequence[Member], basis: Basis) -> View:
-    """The view that follows a basis; an earlier roster keeps its say until the view is committed.
+    """Returns the view that follows a basis; earlier rosters are required until the view is committed.
 
-    Its members may know of no later view: were their majority not needed, they
-    could elect a primary of their own beside the new one.
+    Members of an earlier roster may not know any later view. If their majority
+    were not required, they could elect a second primary.
 
     >>> old = View(1, 1, [], [], [])
     >>> next_view(9, 1, [], [], Basis(old, True)).previous
@@ -219,7 +220,7 @@
     member
         The learner.
     initial
-        It started together with the whole system (``Register.initial``).
+        Whether it took part in the first start of the system (``Register.initial``).
     """
 
     member: Member
@@ -228,57 +229,58 @@
 
 @define(frozen=True, slots=True)
 class RosterState:
-    """What a primary knows when it decides about the next roster.
+    """Input of the primary's decision about the next roster.
 
     Attributes
     ----------
     view
         The active view.
     learners
-        Those that could take a seat, the longest waiting first.
+        Learners that can take a seat, the longest waiting first.
     dead
-        Ids of voters that were silent for the removal time-out.
+        Ids of voters that were unresponsive for the removal timeout.
     leaving
-        Ids of voters that are about to shut down, without the primary's own.
-    all_near
-        Every voter was heard of within the election time-out.
-    voters_wanted
-        Up to this number of voters any learner lets the roster grow.
+        Ids of voters that are about to shut down, without the primary.
+    all_reachable
+        Whether every voter has sent a message within the election timeout.
+    target_voter_count
+        Number of voters up to which any learner may be added to the roster.
     """
 
     view: View
     learners: Sequence[ReadyLearner]
     dead: frozenset[int] = frozenset()
     leaving: frozenset[int] = frozenset()
-    all_near: bool = True
-    voters_wanted: int = 0
+    all_reachable: bool = True
+    target_voter_count: int = 0
 
 
 def next_roster(state: RosterState) -> list[Member] | None:
-    """The roster that should follow, or None when it is right as it is.
+    """Returns the next roster, or None if no change is needed.
 
-    A learner takes its own wiped seat at once, else a dead member's seat, else
-    a leaving one's. The roster grows only while all of its members are near,
-    since a larger one needs more votes: by machines of the first start, and by
-    any others up to the wanted number of voters. An even roster drops a dead
-    member, as it tolerates as many losses without it.
+    A learner takes the seat of its own address at once if that disk was wiped,
+    else the seat of a dead voter, else that of a leaving one. The roster only
+    grows while all voters are reachable, since a larger roster needs more votes.
+    It grows by machines of the first start, and by any others up to the target
+    number of voters. An even roster drops a dead voter, as it tolerates as many
+    losses without it.
 
     >>> next_roster(RosterState(View(1, 1, [], [], []), [])) is None
     True
     """
     roster = list(state.view.roster)
-    spare = _return_own_seats(roster, state.learners)
-    _replace_lost(roster, spare, state)
-    if state.all_near and not state.dead:
-        _grow(roster, spare, state.voters_wanted)
+    spare = _reassign_wiped_seats(roster, state.learners)
+    _replace_lost_voters(roster, spare, state)
+    if state.all_reachable and not state.dead:
+        _add_voters(roster, spare, state.target_voter_count)
     if len(roster) % 2 == 0:
-        _drop_one(roster, state.dead)
+        _drop_dead_voter(roster, state.dead)
     unchanged = {member.id for member in roster} == set(state.view.ids)
     return None if unchanged else roster
 
 
-def _return_own_seats(roster: list[Member], learners: Iterable[ReadyLearner]) -> list[ReadyLearner]:
-    """Gives learners the seats of their own addresses, where a disk was wiped; returns the other learners."""
+def _reassign_wiped_seats(roster: list[Member], learners: Iterable[ReadyLearner]) -> list[ReadyLearner]:
+    """Gives learners with a wiped disk the seats of their own addresses; returns the other learners."""
     spare = []
     for learner in learners:
         address = (learner.member.host, learner.member.port)
@@ -290,29 +292,29 @@
     return spare
 
 
-def _replace_lost(roster: list[Member], spare: list[ReadyLearner], state: RosterState) -> None:
-    """Gives seats of dead members, then of leaving ones, to spare learners, of the same zone first."""
+def _replace_lost_voters(roster: list[Member], spare: list[ReadyLearner], state: RosterState) -> None:
+    """Gives the seats of dead voters, then of leaving ones, to spare learners, preferably of the same zone."""
     dead = [member for member in roster if member.id in state.dead]
     leaving = [member for member in roster if member.id in state.leaving - state.dead]
     for lost in dead + leaving:
         if spare:
-            _give_seat(roster, spare, lost)
+            _assign_seat(roster, spare, lost)
 
 
-def _give_seat(roster: list[Member], spare: list[ReadyLearner], lost: Member) -> None:
+def _assign_seat(roster: list[Member], spare: list[ReadyLearner], lost: Member) -> None:
     best = min(spare, key=lambda learner: learner.member.zone != lost.zone)
     spare.remove(best)
     roster[roster.index(lost)] = best.member
 
 
-def _grow(roster: list[Member], spare: Iterable[ReadyLearner], voters_wanted: int) -> None:
+def _add_voters(roster: list[Member], spare: Iterable[ReadyLearner], target_voter_count: int) -> None:
     for learner in spare:
-        if (learner.initial and len(roster) < MAXIMUM_VOTERS) or len(roster) < voters_wanted:
+        if (learner.initial and len(roster) < MAXIMUM_VOTERS) or len(roster) < target_voter_count:
             roster.append(learner.member)
 
 
-def _drop_one(roster: list[Member], dead: Collection[int]) -> None:
-    """Removes the first dead member that still has its seat."""
+def _drop_dead_voter(roster: list[Member], dead: Collection[int]) -> None:
+    """Removes the first dead voter that still has a seat."""
     lost = next((member for member in roster if member.id in dead), None)
     if lost is not None:
         roster.remove(lost)
--- a/tests/consensus/test_late_copies.py
+++ b/tests/consensus/test_late_copies.py
@@ -18,8 +18,8 @@
 def keep_any_copy(message, consensus):
     if not consensus.replica.is_newest_copy(message):
         return []
-    aborted = consensus.follow_epoch(message.view.epoch)
-    consensus.primary_heard_at = consensus.now
+    aborted = consensus.adopt_epoch(message.view.epoch)
+    consensus.primary_contact_at = consensus.now
     return [*aborted, consensus.replica.store_copy(message)]
 
 
--- a/tests/consensus/test_other_epochs.py
+++ b/tests/consensus/test_other_epochs.py
@@ -21,7 +21,7 @@
         """What the primary has counted so far."""
         leadership = self.leadership
         counted = (leadership.stored, leadership.activated, leadership.committed_by, leadership.acknowledged)
-        return [repr(value) for value in (*counted, leadership.heard_at, leadership.confirmed_sequence)]
+        return [repr(value) for value in (*counted, leadership.last_contact_at, leadership.confirmed_sequence)]
 
     def test_an_answer_of_another_epoch_counts_for_nothing(self):
         epoch, number = self.leadership.epoch, self.member.data.number
--- a/tests/consensus/test_views.py
+++ b/tests/consensus/test_views.py
@@ -29,9 +29,9 @@
         self.assertEqual(choose_backups(1, roster, {1, 2, 3}, (), 1), [3])
         self.assertIsNone(choose_backups(1, roster, {1}, (), 1))
 
-    def roster(self, learners, dead=(), leaving=(), all_near=True, ids=(1, 2, 3)):
+    def roster(self, learners, dead=(), leaving=(), all_reachable=True, ids=(1, 2, 3)):
         ready = [ReadyLearner(*learner) for learner in learners]
-        state = RosterState(self.view(list(ids)), ready, frozenset(dead), frozenset(leaving), all_near)
+        state = RosterState(self.view(list(ids)), ready, frozenset(dead), frozenset(leaving), all_reachable)
         found = next_roster(state)
         return found and [member.id for member in found]
 
@@ -48,7 +48,7 @@
     def test_only_machines_of_the_first_start_make_the_roster_grow_and_only_while_all_are_near(self):
         new = [(Member(8, "new", 1, "z", ""), True), (Member(9, "newer", 1, "z", ""), True)]
         self.assertEqual(self.roster(new), [1, 2, 3, 8, 9])
-        self.assertIsNone(self.roster(new, all_near=False))
+        self.assertIsNone(self.roster(new, all_reachable=False))
         self.assertEqual(self.roster(new, dead=[2]), [1, 8, 3])
 
     def test_an_even_roster_drops_a_dead_member(self):
