--- a/tests/consensus/test_changing_rosters.py
+++ b/tests/consensus/test_changing_rosters.py
@@ -1,9 +1,10 @@
-"""Two halves of the members while a roster is changing: an old one and a new one that share few members.
+"""Partitions during a roster change, when the old and the new roster share few members.
 
-A member was lost, and an empty machine is about to take its seat. The lost one
-comes back, the members part into halves, and each half tries to lead. The
-model checker's starts had no such state: three faults of agreement passed it
-(a majority of the newest roster alone elects, or lets a view be served).
+A member has failed, and a new machine is about to take its seat. The failed
+member restarts, the members are partitioned, and each side tries to elect a
+primary. Guards against elections and view activations with a majority of the
+newest roster alone: the model checker detects none of these three faults from
+its other start states.
 """
 
 import itertools
@@ -18,64 +19,64 @@
 from sparloom.consensus.election import Election, PreVoting
 
 QUORUM = election.quorum
-ROUNDS = 60
-# By then a member that was about to stand when the primary ended does.
-STANDS_WITHIN_MS = 4000
+WRITE_ROUNDS = 60
+# Upper bound in milliseconds for a member to start an election after the primary has stopped.
+ELECTION_STARTS_WITHIN_MS = 4000
 
 
-def newest_roster_alone(ids, rosters):
+def newest_roster_quorum(ids, rosters):
     return QUORUM(ids, rosters[:1])
 
 
-def newest_roster_alone_in(caller):
-    """A quorum that goes by the newest roster where one class asks, and by all rosters elsewhere."""
+def newest_roster_quorum_in(caller_class):
+    """Returns a quorum function that checks only the newest roster if called from one class, else all rosters."""
 
-    def newest_roster_alone_there(ids, rosters):
-        asking = sys._getframe(1).f_locals.get("self")
-        return QUORUM(ids, rosters[:1] if isinstance(asking, caller) else rosters)
+    def patched_quorum(ids, rosters):
+        caller = sys._getframe(1).f_locals.get("self")
+        return QUORUM(ids, rosters[:1] if isinstance(caller, caller_class) else rosters)
 
-    return newest_roster_alone_there
+    return patched_quorum
 
 
-def standing(world):
-    """Whether any member has passed its pre-vote, or needed none, and stands for primary."""
-    return any(world.nodes[name].ledger.election is not None for name in world.up())
+def has_candidate(state):
+    """Returns whether any member runs an election, after a successful pre-vote or without one."""
+    return any(state.nodes[name].ledger.election is not None for name in state.up())
 
 
-def play(world, lost, half, restarted, cut_amid_election=False):
-    """The lost member is back, a half is apart, one process starts anew; all write wherever somebody leads.
+def run_scenario(state, replaced, partition, restarted, partition_during_election=False):
+    """Restarts the replaced member, partitions the members, restarts one process and writes at every primary.
 
-    ``cut_amid_election``: the half is apart only once a member stands for primary.
+    ``partition_during_election``: the partition begins only once a member has started an election.
     """
-    world = world.copy()
-    if restarted is not None and world.nodes[restarted].ledger is not None:
-        At("kill", restarted).play(world)
-    if world.nodes[lost].ledger is None:
-        At("boot", lost).play(world)
-    if cut_amid_election:
-        run_fairly(world, STANDS_WITHIN_MS, until=standing)
-    separate(world, half)
+    state = state.copy()
+    if restarted is not None and state.nodes[restarted].ledger is not None:
+        At("kill", restarted).play(state)
+    if state.nodes[replaced].ledger is None:
+        At("boot", replaced).play(state)
+    if partition_during_election:
+        run_fairly(state, ELECTION_STARTS_WITHIN_MS, until=has_candidate)
+    separate(state, partition)
     if restarted is not None:
-        At("boot", restarted).play(world)
-    for _ in range(ROUNDS):
-        run_fairly(world, 100)
-        for name in world.up():
-            waiting = any(order.node == name for order in world.orders.values())
-            if world.nodes[name].ledger.leading() and not waiting:
-                world.order(name)
-    At("heal", lost).play(world)
-    run_fairly(world, 2000)
-
-
-def violations(cut_amid_election=False):
-    """What goes wrong in any of the plays; the plays end with the first few."""
+        At("boot", restarted).play(state)
+    for _ in range(WRITE_ROUNDS):
+        run_fairly(state, 100)
+        for name in state.up():
+            waiting = any(order.node == name for order in state.orders.values())
+            if state.nodes[name].ledger.leading() and not waiting:
+                state.order(name)
+    At("heal", replaced).play(state)
+    run_fairly(state, 2000)
+
+
+def find_violations(partition_during_election=False):
+    """Returns the violations of all scenarios; stops after three."""
     found = []
-    for world, lost in changing_roster(Scope()):
-        first = next(iter(world.nodes))
-        for half in itertools.combinations(world.nodes, 2):
-            for restarted in (None, first) if first in half else ():
+    for state, replaced in changing_roster(Scope()):
+        first = next(iter(state.nodes))
+        for partition in itertools.combinations(state.nodes, 2):
+            for restarted in (None, first) if first in partition else ():
                 try:
-                    play(world, lost, half, restarted, cut_amid_election)
+                    run_scenario(state, replaced, partition, restarted, partition_during_election)
                 except Violation as violation:
                     found.append(str(violation))
                 if len(found) > 2:
@@ -83,30 +84,30 @@
     return found
 
 
-class ChangingRosters(unittest.TestCase):
-    def test_no_half_agrees_by_itself(self):
-        self.assertEqual(violations(), [])
+class PartitionsDuringRosterChange(unittest.TestCase):
+    def test_no_partition_commits_alone(self):
+        self.assertEqual(find_violations(), [])
 
-    def test_no_half_agrees_by_itself_when_it_is_cut_off_amid_an_election(self):
-        self.assertEqual(violations(cut_amid_election=True), [])
+    def test_no_partition_that_begins_during_an_election_commits_alone(self):
+        self.assertEqual(find_violations(partition_during_election=True), [])
 
-    def test_promises_of_the_newest_roster_alone_are_found_though_the_pre_vote_asks_all(self):
-        with mock.patch.object(election, "quorum", newest_roster_alone_in(Election)):
-            self.assertEqual(violations(), [], "the pre-vote stops these")
-            self.assertTrue(violations(cut_amid_election=True))
+    def test_promise_quorum_of_the_newest_roster_alone_is_detected_despite_a_full_pre_vote_quorum(self):
+        with mock.patch.object(election, "quorum", newest_roster_quorum_in(Election)):
+            self.assertEqual(find_violations(), [], "the pre-vote prevents these violations")
+            self.assertTrue(find_violations(partition_during_election=True))
 
-    def test_a_pre_vote_of_the_newest_roster_alone_endangers_nothing(self):
-        with mock.patch.object(election, "quorum", newest_roster_alone_in(PreVoting)):
-            self.assertEqual(violations(), [])
-            self.assertEqual(violations(cut_amid_election=True), [])
+    def test_pre_vote_quorum_of_the_newest_roster_alone_violates_nothing(self):
+        with mock.patch.object(election, "quorum", newest_roster_quorum_in(PreVoting)):
+            self.assertEqual(find_violations(), [])
+            self.assertEqual(find_violations(partition_during_election=True), [])
 
-    def test_an_election_by_the_newest_roster_alone_is_found(self):
-        with mock.patch.object(election, "quorum", newest_roster_alone):
-            self.assertTrue(violations())
+    def test_election_quorum_of_the_newest_roster_alone_is_detected(self):
+        with mock.patch.object(election, "quorum", newest_roster_quorum):
+            self.assertTrue(find_violations())
 
-    def test_a_view_that_is_served_by_the_newest_roster_alone_is_found(self):
-        with mock.patch.object(leadership, "quorum", newest_roster_alone):
-            self.assertTrue(violations())
+    def test_activation_quorum_of_the_newest_roster_alone_is_detected(self):
+        with mock.patch.object(leadership, "quorum", newest_roster_quorum):
+            self.assertTrue(find_violations())
 
 
 if __name__ == "__main__":
--- a/tests/consensus/test_late_copies.py
+++ b/tests/consensus/test_late_copies.py
@@ -1,7 +1,8 @@
 """A copy of an earlier epoch that arrives after its primary was deposed.
 
-The model checker delivers messages in order unless it pays for each move that
-doesn't, so a copy never outlived an epoch: a member that kept one passed it.
+Guards against a member that stores such a copy. The model checker's search does
+not reach this case by itself: out-of-order delivery counts against its limit of
+deviations, so no copy outlives its epoch.
 """
 
 import unittest
@@ -15,7 +16,7 @@
 HANDLE_COPY = handle.dispatch(Copy)
 
 
-def keep_any_copy(message, consensus):
+def store_any_copy(message, consensus):
     if not consensus.replica.is_newest_copy(message):
         return []
     aborted = consensus.adopt_epoch(message.view.epoch)
@@ -23,27 +24,27 @@
     return [*aborted, consensus.replica.store_copy(message)]
 
 
-def found():
-    """What goes wrong as the copy arrives and a change is made after it."""
-    world = late_copy(Scope())
+def find_violation():
+    """Returns the violation found when the copy arrives and a change follows, or an empty string."""
+    state = late_copy(Scope())
     try:
-        run_fairly(world, 500)
-        if world.primary() is not None:
-            world.order(world.primary())
-        run_fairly(world, 2000)
+        run_fairly(state, 500)
+        if state.primary() is not None:
+            state.order(state.primary())
+        run_fairly(state, 2000)
     except Violation as violation:
         return str(violation)
     return str(search(late_copy(Scope()), Bounds(depth=4, deviations=1, settle_every=0)).found or "")
 
 
 class LateCopies(unittest.TestCase):
-    def test_a_copy_of_an_earlier_epoch_changes_nothing(self):
-        self.assertEqual(found(), "")
+    def test_copy_of_an_earlier_epoch_is_ignored(self):
+        self.assertEqual(find_violation(), "")
 
-    def test_a_member_that_keeps_it_is_found(self):
-        handle.register(Copy)(keep_any_copy)
+    def test_member_that_stores_a_late_copy_is_detected(self):
+        handle.register(Copy)(store_any_copy)
         self.addCleanup(lambda: handle.register(Copy)(HANDLE_COPY))
-        self.assertTrue(found())
+        self.assertTrue(find_violation())
 
 
 if __name__ == "__main__":
--- a/tests/consensus/test_member.py
+++ b/tests/consensus/test_member.py
@@ -1,4 +1,4 @@
-"""The consensus member under faults; timelines with a column per node, on simulated time."""
+"""``ConsensusMember`` under faults, in simulated time; timelines have one column per node."""
 
 import random
 import unittest
@@ -9,20 +9,20 @@
 
 
 class Timelines(unittest.TestCase):
-    def play(self, text, names="abc", seeds=range(8), **options):
+    def check_timeline(self, text, names="abc", seeds=range(8), **options):
         for seed in seeds:
             with self.subTest(seed=seed):
                 play(self, Core(names, seed=seed, **options), text)
 
     def test_first_start_and_write(self):
-        self.play("""
+        self.check_timeline("""
             ms    a     b  c  any
             2500  lead  .  .  write=5
             2600  .     .  .  has=5
         """)
 
-    def test_lost_primary_is_replaced_with_what_it_acknowledged(self):
-        self.play("""
+    def test_replacement_of_a_failed_primary_has_the_acknowledged_data(self):
+        self.check_timeline("""
             ms    a     b     c  any
             2500  lead  .     .  write=5
             2600  kill  .     .  .
@@ -32,8 +32,8 @@
             6500  .     .     .  leads+has=7
         """)
 
-    def test_power_lost_everywhere(self):
-        self.play("""
+    def test_total_power_loss(self):
+        self.check_timeline("""
             ms    a     b     c     any
             2500  .     .     .     write=5
             2700  kill  kill  kill  .
@@ -42,10 +42,10 @@
             5600  .     .     .     write=7
         """)
 
-    def test_wiped_holder_while_the_others_lose_power(self):
+    def test_total_power_loss_with_one_wiped_member(self):
         for wiped in "abc":
             cells = {name: "wipe" if name == wiped else "kill" for name in "abc"}
-            self.play(
+            self.check_timeline(
                 f"""
                 ms    a   b   c   any
                 2500  .   .   .   write=5
@@ -59,7 +59,7 @@
             )
 
     def test_isolated_primary_acknowledges_nothing(self):
-        self.play("""
+        self.check_timeline("""
             ms    a     b     c  any
             2500  lead  .     .  write=5
             2600  cut   .     .  .
@@ -83,9 +83,9 @@
 
     def test_one_way_partitions(self):
         for direction in ("cut-in", "cut-out"):
-            for victim in range(3):
-                cells = [direction if i == victim else "." for i in range(3)]
-                self.play(
+            for victim_index in range(3):
+                cells = [direction if i == victim_index else "." for i in range(3)]
+                self.check_timeline(
                     f"""
                     ms    a b c any
                     2500  . . . write=5
@@ -105,13 +105,13 @@
             core.run(2500)
             first = core.leader()
             backup = core.nodes[first][0].leadership.view.backups[0]
-            name = next(other for other, member in core.members.items() if member.id == backup)
+            name = next(other_name for other_name, member in core.members.items() if member.id == backup)
             core.cut(name, way="in")
             core.run(4000)
             self.assertEqual(core.leader(), first)
 
-    def test_a_partitioned_member_comes_back_without_deposing_the_primary(self):
-        """It asks whether it would win before it uses an epoch; twenty seconds alone raise no promise."""
+    def test_reconnected_member_does_not_depose_the_primary(self):
+        """The pre-vote keeps a member from raising its epoch during a partition of 20 seconds."""
         for direction in ("both", "in", "out"):
             for seed in range(4):
                 core = Core(seed=seed)
@@ -126,7 +126,7 @@
                 self.assertEqual((core.leader(), core.view().epoch), (first, epoch), (direction, seed))
                 self.assertEqual(core.voters(), set("abc"))
 
-    def test_stalled_disk_moves_the_leadership(self):
+    def test_stalled_disk_transfers_the_leadership(self):
         for seed in range(6):
             core = Core(seed=seed)
             core.run(2500)
@@ -138,8 +138,8 @@
             self.assertIsNotNone(core.leader())
             self.assertTrue(core.write(8))
 
-    def test_copies_that_are_slow_everywhere_are_given_the_time_they_need(self):
-        """A link so thin that no backup confirms within the election time-out: views followed each other for ever."""
+    def test_copy_timeout_grows_while_all_copies_are_slow(self):
+        """Guards against endless view changes when no backup can acknowledge a copy within the election timeout."""
         for seed in range(4):
             core = Core(seed=seed)
             core.run(2500)
@@ -159,19 +159,19 @@
             core.run(2500)
             name = core.leader()
             backup = core.nodes[name][0].leadership.view.backups[0]
-            core.stall(next(other for other, member in core.members.items() if member.id == backup))
+            core.stall(next(other_name for other_name, member in core.members.items() if member.id == backup))
             core.write(6, name, 2500)
             core.run(1500)
             self.assertNotIn(backup, core.view().backups)
             self.assertEqual(core.nodes[core.leader()][0].data.revision, 6)
             self.assertTrue(core.write(8))
 
-    def test_newcomer_takes_a_dead_members_place_in_one_view_change(self):
+    def test_newcomer_replaces_a_dead_voter_in_one_view_change(self):
         for seed in range(6):
             core = Core(seed=seed)
             core.run(2500)
             core.write(5)
-            name = next(other for other in "abc" if other != core.leader())
+            name = next(other_name for other_name in "abc" if other_name != core.leader())
             core.kill(name)
             core.run(2000)
             before = core.view()
@@ -184,17 +184,17 @@
             self.assertNotIn(core.members[name].id, view.ids)
             self.assertIn(core.members[name].id, before.ids)
 
-    def test_all_seeds_exchanged_in_turn(self):
+    def test_all_seeds_are_replaced_in_turn(self):
         for seed in range(4):
             core = Core(seed=seed)
             core.run(2500)
             core.write(5)
-            for old, new in zip("abc", "def", strict=False):
-                core.boot(new)
+            for old_name, new_name in zip("abc", "def", strict=False):
+                core.boot(new_name)
                 core.run(1500)
-                core.kill(old)
+                core.kill(old_name)
                 core.run(4000)
-                core.nodes.pop(old)
+                core.nodes.pop(old_name)
             self.assertEqual(core.nodes[core.leader()][0].data.revision, 5)
             self.assertEqual({member.host for member in core.view().roster}, set("def"))
             self.assertTrue(core.write(7))
@@ -203,18 +203,18 @@
         core = Core(seed=3)
         core.run(2500)
         core.write(5)
-        name = next(other for other in "abc" if other != core.leader())
-        others = [other for other in "abc" if other != name]
+        name = next(other_name for other_name in "abc" if other_name != core.leader())
+        others = [other_name for other_name in "abc" if other_name != name]
         core.wipe(name)
-        for other in others:
-            core.kill(other)
+        for other_name in others:
+            core.kill(other_name)
         core.boot(name)
         core.run(3000)
         self.assertFalse(core.nodes[name][0].voter)
         self.assertEqual(core.nodes[name][0].register.views, [])
         self.assertIsNone(core.leader())
 
-    def test_leaving_primary_names_a_successor(self):
+    def test_transfer_of_leadership_to_a_backup(self):
         for seed in range(6):
             core = Core(seed=seed)
             core.run(2500)
@@ -226,8 +226,8 @@
             self.assertEqual(core.members[core.leader()].id, backup)
             self.assertEqual(core.nodes[core.leader()][0].data.revision, 5)
 
-    def test_five_members_bear_two_losses(self):
-        self.play(
+    def test_five_members_tolerate_two_losses(self):
+        self.check_timeline(
             """
             ms    a     b     c  d  e  any
             4500  .     .     .  .  .  write=5
@@ -240,7 +240,7 @@
             seeds=range(4),
         )
 
-    def test_core_machines_beyond_the_seeds_join(self):
+    def test_controllers_beyond_the_seeds_join(self):
         for seed in range(6):
             core = Core("abcde", replicas=2, seed=seed, seeds="abc")
             core.run(8000)
@@ -248,7 +248,7 @@
             self.assertEqual(len(core.view().backups), 2)
             self.assertTrue(core.write(5))
 
-    def test_the_first_roster_is_the_seeds_whoever_calls_first(self):
+    def test_first_roster_is_the_seeds_in_any_start_order(self):
         for seed in range(6):
             core = Core("dabce", replicas=1, seed=seed, seeds="abc")
             core.run(1200)
@@ -258,13 +258,13 @@
             core.run(6000)
             self.assertIsNotNone(core.leader())
 
-    def test_a_core_of_one(self):
+    def test_group_of_one(self):
         core = Core("a", replicas=1)
         core.run(2500)
         self.assertTrue(core.write(3))
 
-    def test_a_primary_whose_process_paused_asks_before_it_steps_down(self):
-        """A stall of its own process is no silence of the others."""
+    def test_paused_primary_sends_a_heartbeat_before_it_steps_down(self):
+        """A pause of the primary's own process does not count as unresponsiveness of the other members."""
         for names in ("a", "abc"):
             core = Core(names, seed=2)
             core.run(2500)
@@ -274,26 +274,26 @@
             self.assertTrue(consensus.leading())
         core.cut(name)
         core.run(1500)
-        self.assertFalse(consensus.leading(), "silence after it has asked still ends its leadership")
+        self.assertFalse(consensus.leading(), "a primary still steps down if its heartbeats stay unanswered")
 
-    def test_a_core_of_two(self):
+    def test_group_of_two(self):
         core = Core("ab", replicas=1)
         core.run(2500)
         self.assertTrue(core.write(3))
 
 
 class RandomFaults(unittest.TestCase):
-    """Random faults: what was acknowledged stays, and no epoch has two primaries."""
+    """Under random faults, acknowledged data is never lost and no epoch has two primaries."""
 
     def play_random_faults(self, seed):
         rng, core = random.Random(seed), Core(seed=seed, loss=0.05)
         core.run(2500)
-        newest, down = 0, None
+        newest_revision, active_fault = 0, None
         for revision in range(1, 14):
             fault = rng.choice(("none", "kill", "wipe", "cut", "cut-in", "cut-out", "stall"))
             name = rng.choice("abc")
-            if down is None and fault != "none":
-                down = (fault, name)
+            if active_fault is None and fault != "none":
+                active_fault = (fault, name)
                 if fault in ("kill", "wipe"):
                     getattr(core, fault)(name)
                 elif fault == "stall":
@@ -302,20 +302,24 @@
                     core.cut(name, way=fault[4:] or "both")
             core.run(rng.randrange(0, 2500))
             if core.leader() and core.write(revision * 2):
-                newest = revision * 2
-            if down and rng.random() < 0.7:
+                newest_revision = revision * 2
+            if active_fault and rng.random() < 0.7:
                 core.heal()
                 core.flow()
-                if down[0] in ("kill", "wipe"):
-                    core.boot(down[1])
-                down = None
+                if active_fault[0] in ("kill", "wipe"):
+                    core.boot(active_fault[1])
+                active_fault = None
                 core.run(4500)
                 for _ in range(4):
                     core.run(0 if core.leader() else 500)
                 leader = core.leader()
-                self.assertIsNotNone(leader, f"seed {seed}: a primary after a fault")
-                self.assertGreaterEqual(core.nodes[leader][0].data.revision, newest, f"seed {seed}")
-            epochs = [core.nodes[other][0].leadership.epoch for other in core.nodes if core.nodes[other][0].leading()]
+                self.assertIsNotNone(leader, f"seed {seed}: no primary after a fault")
+                self.assertGreaterEqual(core.nodes[leader][0].data.revision, newest_revision, f"seed {seed}")
+            epochs = [
+                core.nodes[other_name][0].leadership.epoch
+                for other_name in core.nodes
+                if core.nodes[other_name][0].leading()
+            ]
             self.assertEqual(len(epochs), len(set(epochs)))
 
     def test_random_faults(self):
--- a/tests/consensus/test_other_epochs.py
+++ b/tests/consensus/test_other_epochs.py
@@ -1,4 +1,7 @@
-"""Answers of other epochs change nothing: each check by itself, as the command that mutates one at a time found them."""
+"""Messages of earlier and later epochs change nothing.
+
+Each test covers one epoch check whose removal no other test detected under mutation testing.
+"""
 
 import unittest
 
@@ -10,52 +13,52 @@
 from sparloom.consensus.records import Activated, CopyAck, HeartbeatAck, Released
 
 
-class AnswersToThePrimary(unittest.TestCase):
+class AnswersOfOtherEpochs(unittest.TestCase):
     def setUp(self):
-        self.world = ready(Scope())
-        self.member = self.world.nodes[self.world.primary()].ledger
+        self.state = ready(Scope())
+        self.member = self.state.nodes[self.state.primary()].ledger
         self.leadership = self.member.leadership
         self.backup = self.leadership.view.backups[0]
 
-    def known(self):
-        """What the primary has counted so far."""
+    def counted_answers(self):
+        """Returns the answers that the primary has counted so far."""
         leadership = self.leadership
         counted = (leadership.stored, leadership.activated, leadership.committed_by, leadership.acknowledged)
         return [repr(value) for value in (*counted, leadership.last_contact_at, leadership.confirmed_sequence)]
 
-    def test_an_answer_of_another_epoch_counts_for_nothing(self):
+    def test_answers_of_other_epochs_are_ignored(self):
         epoch, number = self.leadership.epoch, self.member.data.number
-        for other in (epoch - 1, epoch + 1):
+        for other_epoch in (epoch - 1, epoch + 1):
             answers = (
-                CopyAck(self.backup, other, number + 5, True, other),
-                Activated(self.backup, other, True, True, other),
-                HeartbeatAck(self.backup, other, 10**6, True, True, other),
+                CopyAck(self.backup, other_epoch, number + 5, True, other_epoch),
+                Activated(self.backup, other_epoch, True, True, other_epoch),
+                HeartbeatAck(self.backup, other_epoch, 10**6, True, True, other_epoch),
             )
             for answer in answers:
                 with self.subTest(answer):
-                    before = self.known()
+                    before = self.counted_answers()
                     self.assertEqual(self.leadership.on_ack(answer), [])
-                    self.assertEqual(self.known(), before)
+                    self.assertEqual(self.counted_answers(), before)
 
-    def test_a_rejection_by_a_member_that_promised_no_later_epoch_deposes_nobody(self):
+    def test_only_a_rejection_with_a_later_promised_epoch_deposes_the_primary(self):
         epoch = self.leadership.epoch
         self.leadership.on_ack(CopyAck(self.backup, epoch, 0, False, epoch))
         self.assertTrue(self.member.leading())
         self.leadership.on_ack(CopyAck(self.backup, epoch, 0, False, epoch + 1))
         self.assertFalse(self.member.leading())
 
-    def test_a_heartbeat_that_a_later_promise_answers_deposes(self):
+    def test_heartbeat_rejected_for_a_later_promised_epoch_deposes_the_primary(self):
         epoch = self.leadership.epoch
         self.leadership.on_ack(HeartbeatAck(self.backup, epoch, 1, False, False, epoch + 1))
         self.assertFalse(self.member.leading())
 
 
-class PlannedLeaves(unittest.TestCase):
-    def test_a_primary_that_was_deposed_meanwhile_releases_nobody(self):
-        world = ready(Scope())
-        name = next(name for name in world.up() if name != world.primary())
-        At("leave", name).play(world)
-        member = world.nodes[name].ledger
+class ReleasesOfEarlierEpochs(unittest.TestCase):
+    def test_release_by_a_deposed_primary_is_ignored(self):
+        state = ready(Scope())
+        name = next(name for name in state.up() if name != state.primary())
+        At("leave", name).play(state)
+        member = state.nodes[name].ledger
         promised = member.register.promised_epoch
         member.receive(member.now, Released(1, member.member.id, promised - 1))
         self.assertFalse(member.planned_leave.released)
@@ -63,10 +66,10 @@
         self.assertTrue(member.planned_leave.released)
 
 
-class Views(unittest.TestCase):
-    def test_an_older_view_is_not_learnt_over_a_newer_one(self):
-        world = ready(Scope())
-        member = world.nodes[world.primary()].ledger
+class LearnedViews(unittest.TestCase):
+    def test_older_view_does_not_replace_a_newer_one(self):
+        state = ready(Scope())
+        member = state.nodes[state.primary()].ledger
         member.learn_view(evolve(member.view, epoch=member.view.epoch - 1))
         self.assertIsNone(member.learned_view)
         newer = evolve(member.view, epoch=member.view.epoch + 1)
--- a/tests/consensus/test_power_loss.py
+++ b/tests/consensus/test_power_loss.py
@@ -1,4 +1,4 @@
-"""How soon there is a primary again after a loss of all power."""
+"""Recovery time until a primary serves after a total power loss."""
 
 import random
 import unittest
@@ -6,10 +6,10 @@
 from simulator.core import Core
 
 
-class PowerLost(unittest.TestCase):
-    def test_a_primary_is_soon_up_again_after_all_power_was_lost(self):
-        """Members come up one after another; the first pre-vote finds some that don't listen yet."""
-        recovery_times = []
+class TotalPowerLoss(unittest.TestCase):
+    def test_time_to_a_primary_after_total_power_loss(self):
+        """Members start at different times, so the first pre-vote reaches some that don't listen yet."""
+        recovery_times_ms = []
         for seed in range(12):
             core = Core("abcde", replicas=2, seed=seed, seeds="abc", loss=0.0)
             core.run(6000)
@@ -17,21 +17,21 @@
             for name in core.names:
                 core.kill(name)
             core.run(300)
-            recovery_times.append(self.time_to_lead_again(core, random.Random(seed)))
-        self.assertLessEqual(sum(recovery_times) / len(recovery_times), 250)
-        self.assertLessEqual(max(recovery_times), 450)
+            recovery_times_ms.append(self.milliseconds_to_primary(core, random.Random(seed)))
+        self.assertLessEqual(sum(recovery_times_ms) / len(recovery_times_ms), 250)
+        self.assertLessEqual(max(recovery_times_ms), 450)
 
     @staticmethod
-    def time_to_lead_again(core, rng):
-        """Boots all members within 450 ms; returns the milliseconds from a majority's start until one leads."""
-        starts = sorted((rng.randrange(450), name) for name in core.names)
-        started = 0
-        for start, name in starts:
-            core.run(start - started)
+    def milliseconds_to_primary(core, rng):
+        """Starts all members within 450 ms; returns the milliseconds from a majority's start to the first primary."""
+        start_times = sorted((rng.randrange(450), name) for name in core.names)
+        elapsed_ms = 0
+        for start_ms, name in start_times:
+            core.run(start_ms - elapsed_ms)
             core.boot(name)
-            started = start
-        waited = 0
-        while core.leader() is None and waited < 3000:
+            elapsed_ms = start_ms
+        waited_ms = 0
+        while core.leader() is None and waited_ms < 3000:
             core.run(10)
-            waited += 10
-        return started + waited - starts[len(starts) // 2][0]
+            waited_ms += 10
+        return elapsed_ms + waited_ms - start_times[len(start_times) // 2][0]
--- a/tests/consensus/test_store.py
+++ b/tests/consensus/test_store.py
@@ -1,4 +1,4 @@
-"""What a member finds again on its disk."""
+"""``Store``: saving and loading of the durable state."""
 
 import tempfile
 import unittest
@@ -8,7 +8,7 @@
 
 
 class StoredState(unittest.TestCase):
-    def test_what_was_saved_is_read_again(self):
+    def test_saved_state_is_loaded_after_reopening(self):
         with tempfile.TemporaryDirectory() as folder:
             store = Store(folder)
             self.assertIsNone(store.load())
@@ -18,8 +18,8 @@
             store.close()
             store = Store(folder)
             self.assertEqual(store.load(), (Register(5, True, 9, [], False, 0), data))
-            for name, want in (("synchronous", 3), ("journal_mode", "persist"), ("locking_mode", "exclusive")):
-                self.assertEqual(store.db.execute(f"PRAGMA {name}").fetchone()[0], want)
+            for name, expected in (("synchronous", 3), ("journal_mode", "persist"), ("locking_mode", "exclusive")):
+                self.assertEqual(store.db.execute(f"PRAGMA {name}").fetchone()[0], expected)
             store.close()
 
 
--- a/tests/support/agreed_store.py
+++ b/tests/support/agreed_store.py
@@ -1,9 +1,10 @@
-"""A store that stands for the consensus of several controllers, and one node's part of it.
+"""In-memory replacement for the consensus of several controllers.
 
-One node at a time leads, by epoch; a write is committed only if its node still
-leads when it ends, and its outcome may stay unknown; a confirmation comes only
-to the node that leads. Nodes may go on believing that they lead. A frozen node
-stands still at the next step of whatever it was doing.
+``Store`` holds the committed data and the leader; ``Consensus`` is the interface
+of one node to it. One node leads in each epoch. A write is committed only if
+its node still leads when the write ends, and its outcome may remain unknown; a
+read is confirmed only at the leader. A deposed node may still believe that it
+leads. A frozen node pauses at its next step.
 """
 
 import asyncio
@@ -20,7 +21,7 @@
 
 
 class Store:
-    """The agreed data, and who leads."""
+    """The committed data and the current leader."""
 
     def __init__(self):
         self.data, self.epoch, self.leader = Data(0, 0, 0, b""), 0, None
@@ -28,7 +29,7 @@
         self.on_commit = lambda data: None
 
     def commit(self, node, epoch, revision, blob):
-        """Commits for the node that leads in this epoch; gives the data, or None."""
+        """Commits a write if the node leads in the epoch; returns the data, else None."""
         if (self.leader, self.epoch) != (node, epoch):
             return None
         self.number += 1
@@ -38,7 +39,7 @@
 
 
 class Consensus:
-    """One node's part of the store, as ``ConfigurationWriter`` and the services beside it use it."""
+    """One node's interface to the store, as used by ``ConfigurationWriter`` and the other services."""
 
     def __init__(self, node):
         self.node, self.believed, self.key = node, None, node.name
@@ -52,7 +53,7 @@
         self.sent = []
 
     def heartbeat(self):
-        """A majority answers a heartbeat of the node that leads."""
+        """Simulates a heartbeat of the leader that a majority acknowledges."""
         if self.believed == self.node.group.store.epoch and not self.node.cut and self.node.thawed.is_set():
             self.confirmed_at = monotonic()
 
@@ -66,7 +67,7 @@
         self.node.group.replies.append((to, record))
 
     async def _round_trip(self, timeout):
-        """Whether the node reaches a majority that takes it for the primary."""
+        """Returns whether the node reaches a majority that accepts it as primary."""
         await self.node.step()
         await asyncio.sleep(self.node.luck.uniform(0.001, 0.02))
         if self.node.cut:
@@ -75,16 +76,16 @@
         return self.believed is not None and self.node.group.store.epoch == self.believed
 
     async def confirm(self, timeout):
-        sure = await self._round_trip(timeout)
+        confirmed = await self._round_trip(timeout)
         await self.node.step()
-        return self.node.group.store.data if sure else None
+        return self.node.group.store.data if confirmed else None
 
     async def write(self, revision, blob, timeout):
         epoch = self.believed
-        sure = await self._round_trip(timeout)
-        data = self.node.group.store.commit(self.node.name, epoch, revision, blob) if sure else None
+        confirmed = await self._round_trip(timeout)
+        data = self.node.group.store.commit(self.node.name, epoch, revision, blob) if confirmed else None
         if data is not None and self.node.luck.random() < 0.05:
-            # Committed, and the node doesn't learn of it: it is deposed at once.
+            # The write is committed, but the node is deposed before it is informed.
             self.believed = None
             return None
         await self.node.step()
@@ -94,7 +95,7 @@
 
 
 class AgreedNode:
-    """One controller over the store; a subclass says which service it runs."""
+    """One controller that uses the store; subclasses define the service that it runs."""
 
     def __init__(self, group, name):
         self.group, self.name, self.luck = group, name, group.luck
@@ -104,23 +105,23 @@
         self.service = None
 
     async def step(self):
-        """Stands still while the node is frozen."""
+        """Waits while the node is frozen."""
         await self.thawed.wait()
 
     def join(self, publish=lambda *change: None):
-        """Makes the process's part of the store and its writer, which know nothing of an earlier process."""
+        """Creates the store interface and the writer of a new process, without state of an earlier process."""
         self.consensus = Consensus(self)
         self.writer = ConfigurationWriter(self.consensus, SimpleNamespace(publish=publish), lambda: WRITE_TIMEOUT)
 
     async def kill(self):
-        """Ends the process."""
+        """Stops the process."""
         service, self.service = self.service, None
         self.consensus.believed = None
         if service is not None:
             await service.stop()
 
     def lead(self, epoch):
-        """Wins an election: it has the committed data, and commits it again in its epoch."""
+        """Wins an election; commits the committed data again in the new epoch, as a new primary does."""
         store = self.group.store
         store.epoch, store.leader = epoch, self.name
         data = store.commit(self.name, epoch, store.data.revision, store.data.blob)
@@ -129,24 +130,24 @@
 
 
 class AgreedGroup:
-    """What groups of such nodes have in common; a subclass has ``nodes``, ``store`` and ``luck``."""
+    """Base class of groups of nodes; subclasses define ``nodes``, ``store`` and ``luck``."""
 
     def leader(self):
-        """The node that leads."""
+        """Returns the leader."""
         return next(node for node in self.nodes if node.name == self.store.leader)
 
     def elect(self, node):
-        """A node takes the lead over."""
+        """Elects a node as leader in the next epoch."""
         node.lead(self.store.epoch + 1)
 
     def elect_other(self):
-        """Any node that can lead takes over."""
-        able = [node for node in self.nodes if node.service is not None and not node.cut and node.thawed.is_set()]
-        if able:
-            self.elect(self.luck.choice(able))
+        """Elects a random node among those that can lead."""
+        candidates = [node for node in self.nodes if node.service is not None and not node.cut and node.thawed.is_set()]
+        if candidates:
+            self.elect(self.luck.choice(candidates))
 
     async def notice(self, node, longest_s):
-        """A deposed primary notices after a while; until then it believes that it leads."""
+        """Lets a deposed node detect that it no longer leads after a random delay of up to ``longest_s``."""
         await asyncio.sleep(self.luck.uniform(0.0, longest_s))
         if self.store.leader != node.name and node.service is not None:
             node.consensus.believed = None
--- a/tests/support/watched_core.py
+++ b/tests/support/watched_core.py
@@ -1,4 +1,4 @@
-"""A simulated core whose every event is checked against the model checker's invariants, and told as a timeline."""
+"""A simulated consensus group that checks each event against the model checker's invariants and records a timeline."""
 
 from attrs import define
 
@@ -9,8 +9,12 @@
 
 
 @define(frozen=True, slots=True)
-class Order:
-    """A client's order at one member's life: a confirmed read that began at ``floor``, then a write upon it."""
+class ChangeRequest:
+    """A client's change request at one member.
+
+    It is a confirmed read followed by a write on top of the result. ``floor`` is the newest acknowledged data when
+    the read began; the read must not return older data.
+    """
 
     node: str
     floor: bytes
@@ -18,118 +22,118 @@
 
 
 class WatchedCore(Core):
-    """Each event is checked as it happens.
+    """A simulated group that checks each event when it happens.
 
-    ``removed`` names the machines that are lost for good.
+    ``removed`` has the names of the machines that are lost for good.
     """
 
     def __init__(self, *args, **kwargs):
-        self.history, self.orders, self.rows = History(), {}, []
-        self.numbers = iter(range(1, 1 << 20))
+        self.history, self.pending_requests, self.events = History(), {}, []
+        self.request_numbers = iter(range(1, 1 << 20))
         self.removed = set()
         super().__init__(*args, **kwargs)
 
-    # -- the checks ---------------------------------------------------------
-    def act(self, n, actions):
-        """Carries out a member's actions; checks what they claim first."""
+    # -- checks -------------------------------------------------------------
+    def act(self, name, actions):
+        """Executes a member's actions and checks the results that they report."""
         for action in actions or ():
             if isinstance(action, Committed):
-                self._decided(n, action)
+                self._check_commit(name, action)
             elif isinstance(action, Aborted):
-                self.orders.pop(action.id, None)
-        super().act(n, actions)
+                self.pending_requests.pop(action.id, None)
+        super().act(name, actions)
         for action in actions or ():
             if isinstance(action, ReadConfirmed):
-                self._confirmed(n, action)
-        ledger, life = self.nodes[n]
-        if ledger.leading():
-            self.history = self.history.leads(ledger.leadership.epoch, (n, life))
-
-    def _decided(self, n, action):
-        view, data = self.nodes[n][0].leadership.view, action.data
-        self.on_every_holder(view, data)
+                self._check_read(name, action)
+        consensus, incarnation = self.nodes[name]
+        if consensus.leading():
+            self.history = self.history.leads(consensus.leadership.epoch, (name, incarnation))
+
+    def _check_commit(self, name, action):
+        view, data = self.nodes[name][0].leadership.view, action.data
+        self.check_holders(view, data)
         if action.id == 0:
             self.history = self.history.new_primary(view.epoch, data.blob)
-        elif action.id in self.orders:
-            if self.orders.pop(action.id).blob != data.blob:
-                raise Violation(f"{n} acknowledged another change than the one asked for")
+        elif action.id in self.pending_requests:
+            if self.pending_requests.pop(action.id).blob != data.blob:
+                raise Violation(f"{name} acknowledged a change that was not requested")
             self.history = self.history.acknowledge(view.epoch, data.blob)
 
-    def _confirmed(self, n, action):
-        order = self.orders.pop(action.id, None)
-        if order is None or not self.nodes[n][0].leading():
+    def _check_read(self, name, action):
+        request = self.pending_requests.pop(action.id, None)
+        if request is None or not self.nodes[name][0].leading():
             return
         data = action.data
-        self.history = self.history.show(order.floor, data.blob)
-        self.on_every_holder(self.nodes[n][0].leadership.view, data)
-        number = next(self.numbers)
+        self.history = self.history.show(request.floor, data.blob)
+        self.check_holders(self.nodes[name][0].leadership.view, data)
+        number = next(self.request_numbers)
         blob = data.blob + b"%d." % number
-        actions = self.nodes[n][0].write(self.now, number, data.revision + 1, blob)
+        actions = self.nodes[name][0].write(self.now, number, data.revision + 1, blob)
         if actions is not None:
-            self.orders[number] = Order(n, order.floor, blob)
-            self.act(n, actions)
-
-    def on_every_holder(self, view, data):
-        """What a client may rely on is on the disk of every holder that still has its disk."""
-        for n, member in self.members.items():
-            disk = self.disks.get(n)
-            holds = member.id in view.holders and n not in self.removed and disk and disk[0].id == member.id
-            if holds and disk[1].version < data.version:
-                raise Violation(f"{data.blob.decode()!r} is decided, but it is not on the disk of {n}")
-
-    # -- what happens -------------------------------------------------------
-    def tell(self, word, n):
-        """Adds a row to the timeline."""
-        self.rows.append((int(self.now.total_seconds() * 1000), n, word))
-
-    def do(self, word, n):
-        """Carries out a word of the timelines at a member."""
-        self.tell(word, n)
-        EVENTS[word](self, n)
-
-    def lose(self, word, n):
-        """Loses a disk; a machine that is ``removed`` never comes back."""
-        self.do("wipe", n)
-        if word == "remove":
-            self.removed.add(n)
-
-    def order(self, n):
-        """A client asks a member for a change; the number of the order, or None when refused."""
-        number = next(self.numbers)
-        self.orders[number] = Order(n, self.history.newest())
-        actions = self.nodes[n][0].read(self.now, number)
+            self.pending_requests[number] = ChangeRequest(name, request.floor, blob)
+            self.act(name, actions)
+
+    def check_holders(self, view, data):
+        """Checks that committed data is on the disk of every holder that still has its disk."""
+        for name, member in self.members.items():
+            disk = self.disks.get(name)
+            holds_copy = member.id in view.holders and name not in self.removed and disk and disk[0].id == member.id
+            if holds_copy and disk[1].version < data.version:
+                raise Violation(f"{data.blob.decode()!r} is committed, but it is not on the disk of {name}")
+
+    # -- events -------------------------------------------------------------
+    def record_event(self, event, name):
+        """Adds an event to the timeline."""
+        self.events.append((int(self.now.total_seconds() * 1000), name, event))
+
+    def apply_event(self, event, name):
+        """Applies a timeline event to a member."""
+        self.record_event(event, name)
+        EVENTS[event](self, name)
+
+    def lose_disk(self, event, name):
+        """Wipes the disk of a machine; with ``remove``, the machine never restarts."""
+        self.apply_event("wipe", name)
+        if event == "remove":
+            self.removed.add(name)
+
+    def request_change(self, name):
+        """Requests a change at a member on behalf of a client; returns whether the member accepted the request."""
+        number = next(self.request_numbers)
+        self.pending_requests[number] = ChangeRequest(name, self.history.newest())
+        actions = self.nodes[name][0].read(self.now, number)
         if actions is None:
-            del self.orders[number]
+            del self.pending_requests[number]
             return False
-        self.act(n, actions)
+        self.act(name, actions)
         return True
 
-    def mend(self):
-        """Ends all troubles: links, disks, and machines that are down start again, but not those that were leaving."""
+    def end_faults(self):
+        """Ends all faults of links and disks and restarts the stopped machines, except those that were leaving."""
         self.heal()
-        self.removed |= {n for n in self.off if self.nodes[n][0].planned_leave and n not in self.left}
-        for n in self.nodes:
-            if n in self.stalled:
-                self.do("flow", n)
-            if n in self.off and n not in self.removed and n not in self.left:
-                self.do("boot", n)
-        self.tell("heal", self.names[0])
-
-    def here(self):
-        """The machines that run and are not about to leave."""
-        return [n for n in self.nodes if n not in self.off and self.nodes[n][0].planned_leave is None]
-
-    # -- what must come back ---------------------------------------------------
-    def until(self, ms, holds):
-        """Runs until something holds; whether it did within the time."""
+        self.removed |= {name for name in self.off if self.nodes[name][0].planned_leave and name not in self.left}
+        for name in self.nodes:
+            if name in self.stalled:
+                self.apply_event("flow", name)
+            if name in self.off and name not in self.removed and name not in self.left:
+                self.apply_event("boot", name)
+        self.record_event("heal", self.names[0])
+
+    def available_machines(self):
+        """Returns the running machines that are not leaving."""
+        return [name for name in self.nodes if name not in self.off and self.nodes[name][0].planned_leave is None]
+
+    # -- progress --------------------------------------------------------------
+    def run_until(self, ms, condition):
+        """Runs until a condition holds; returns whether it did within the time."""
         for _ in range(ms // 50):
-            if holds():
+            if condition():
                 return True
             self.run(50)
-        return holds()
+        return condition()
 
-    def acknowledges(self, ms):
-        """Whether a change is acknowledged within the time."""
+    def acknowledges_change(self, ms):
+        """Returns whether a change is acknowledged within the time."""
         before = len(self.history.acknowledged)
 
         def acknowledged():
@@ -138,27 +142,29 @@
         for _ in range(ms // 300):
             leader = self.leader()
             if leader is not None:
-                self.order(leader)
-            if self.until(300, acknowledged):
+                self.request_change(leader)
+            if self.run_until(300, acknowledged):
                 return True
         return False
 
-    def whole(self):
-        """Whether all voters run and every holder has what is decided."""
+    def is_repaired(self):
+        """Returns whether all voters are running and every holder has the committed data."""
         leader = self.leader()
         if leader is None or not self.nodes[leader][0].leadership.complete():
             return False
-        view, here = self.view(), {self.members[n].id: n for n in self.here()}
-        if not set(view.ids) <= set(here) or len(view.holders) < self.replicas + 1:
+        view, names_by_id = self.view(), {self.members[name].id: name for name in self.available_machines()}
+        if not set(view.ids) <= set(names_by_id) or len(view.holders) < self.replicas + 1:
             return False
         decided = self.nodes[leader][0].decided.version
-        return all(self.disks[here[i]][1].version >= decided for i in view.holders)
+        return all(self.disks[names_by_id[i]][1].version >= decided for i in view.holders)
 
     def timeline(self):
-        """What was done, as a timeline with a column per node."""
-        names = list(self.nodes)
-        width = max(len(word) for _, _, word in [(0, "", "stall"), *self.rows]) + 2
-        lines = ["ms".ljust(8) + "".join(name.ljust(width) for name in names)]
-        for ms, n, word in self.rows:
-            lines.append(str(ms).ljust(8) + "".join((word if name == n else ".").ljust(width) for name in names))
+        """Returns the recorded events as a timeline with one column per node."""
+        columns = list(self.nodes)
+        width = max(len(event) for _, _, event in [(0, "", "stall"), *self.events]) + 2
+        lines = ["ms".ljust(8) + "".join(column.ljust(width) for column in columns)]
+        for ms, name, event in self.events:
+            lines.append(
+                str(ms).ljust(8) + "".join((event if column == name else ".").ljust(width) for column in columns)
+            )
         return "\n".join(line.rstrip() for line in lines)
