--- a/sparloom/consensus/leadership.py
+++ b/sparloom/consensus/leadership.py
@@ -30,13 +30,13 @@
 
 # Maximum number of unconfirmed heartbeats whose send times are stored; older ones are dropped.
 MAXIMUM_UNCONFIRMED_HEARTBEATS = 30
-# A copy that completes within this fraction of the copy timeout halves the timeout factor.
+# Fraction of the copy timeout within which a copy must complete to halve the copy timeout factor.
 FAST_COPY_FRACTION = 0.25
-# Heartbeats are sent more often while a member has been unresponsive for this many heartbeat intervals.
+# Number of heartbeat intervals without a message after which a member counts as late.
 LATE_HEARTBEAT_INTERVALS = 1.5
-# Divisor of the heartbeat interval while a member is late.
+# Divisor of the heartbeat interval while any member is late.
 LATE_HEARTBEAT_DIVISOR = 3
-# Unanswered activations and copies are resent after this many resend intervals.
+# Interval between retries of activations and copies, in resend intervals.
 RESEND_INTERVAL_FACTOR = 4
 
 
--- a/sparloom/consensus/member.py
+++ b/sparloom/consensus/member.py
@@ -43,8 +43,8 @@
 # Delay of the first candidacy after a start, in election timeouts. All members may have lost power, so the
 # last primary, which is the best candidate, has the shortest delay.
 START_DEFERRAL_FACTORS = {PRIMARY_TIMEOUT_FACTOR: 0.05, HOLDER_TIMEOUT_FACTOR: 0.3}
-# Time in which a member does not become a candidate after a disk fault and after a leadership transfer,
-# in election timeouts.
+# Time in which a member does not become a candidate after a disk fault or a leadership transfer, in election
+# timeouts.
 DISK_FAULT_DEFERRAL_FACTOR, TRANSFER_DEFERRAL_FACTOR = 3, 2
 # Minimum backoff and maximum random addition after an abandoned candidacy, in election timeouts.
 BACKOFF_MINIMUM_FACTOR, BACKOFF_JITTER_FACTOR = 0.2, 0.5
--- a/sparloom/consensus/reconfiguration.py
+++ b/sparloom/consensus/reconfiguration.py
@@ -23,7 +23,7 @@
     from .member import ConsensusMember
     from .records import Member
 
-# Suspicions expire after this many times the timeout of unresponsive learners.
+# Multiple of the timeout for unresponsive learners after which a suspicion expires.
 SUSPICION_TIMEOUT_FACTOR = 4
 
 
--- a/sparloom/consensus/records.py
+++ b/sparloom/consensus/records.py
@@ -132,8 +132,8 @@
     views
         The newest view marked active, or empty.
     committed
-        Whether that view is known to have been served with the consent of its previous rosters, which are then no
-        longer required.
+        Whether the newest active view is known to have been served with the consent of its previous rosters, which
+        are then no longer required.
     copy_epoch
         Epoch of the primary that sent the copy of the data on this disk; 0 without a copy.
     """
