--- a/sparloom/router/admission_queues.py
+++ b/sparloom/router/admission_queues.py
@@ -1,4 +1,8 @@
-"""Admission control of a router: one controller per service, and the requests that wait at it."""
+"""Admission control of a router.
+
+``AdmissionQueues`` has one admission controller per service and the requests
+that wait to be admitted by it.
+"""
 
 from __future__ import annotations
 
@@ -22,14 +26,14 @@
     from .request import Request
     from .router_state import RouterState
 
-# How often the other routers' requests in flight are summed anew: as often as they report them.
-PEERS_SUM_INTERVAL = timedelta(milliseconds=200)
-# Connections to each runner of a service without a configured limit.
+# The total of the other routers' requests in flight is recomputed at this interval, as often as they report them.
+PEER_TOTAL_INTERVAL = timedelta(milliseconds=200)
+# The connection limit per runner for services without a configured limit.
 DEFAULT_CONNECTION_LIMIT = 64
 
 
-class InHand(NamedTuple):
-    """Requests of a service: at runners, waiting to be admitted, and rejected since the process started."""
+class RequestCounts(NamedTuple):
+    """Requests of a service: in flight at runners, waiting to be admitted, and rejected since the process started."""
 
     in_flight: int
     waiting: int
@@ -37,16 +41,16 @@
 
 
 class _MembersCache(NamedTuple):
-    """Members, and from which configuration and declaration they were derived."""
+    """Reserves of members and owners of routes, with the configuration and declaration they were derived from."""
 
     configuration: Configuration
     declared: Sequence[Member]
-    shares: dict[str, float]
+    reserves: dict[str, float]
     owners: dict[str, str]
 
 
 class _CapacityCache(NamedTuple):
-    """A service's capacity, and what it was computed from."""
+    """A service's capacity, with the inputs it was computed from."""
 
     backends: Sequence[Backend]
     service: Service | None
@@ -57,7 +61,7 @@
 
 
 class _ConnectionsCache(NamedTuple):
-    """A service's connection limits by runner id, and what they were computed from."""
+    """A service's connection limits by runner id, with the inputs they were computed from."""
 
     backends: Sequence[Backend]
     service: Service | None
@@ -67,16 +71,17 @@
 
 
 class AdmissionQueues:
-    """All admission controllers of this router.
+    """The admission controllers of this router, one per service.
 
-    Capacity, connection limits and members are computed anew only after a
-    change. Snapshots are replaced whole, so their identity shows a change.
+    Capacity, connection limits and members are recomputed only after a change
+    of their inputs. Inputs are immutable snapshots, so a change is detected by
+    identity.
 
     Attributes
     ----------
     state : the router's state: configuration, backends, fleet size, requests in flight.
     controllers : the admission controller of each service.
-    waiting : the future of each request in a queue, by request id.
+    waiting : the future of each queued request, by request id.
     """
 
     def __init__(self, state: RouterState) -> None:
@@ -87,41 +92,41 @@
         self._members: _MembersCache | None = None
         self._capacities: dict[str, _CapacityCache] = {}
         self._connections: dict[str, _ConnectionsCache] = {}
-        # Per service: when the other routers' requests were summed, and the sum.
+        # Per service: when the total of the other routers' requests was computed, and the total.
         self._peers_in_flight: dict[str, tuple[timedelta, int]] = {}
 
     def _configuration(self) -> Configuration:
-        """The configuration in force; requests come here only once there is one."""
+        """Return the current configuration; requests are admitted only once there is one."""
         configuration = self.state.configuration
         assert configuration is not None, "a request was admitted without a configuration"
         return configuration
 
     def _current_members(self) -> _MembersCache:
         configuration, declared = self._configuration(), self.state.settings.members
-        known = self._members
-        if known and known.configuration is configuration and known.declared is declared:
-            return known
+        cached = self._members
+        if cached and cached.configuration is configuration and cached.declared is declared:
+            return cached
         members = members_of(configuration, declared)
         owners = {}
         if declared:
             for route in configuration.routes:
                 owners[route.name] = next((member.name for member in members if member.owns(route)), "")
-        shares = {member.name: member.reserve for member in members}
-        self._members = _MembersCache(configuration, declared, shares, owners)
+        reserves = {member.name: member.reserve for member in members}
+        self._members = _MembersCache(configuration, declared, reserves, owners)
         return self._members
 
     def _capacity(self, service_name: str) -> _CapacityCache:
         state, fleet_size = self.state, self.state.fleet_size
         backends, service = state.backends.of(service_name), self._configuration().services.get(service_name)
-        known = self._capacities.get(service_name)
-        divided_by = (fleet_size.divisor, fleet_size.admitting)
+        cached = self._capacities.get(service_name)
+        division = (fleet_size.divisor, fleet_size.admitting)
         if (
-            known
-            and known.backends is backends
-            and known.service is service
-            and (known.divisor, known.admitting) == divided_by
+            cached
+            and cached.backends is backends
+            and cached.service is service
+            and (cached.divisor, cached.admitting) == division
         ):
-            return known
+            return cached
         default_slots = service.slots if service else 0
         total_slots = sum(maximum_in_flight(backend.slots or default_slots) for backend in backends)
         tokens = fleet_size.share(service.cache_tokens * len(backends)) if service else 0
@@ -131,22 +136,22 @@
         return cache
 
     def connections(self, service_name: str) -> dict[str, int]:
-        """How many connections this router may hold to each runner of a service, by runner id.
+        """Return how many connections this router may have to each runner of a service, by runner id.
 
-        Where this router's share is none at any runner, it may hold one to each.
+        A router whose share is zero at every runner may have one connection to each.
         """
         state, fleet_size = self.state, self.state.fleet_size
         backends = state.backends.connected_to(service_name)
         service = self._configuration().services.get(service_name)
-        known = self._connections.get(service_name)
+        cached = self._connections.get(service_name)
         position = (fleet_size.divisor, fleet_size.index)
         if (
-            known
-            and known.backends is backends
-            and known.service is service
-            and (known.divisor, known.position) == position
+            cached
+            and cached.backends is backends
+            and cached.service is service
+            and (cached.divisor, cached.position) == position
         ):
-            return known.limits
+            return cached.limits
         limit = service.connection_limit if service else DEFAULT_CONNECTION_LIMIT
         limits = {backend.id: fleet_size.indivisible_share(limit, backend.number) for backend in backends}
         if not any(limits.values()):
@@ -157,20 +162,20 @@
         return limits
 
     def controller(self, service_name: str) -> AdmissionController:
-        """The admission controller of a service; made at the first request for it."""
+        """Return the admission controller of a service; it is created at the first request."""
         controller = self.controllers.get(service_name)
         if controller is None:
-            capacity, shares = self._capacity(service_name).capacity, self._current_members().shares
-            controller = self.controllers[service_name] = AdmissionController(capacity, dict(shares))
+            capacity, reserves = self._capacity(service_name).capacity, self._current_members().reserves
+            controller = self.controllers[service_name] = AdmissionController(capacity, dict(reserves))
         return controller
 
     def member(self, route: Route) -> str:
-        """The name of the member that a route belongs to."""
+        """Return the name of the member that a route belongs to."""
         owners = self._current_members().owners
         return owners.get(route.name, "" if self.state.settings.members else route.host)
 
     async def enter(self, service_name: str, request: Request) -> Admitted | Rejected:
-        """Waits until a request is admitted or rejected."""
+        """Wait until a request is admitted or rejected."""
         request_id = next(self._ids)
         controller, demand = self.controller(service_name), Demand(sum(tokens for _, tokens in request.parts))
         self._tick(service_name, controller)
@@ -185,60 +190,63 @@
         try:
             return await future
         except asyncio.CancelledError:
-            # The client has gone; the request may have been admitted just before.
+            # The client has disconnected; the request may have been admitted just before.
             self.leave(service_name, request_id)
             raise
         finally:
             self.waiting.pop(request_id, None)
 
     def leave(self, service_name: str, request_id: int) -> None:
-        """A request has ended; those that wait may follow."""
+        """Release the capacity of a request that has ended, and admit waiting requests."""
         self._notify(self.controllers[service_name].release(monotonic(), request_id))
 
     def tick(self) -> None:
-        """Time moves on for all queues."""
+        """Update all controllers with the current time, capacity and reserves."""
         if self.state.configuration is not None:
             for service_name, controller in self.controllers.items():
                 self._tick(service_name, controller)
 
     def _tick(self, service_name: str, controller: AdmissionController) -> None:
-        now, known = monotonic(), self._capacity(service_name)
-        shares = self._current_members().shares
+        now, cached = monotonic(), self._capacity(service_name)
+        reserves = self._current_members().reserves
         controller.extra_slots = 0
         if controller.is_saturated():
-            reserved = known.total_slots * sum(shares.values())
+            reserved = cached.total_slots * sum(reserves.values())
             in_flight = self._in_flight(service_name, now)
-            controller.extra_slots = self.state.fleet_size.surplus(known.total_slots, reserved, in_flight)
-        self._notify(controller.tick(now, known.capacity, shares))
+            controller.extra_slots = self.state.fleet_size.surplus(cached.total_slots, reserved, in_flight)
+        self._notify(controller.tick(now, cached.capacity, reserves))
 
     def _in_flight(self, service_name: str, now: timedelta) -> int:
-        """Requests in flight at a service over all routers: this one's are exact, the others' as last summed."""
+        """Return the requests of all routers in flight at a service.
+
+        This router's own count is exact; the others' total may be ``PEER_TOTAL_INTERVAL`` old.
+        """
         in_flight, backends = self.state.in_flight, self.state.backends.of(service_name)
         own = sum(in_flight.own.get(backend.id, 0) for backend in backends)
-        summed_at, peers = self._peers_in_flight.get(service_name, (None, 0))
-        if summed_at is None or now - summed_at >= PEERS_SUM_INTERVAL:
+        computed_at, peers = self._peers_in_flight.get(service_name, (None, 0))
+        if computed_at is None or now - computed_at >= PEER_TOTAL_INTERVAL:
             peers = sum(in_flight.count(backend.id, now) for backend in backends) - own
             self._peers_in_flight[service_name] = (now, peers)
         return own + peers
 
-    def load(self, service_name: str) -> InHand:
-        """What this router has in hand for a service."""
+    def load(self, service_name: str) -> RequestCounts:
+        """Return the counts of this router's requests for a service."""
         own = self.state.in_flight.own
         in_flight = sum(own.get(backend.id, 0) for backend in self.state.backends.of(service_name))
         controller = self.controllers.get(service_name)
         waiting = sum(map(len, controller.queues.values())) if controller else 0
         rejected = sum(controller.rejections.values()) if controller else 0
-        return InHand(in_flight, waiting, rejected)
+        return RequestCounts(in_flight, waiting, rejected)
 
     def _notify(self, decisions: Iterable[Admitted | Rejected]) -> None:
-        """Wakes the requests that were decided on."""
+        """Wake the waiting requests that have been admitted or rejected."""
         for decision in decisions:
             future = self.waiting.get(decision.id)
             if future is not None and not future.done():
                 future.set_result(decision)
 
     def statistics(self) -> dict[str, dict[str, dict[str, float]]]:
-        """The statistics of each service, by member."""
+        """Return the statistics of each service, by member."""
         now = monotonic()
         return {service_name: controller.statistics(now) for service_name, controller in self.controllers.items()}
 
--- a/sparloom/router/forwarding_services.py
+++ b/sparloom/router/forwarding_services.py
@@ -1,4 +1,7 @@
-"""The services that forwarding a request takes, in one value: nothing that they need themselves imports this."""
+"""The services needed to forward a request, in one value.
+
+The modules of these services must not import this one.
+"""
 
 from __future__ import annotations
 
@@ -25,15 +28,15 @@
 
     Attributes
     ----------
-    state: the present snapshots.
+    state: the current snapshots.
     in_flight: requests in flight per backend; slots are taken here.
     budgets: retry budgets by service.
     queues: admission queues by service.
-    gossip: tells the other routers of prompts that went out.
-    prefix_recall: tells controllers of long prefixes.
-    usage: counts what begins; None where nobody asks.
-    random: source of random draws.
-    rollouts: watches roll-outs; None where versions don't matter.
+    gossip: reports sent prompts to the other routers.
+    prefix_recall: reports long prefixes to the controllers.
+    usage: counts responses that have started; None if usage reporting is off.
+    random: the random number generator.
+    rollouts: watches rollouts; None if no service has any.
     """
 
     state: RouterState
--- a/sparloom/router/graceful_shutdown.py
+++ b/sparloom/router/graceful_shutdown.py
@@ -1,12 +1,12 @@
-"""The moments of a graceful shutdown: how long requests are taken, when they are refused, when aborted.
-
-The platform asks each second whether a router is ready, and after two failed
-checks it sends no new connection. So requests are taken for some three
-seconds more. From then on no connection is accepted, and those that rest are
-closed: a request that crosses such a close was not read, and its client turns
-to another router. A request that follows another one on its connection is
-forwarded only if it is sure to end before the process does, and refused at
-once otherwise. What is in flight has nearly all of the grace period.
+"""The schedule of a graceful shutdown: when requests are accepted, refused and aborted.
+
+The platform checks readiness every second and sends no new connections after
+two failed checks. Requests are therefore accepted for about three more
+seconds. After that no connection is accepted, and idle ones are closed. A
+request that arrives while its connection closes is not read, so its client
+can send it to another router. A further request on an open connection is
+forwarded only if its deadline is before the time of the abort, and is refused
+at once otherwise. Requests in flight may use most of the grace period.
 """
 
 from __future__ import annotations
@@ -15,23 +15,25 @@
 
 from attrs import define
 
-# Three seconds (RULES, as amended: a request sent later must not be aborted), less what a busy loop may be late.
-ACCEPTS_FOR = timedelta(seconds=2.75)
-# Parts of the grace period: at most how long requests are taken, when they are aborted, when the process ends.
-ACCEPTS_FOR_PART = 0.55
-ABORTS_AFTER_PART = 0.9
-ENDS_AFTER_PART = 0.96
+# Three seconds less the possible delay of a busy event loop. By RULES, as amended, a request sent after three seconds
+# must not be aborted.
+ACCEPT_PERIOD = timedelta(seconds=2.75)
+# Fractions of the grace period: the maximum time for accepting requests, the time of the abort of requests in flight,
+# and the time at which the process ends.
+MAXIMUM_ACCEPT_FRACTION = 0.55
+ABORT_FRACTION = 0.9
+END_FRACTION = 0.96
 
 
 @define(frozen=True, slots=True)
 class GracefulShutdown:
-    """The moments of a graceful shutdown, on the monotonic clock.
+    """The schedule of a graceful shutdown, on the monotonic clock.
 
     Attributes
     ----------
-    accepts_until: until then requests are taken as ever.
-    aborts_at: what is in flight then is answered as far as it can be.
-    ends_at: by then the process stops.
+    accepts_until: all requests are accepted until this time.
+    aborts_at: requests still in flight at this time are aborted; they get an error if no response has started.
+    ends_at: the process stops by this time.
     """
 
     accepts_until: timedelta
@@ -40,16 +42,16 @@
 
     @classmethod
     def starting_at(cls, now: timedelta, grace: timedelta) -> GracefulShutdown:
-        """Return the moments of a shutdown that begins now and has a grace period.
+        """Return the schedule of a shutdown that begins now and has this grace period.
 
         >>> GracefulShutdown.starting_at(timedelta(0), timedelta(seconds=8)).accepts_until.total_seconds()
         2.75
         """
-        accepts_for = min(ACCEPTS_FOR, grace * ACCEPTS_FOR_PART)
-        return cls(now + accepts_for, now + grace * ABORTS_AFTER_PART, now + grace * ENDS_AFTER_PART)
+        accept_period = min(ACCEPT_PERIOD, grace * MAXIMUM_ACCEPT_FRACTION)
+        return cls(now + accept_period, now + grace * ABORT_FRACTION, now + grace * END_FRACTION)
 
     def admits(self, now: timedelta, deadline: timedelta) -> bool:
-        """Whether a request that has been read whole now is taken, by its deadline.
+        """Whether a request with this deadline, completely read at ``now``, is accepted.
 
         >>> shutdown = GracefulShutdown.starting_at(timedelta(0), timedelta(seconds=8))
         >>> shutdown.admits(timedelta(seconds=4), timedelta(seconds=6))
--- a/sparloom/router/headers.py
+++ b/sparloom/router/headers.py
@@ -1,4 +1,4 @@
-"""Names of the HTTP headers that the router reads or sets, and which headers are forwarded."""
+"""Names of the HTTP headers that the router reads or sets, and the selection of headers to forward."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 ATTEMPT_ID = "X-Sparloom-Attempt-Id"
 AUTHORIZATION = "Authorization"
-# Of the keys of tenants.
+# The authorization scheme of tenants' API keys.
 AUTHORIZATION_SCHEME = "Token"
 DEADLINE_REMAINING = "X-Sparloom-Deadline-Remaining"
 EXPECTED_INSTANCE = "X-Sparloom-Expected-Instance"
@@ -23,7 +23,7 @@
 TENANT = "X-Sparloom-Tenant"
 LAST_EVENT_ID = "Last-Event-Id"
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1), and those that the HTTP library sets itself.
+# Headers that apply to a single connection (RFC 9110, section 7.6.1), and headers set by the HTTP library itself.
 HOP_BY_HOP = frozenset(
     (
         "connection",
@@ -43,7 +43,7 @@
 
 
 def end_to_end(raw_headers: Iterable[tuple[bytes, bytes]]) -> CIMultiDict[str]:
-    """Return the headers without those that concern one connection only.
+    """Return the headers without hop-by-hop headers, which include those named by ``Connection``.
 
     >>> list(end_to_end([(b"Connection", b"x-a"), (b"X-A", b"1"), (b"X-B", b"2")]).items())
     [('X-B', '2')]
@@ -60,9 +60,9 @@
 
 
 def time_remaining(headers: Mapping[str, str], maximum: timedelta) -> timedelta:
-    """Return how long the client still waits, in its own words but never more than ``maximum``.
+    """Return how long the client still waits according to its header, at most ``maximum``.
 
-    The header holds milliseconds; ``maximum`` stands in where it is missing or can't be read.
+    The header is in milliseconds. ``maximum`` is returned if the header is missing or invalid.
 
     >>> maximum = timedelta(seconds=1)
     >>> time_remaining({DEADLINE_REMAINING: "250"}, maximum), time_remaining({DEADLINE_REMAINING: "soon"}, maximum)
--- a/sparloom/router/target.py
+++ b/sparloom/router/target.py
@@ -1,4 +1,8 @@
-"""Sends a request target byte for byte, also where the URL library would normalize it."""
+"""Sends request targets byte for byte, even if the URL library would normalize them.
+
+``url_for`` builds the URL and ``RawTargetRequest`` sends it. A target that the
+library would change is carried in the URL's fragment.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,7 @@
 
 
 class _RawTargetUrl:
-    """A URL with a request target of its own; all else is taken from the URL."""
+    """A URL whose request target is replaced; all other attributes are those of the URL."""
 
     def __init__(self, url: URL, target: str) -> None:
         self._url = url
@@ -26,7 +30,7 @@
 
 
 def url_for(address: str, target: str) -> URL:
-    """Return a URL for a raw target; one that the library would change goes into the fragment.
+    """Return a URL for a raw target; a target that the library would change is put into the fragment.
 
     >>> url_for("h:1", "/a?b").raw_path_qs, url_for("h:1", "/a?").raw_fragment
     ('/a?b', 'raw:/a?')
@@ -38,7 +42,7 @@
 
 
 class RawTargetRequest(ClientRequest):
-    """An outgoing request that takes its target from such a fragment."""
+    """An outgoing request that uses the raw target in its URL's fragment, if there is one."""
 
     async def send(self, conn: Connection) -> ClientResponse:
         """Send the request with its raw target."""
--- a/sparloom/router/timeout_buckets.py
+++ b/sparloom/router/timeout_buckets.py
@@ -1,4 +1,4 @@
-"""Dynamic time-outs of one route at one backend: the more requests in flight, the shorter."""
+"""Dynamic timeouts for one route at one backend, which get shorter with more requests in flight."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 if TYPE_CHECKING:
     from sparloom.configuration import Route
 
-# Where neither the endpoint list nor the configuration says how many slots a backend has.
+# The number of slots assumed for a backend if neither the endpoint list nor the configuration has one.
 FALLBACK_SLOTS = 32
 
 
 def maximum_in_flight(slots: int) -> int:
-    """Return the most requests in flight at a backend: the last usual bucket's limit.
+    """Return the maximum number of requests in flight at a backend: the limit of the last regular bucket.
 
     >>> maximum_in_flight(64)
     128
@@ -27,12 +27,13 @@
 def buckets_for(route: Route, slots: int, reserved: bool = False) -> tuple[Bucket, ...]:
     """Return the buckets for a route's latency target and a backend's slots.
 
-    A backend with free slots has twice the target to answer in, a full one
-    less, and past twice its slots it is sent nothing. Shorter time-outs were
-    tried and cost more than they saved: the prefill of an abandoned prompt is
-    done twice. A request from a member's ``reserved`` capacity has one bucket
-    more, so that others who exceeded their share while the fleet looked empty
-    can't lock it out.
+    A backend with free slots has a timeout of twice the target, and a full one
+    a shorter timeout. No request is sent to a backend that already has twice
+    as many in flight as it has slots. Timeouts shorter than these cost more
+    than they save, because the prefill of an abandoned prompt is done twice. A
+    request from a member's ``reserved`` capacity has one more bucket, so that
+    members that exceeded their share while the fleet appeared idle can't
+    block it.
 
     >>> from datetime import timedelta
     >>> from sparloom.configuration import Route
@@ -45,9 +46,9 @@
     known_slots = slots or FALLBACK_SLOTS
     target = min(route.target, route.timeout)
     maximum = maximum_in_flight(slots)
-    usual = (
+    regular = (
         Bucket(target * 2, max(1, known_slots // 2)),
         Bucket(target * 1.5, known_slots),
         Bucket(target, maximum),
     )
-    return (*usual, Bucket(target, 2 * maximum)) if reserved else usual
+    return (*regular, Bucket(target, 2 * maximum)) if reserved else regular
