--- a/sparloom/router/access.py
+++ b/sparloom/router/access.py
@@ -1,13 +1,15 @@
-"""Whether a request may run: the key of its tenant, as the configuration in force has it.
+"""Authorizes requests by tenants' API keys from the current configuration.
 
-| the router | a key that it knows | a key that it doesn't know, or none |
+``authorize`` returns the ``Access`` granted or the reason for a ``Denial``:
+
+| state of the router's configuration | known key | unknown or missing key |
 | --- | --- | --- |
-| has confirmed lately that its configuration is the newest | runs | 401 |
-| is behind, or has not heard for a while | runs | 503: the key may be new |
-| the same, where withdrawn keys must not outlive a bound | 503 past that bound | 503 |
+| recently confirmed as the newest | forwarded | 401 |
+| outdated, or not confirmed for some time | forwarded | 503, since the key may be new |
+| the same, with a bound on the use of revoked keys | 503 past that bound | 503 |
 
-A key that is withdrawn ends no request that came before: those that wait or
-run were allowed when they were sent.
+Revoking a key does not affect requests that are already waiting or running,
+because they were authorized when they were sent.
 """
 
 from __future__ import annotations
@@ -29,39 +31,40 @@
 
     from .router_state import RouterState
 
-# An unknown key is rejected only within this part of the time in which a change is in force everywhere.
-SURE_PART = 0.5
-# With ``revocationClosed``: of the bound for withdrawn keys, the part up to which requests are let in.
-CLOSED_PART = 0.9
+# An unknown key is rejected only if the configuration was confirmed within this fraction of the bound in which a
+# change is applied everywhere.
+CONFIRMED_FRACTION = 0.5
+# With ``revocationClosed``, known keys are accepted up to this fraction of the bound for revoked keys.
+FAIL_CLOSED_FRACTION = 0.9
 
 
 class Denial(Enum):
-    """Why a request may not run here and now."""
+    """Why a request is denied."""
 
-    UNKNOWN_KEY = "no tenant holds the key"
-    NOT_SURE = "this router may be behind the newest configuration"
+    UNKNOWN_KEY = "no tenant has this key"
+    UNCONFIRMED = "this router's configuration may be outdated"
 
 
 @define(frozen=True, slots=True)
 class Access:
-    """What a request was let in with: keys stay here, and runners are told the tenant.
+    """The access granted to a request. Runners receive the tenant's name but never its key.
 
     Attributes
     ----------
     tenant
-        The tenant whose key the request carries; None on public routes without one.
+        The tenant that the request's key belongs to; None for a request without a known key on a public route.
     """
 
     tenant: Tenant | None = None
 
     def priority(self, route: Route) -> int:
-        """Return the request's priority: that of the tenant goes before that of the route."""
+        """Return the request's priority; the tenant's priority overrides the route's."""
         if self.tenant is None or self.tenant.priority is None:
             return route.priority
         return self.tenant.priority
 
-    def edit(self, headers: CIMultiDict[str]) -> None:
-        """Take the key out of the headers for the runner, and name the tenant, whatever the client has named."""
+    def rewrite_headers(self, headers: CIMultiDict[str]) -> None:
+        """Remove the key from the headers for the runner, and replace any tenant named by the client."""
         headers.popall(names.AUTHORIZATION, None)
         headers.popall(names.TENANT, None)
         if self.tenant is not None:
@@ -69,7 +72,10 @@
 
 
 def authorize(state: RouterState, route: Route, authorization: str | None, now: timedelta) -> Access | Denial:
-    """Return with what a request of a route is let in, or why it isn't; the configuration has tenants."""
+    """Return the access granted to a request of a route, or why it is denied.
+
+    The configuration must have tenants.
+    """
     assert state.configuration is not None, "a route was matched without a configuration"
     assert state.configuration.tenants is not None, "the configuration has no tenants"
     tenant = state.configuration.tenants.find(authorization)
@@ -77,7 +83,7 @@
         return Access(tenant)
     settings, age = state.settings, state.configuration_age(now)
     if tenant is None:
-        return Denial.UNKNOWN_KEY if age < settings.bounds.config_apply * SURE_PART else Denial.NOT_SURE
-    if settings.revocation.closed and age > settings.revocation.within * CLOSED_PART:
-        return Denial.NOT_SURE
+        return Denial.UNKNOWN_KEY if age < settings.bounds.config_apply * CONFIRMED_FRACTION else Denial.UNCONFIRMED
+    if settings.revocation.closed and age > settings.revocation.within * FAIL_CLOSED_FRACTION:
+        return Denial.UNCONFIRMED
     return Access(tenant)
--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a backend: its slot, its HTTP call, and the verdict on the head of its response."""
+"""One attempt at a backend: its slot, its HTTP call, and the verdict on its response head."""
 
 from __future__ import annotations
 
@@ -30,58 +30,59 @@
 
 REJECTION_BODY_TIMEOUT = timedelta(milliseconds=50)
 MINIMUM_CONNECT_TIMEOUT_S = 0.05
-# A connection must be there within this part of the route's latency target.
-CONNECT_TIMEOUT_PART = 1 / 3
-# Silence for this part of the route's latency target says nothing about a backend's zone.
-ZONE_PATIENCE_PART = 1 / 2
+# The connect timeout as a fraction of the route's latency target.
+CONNECT_TIMEOUT_FRACTION = 1 / 3
+# Silence of a backend for up to this fraction of the route's latency target is not evidence against its zone.
+ZONE_SILENCE_FRACTION = 1 / 2
 MISDIRECTED = 421
-# For how long a backend is suspected after a fault, as a part of the contact bound.
-NOT_CONNECTED = 1 / 3
-BROKE_OFF = 1 / 6
-UNRESPONSIVE = 1 / 6
-OTHER_INSTANCE = 1
-REJECTED = 1 / 30
+# How long a backend is suspected after each kind of failure, as a fraction of the contact bound.
+SUSPICION_CONNECT_FAILED = 1 / 3
+SUSPICION_DISCONNECTED = 1 / 6
+SUSPICION_UNRESPONSIVE = 1 / 6
+SUSPICION_MISDIRECTED = 1
+SUSPICION_REJECTED = 1 / 30
 CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 BACKEND_ERRORS = (aiohttp.ClientError, OSError, ValueError)
 
 
 @define(frozen=True, slots=True, eq=False)
 class BackendChoice:
-    """A backend for one attempt, and the slot taken there.
+    """The backend chosen for one attempt, and the slot taken there.
 
-    ``yields``: the prefill is heavy there, so the request lets others go first.
-    ``in_flight``: requests that were at the backend before, of all routers.
+    ``deprioritized``: the prefill is heavy at this backend, so the request is sent with lower urgency.
+    ``in_flight``: requests of all routers that were in flight at the backend before this one.
     """
 
     backend: Backend
     slot: Slot
-    yields: bool
+    deprioritized: bool
     in_flight: int = 0
 
 
 class AttemptEnd(Enum):
-    """How an attempt ended, as far as it tells about the backend."""
+    """How an attempt ended, by what it says about the backend."""
 
-    COMPLETE = "the answer was complete"
-    FAILED = "the answer failed, broke off or did not come"
+    COMPLETE = "the response was complete"
+    FAILED = "the backend returned a server error, an incomplete response or none"
     NOT_RUN = "the backend did not run the request"
-    BROKEN_OFF_HERE = "the client left, or another attempt was preferred"
+    BROKEN_OFF_HERE = "the client disconnected, or a hedged attempt replaced this one"
 
 
 class Attempt:
-    """One send of a request to a backend on which a slot was taken for it.
+    """One attempt to send a request to a backend, which holds a slot there until it ends.
 
     Parameters
     ----------
-    on_unresponsive: called when the backend has sent nothing for the slot's time-out.
+    on_unresponsive: called when the backend has sent nothing for the slot's timeout.
 
     Attributes
     ----------
-    connected: whether the request may have left the router.
-    in_flight_before: requests that were at the backend before this one, of all routers.
-    timed_out: whether the wait for it was ended here.
-    first_part_at, last_part_at, parts: when parts of the answer came, and how many; only where anybody asks.
-    inactivity: the timer of the backend's silence.
+    connected: False once no connection could be opened, so that no byte of the request left the router.
+    in_flight_before: requests of all routers that were in flight at the backend before this one.
+    timed_out: whether this router stopped waiting for the backend.
+    first_part_at, last_part_at: when the first and the last chunk of the response arrived.
+    parts: the number of chunks; chunks are recorded only while rollouts are watched.
+    inactivity: the timer that detects an unresponsive backend.
     """
 
     def __init__(
@@ -93,7 +94,7 @@
     ) -> None:
         self._state = state
         self._request = request
-        self._yields = choice.yields
+        self._deprioritized = choice.deprioritized
         self.backend = choice.backend
         self.slot = choice.slot
         self.in_flight_before = choice.in_flight
@@ -109,100 +110,107 @@
         self.inactivity = InactivityTimer(
             self.backend,
             self.slot,
-            lambda: self._suspect(UNRESPONSIVE),
+            lambda: self._suspect(SUSPICION_UNRESPONSIVE),
             on_unresponsive,
             state.zones,
-            request.route.target * ZONE_PATIENCE_PART,
+            request.route.target * ZONE_SILENCE_FRACTION,
         )
 
     @property
     def opened(self) -> bool:
-        """Whether the head of a response has come."""
+        """Whether a response head has arrived."""
         return self._response is not None
 
     @property
     def asked_at(self) -> timedelta:
-        """When the request was sent, or the attempt began."""
+        """When the request was sent; before that, when the attempt was created."""
         return self._asked_at
 
     def note_part(self, now: timedelta) -> None:
-        """Note that a part of the answer has come."""
+        """Record the arrival of a chunk of the response."""
         self.first_part_at = now if self.first_part_at is None else self.first_part_at
         self.last_part_at = now
         self.parts += 1
 
     @property
     def status(self) -> int | None:
-        """The status of the backend's response; None while there is none."""
+        """The status code of the backend's response; None before it has arrived."""
         return None if self._response is None else self._response.status
 
     @property
     def misdirected(self) -> bool:
-        """Whether another instance answered, at the address of the one that the request was for."""
+        """Whether another instance responded at the address of the intended one."""
         return self._misdirected
 
     @property
     def response(self) -> aiohttp.ClientResponse:
-        """The backend's response; there is none before the attempt has opened."""
+        """The backend's response.
+
+        Raises
+        ------
+        RuntimeError: the attempt is not open yet.
+        """
         if self._response is None:
             raise RuntimeError("the attempt has no response yet")
         return self._response
 
-    def _note_absence(self) -> None:
+    def _record_absence(self) -> None:
         self.backend.record_absence(monotonic(), self._state.settings.bounds.contact)
 
-    def _suspect(self, part: float) -> None:
-        self.backend.record_failure(monotonic(), self._state.settings.bounds.contact * part)
+    def _suspect(self, fraction: float) -> None:
+        self.backend.record_failure(monotonic(), self._state.settings.bounds.contact * fraction)
 
     async def open(self, last_event_id: str | None) -> Verdict | None:
-        """Send the request; None once a head has come that may be relayed, else the verdict."""
+        """Send the request; return None once a response head that may be relayed has arrived, else the verdict."""
         self.inactivity.arm(self.slot.grant.timeout)
         try:
             self._response = await self._send(last_event_id)
         except CONNECT_ERRORS as error:
-            # Not a byte of the request has left the router.
+            # No byte of the request has left the router.
             self.connected = False
             if isinstance(error, aiohttp.ConnectionTimeoutError):
-                self.inactivity.not_connected()
-            self._note_absence()
-            self._suspect(NOT_CONNECTED)
+                self.inactivity.on_connect_timeout()
+            self._record_absence()
+            self._suspect(SUSPICION_CONNECT_FAILED)
             return NOT_RUN
         except BACKEND_ERRORS as error:
-            return self.broke_off(error)
-        return await self._judge(self._response)
+            return self.on_backend_error(error)
+        return await self._evaluate_response(self._response)
 
     async def _send(self, last_event_id: str | None) -> aiohttp.ClientResponse:
         request = self._request
         self._asked_at = monotonic()
-        connect_timeout = max(MINIMUM_CONNECT_TIMEOUT_S, request.route.target.total_seconds() * CONNECT_TIMEOUT_PART)
+        connect_timeout = max(
+            MINIMUM_CONNECT_TIMEOUT_S, request.route.target.total_seconds() * CONNECT_TIMEOUT_FRACTION
+        )
         return await self.backend.session().request(
             request.method,
             url_for(self.backend.address, request.path),
             data=request.body or None,
-            headers=upstream_headers(request, self.backend, monotonic(), last_event_id, self._yields),
+            headers=upstream_headers(request, self.backend, monotonic(), last_event_id, self._deprioritized),
             allow_redirects=False,
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_timeout),
         )
 
-    def broke_off(self, error: Exception) -> Verdict:
-        """Return the verdict after the backend closed the connection or sent an invalid response."""
-        self._suspect(BROKE_OFF)
-        logging.info("attempt: backend broke off id=%s error=%s", self.backend.id, type(error).__name__)
+    def on_backend_error(self, error: Exception) -> Verdict:
+        """Suspect a backend that closed the connection or sent an invalid response, and return the verdict."""
+        self._suspect(SUSPICION_DISCONNECTED)
+        logging.info("attempt: backend connection failed id=%s error=%s", self.backend.id, type(error).__name__)
         return MAY_HAVE_RUN
 
-    async def _judge(self, response: aiohttp.ClientResponse) -> Verdict | None:
+    async def _evaluate_response(self, response: aiohttp.ClientResponse) -> Verdict | None:
         self._state.zones.note_sign(self.backend.zone, monotonic())
         head = response_head(response, self._request.attempt_id)
         verdict, may_relay = judge_head(head)
         if head.belongs:
-            self.backend.note_answer(self._asked_at, "close" in response.headers.get("Connection", "").lower())
+            self.backend.record_response(self._asked_at, "close" in response.headers.get("Connection", "").lower())
         if "Keep-Alive" in response.headers and head.belongs:
             self.backend.apply_keep_alive(response.headers["Keep-Alive"])
         if verdict is NOT_RUN:
             self._misdirected = response.status == MISDIRECTED
             if self._misdirected:
-                self._note_absence()
-            self._suspect(OTHER_INSTANCE if self._misdirected else REJECTED)
+                self._record_absence()
+            self._suspect(SUSPICION_MISDIRECTED if self._misdirected else SUSPICION_REJECTED)
             await self._drain_rejection(response)
             return NOT_RUN
         if not may_relay:
@@ -212,7 +220,7 @@
         return None
 
     async def _drain_rejection(self, response: aiohttp.ClientResponse) -> None:
-        """Read the rest of a rejection, so that its connection can be reused; the verdict needs only the head."""
+        """Read the body of a rejection so that its connection can be reused; the verdict needs only the head."""
         try:
             async with asyncio.timeout(REJECTION_BODY_TIMEOUT.total_seconds()):
                 await response.read()
@@ -220,7 +228,7 @@
             response.close()
 
     def end(self) -> None:
-        """Free the slot and the connection; a response not read whole closes its connection."""
+        """Release the slot and the connection; the connection is closed if the response was not read completely."""
         self.inactivity.stop()
         if self._response is not None:
             self._response.release()
--- a/sparloom/router/backend_choice.py
+++ b/sparloom/router/backend_choice.py
@@ -26,7 +26,7 @@
     from .forwarding_services import ForwardingServices
     from .request import Request
 
-# A candidate's penalty adds these up; any sum ranks behind all lower ones, whatever the load.
+# A candidate's penalty is the sum of those that apply. A lower sum ranks first, whatever the load.
 UNRESPONSIVE_FOR_PEERS = 1
 SUSPECTED_HERE = 2
 ALREADY_TRIED = 4
@@ -34,7 +34,7 @@
 
 @define(frozen=True, slots=True, eq=False)
 class _Eligible:
-    """The backends that may serve a request, and the snapshots that this was worked out from."""
+    """The backends that may serve a request, cached with the snapshots they were derived from."""
 
     backends: Sequence[Backend]
     isolation: Isolation
@@ -42,7 +42,7 @@
 
 
 def choose_service(request: Request, random: Random) -> str:
-    """Draw one of the route's services by weight; a route with a single service draws nothing."""
+    """Draw one of the route's services by weight; a route with a single service needs no random draw."""
     split = request.route.split
     if len(split) == 1:
         return split[0][0]
@@ -51,16 +51,16 @@
         remaining -= weight
         if remaining < 0 and weight > 0:
             return name
-    # Rounding may leave a little over: the last service with any weight takes it.
+    # Rounding may leave a small remainder, which goes to the last service with a weight.
     return next(name for name, weight in reversed(split) if weight > 0)
 
 
 class BackendChooser:
-    """Chooses the backends of one request's attempts, each backend at most once.
+    """Chooses the backends for one request's attempts, each backend at most once.
 
     Attributes
     ----------
-    service: the service that the request goes to.
+    service: the service that the request is sent to.
     tried: ids of the backends that an attempt was made at.
     """
 
@@ -72,9 +72,10 @@
         self.tried: set[str] = set()
 
     def eligible(self) -> Sequence[Backend]:
-        """Return the backends that may serve the request; fewer where members' prompts are isolated.
+        """Return the backends that may serve the request; isolation of members' prompts may exclude some.
 
-        None may whose service speaks something else: what is sent there can't run, and nobody could tell.
+        There are none if the service is of an unsupported kind: a request can't run there, and its response
+        would not show that.
         """
         configuration = self._services.state.configuration
         service = configuration.services.get(self.service) if configuration else None
@@ -83,7 +84,7 @@
         return self._allowed(self._services.state.backends.of(self.service))
 
     def _allowed(self, backends: Sequence[Backend]) -> Sequence[Backend]:
-        """Return those of some backends that may be shown the request's prompt."""
+        """Return the backends that isolation allows to receive the request's prompt."""
         isolation = self._services.state.settings.isolation
         if isolation is None:
             return backends
@@ -94,21 +95,22 @@
         return cached.allowed
 
     def has_untried(self) -> bool:
-        """Whether a backend is left that no attempt was made at."""
+        """Whether an eligible backend has not been tried yet."""
         return any(backend.id not in self.tried for backend in self.eligible())
 
     def take(self, reserved: bool) -> BackendChoice | None:
-        """Take a slot at the best backend with capacity that was not tried yet; None where there is none.
+        """Take a slot at the best untried backend with capacity; return None if there is none.
 
         ``reserved``: the request was admitted from its member's reserve.
         """
         now = monotonic()
-        return self._take_on_trial(reserved, now) or self._take_best(self.eligible(), reserved, now)
+        return self._take_trial_backend(reserved, now) or self._take_best(self.eligible(), reserved, now)
 
-    def _take_on_trial(self, reserved: bool, now: timedelta) -> BackendChoice | None:
-        """Take a slot at a runner of the version that is on trial, if the first attempt is to go there.
+    def _take_trial_backend(self, reserved: bool, now: timedelta) -> BackendChoice | None:
+        """Take a slot at a backend of the version on trial, if the rollout sends this request there.
 
-        Further attempts go to versions that serve: a request must not depend on a version that may be bad.
+        Only the first attempt goes to the version on trial. Further attempts go to serving versions, so that no
+        request depends on a version that may be faulty.
         """
         rollouts = self._services.rollouts
         if rollouts is None or self.tried:
@@ -122,16 +124,16 @@
         return choice
 
     def _take_best(self, eligible: Sequence[Backend], reserved: bool, now: timedelta) -> BackendChoice | None:
-        """Take a slot at the best of some backends."""
+        """Take a slot at the best of the given backends."""
         backends = {backend.id: backend for backend in eligible}
         connection_limits = self._services.queues.connections(self.service)
         count_event("weighed runners", len(backends))
         candidates = [self._candidate(backend, now) for backend in backends.values()]
-        in_doubt = self._services.state.doubts_endpoints(now)
+        endpoints_uncertain = self._services.state.doubts_endpoints(now)
         shared_tokens = sum(tokens for _, tokens in self._request.shared_parts)
         for candidate in choose(candidates, shared_tokens):
             backend = backends[candidate.id]
-            if not self._may_use(backend, candidate.cold, connection_limits, in_doubt, now):
+            if not self._may_use(backend, candidate.cold, connection_limits, endpoints_uncertain, now):
                 continue
             choice = self._take_slot(backend, candidate, now, reserved)
             if choice is not None:
@@ -143,21 +145,29 @@
         return None
 
     def _may_use(
-        self, backend: Backend, cold: bool, connection_limits: Mapping[str, int], in_doubt: bool, now: timedelta
+        self,
+        backend: Backend,
+        cold: bool,
+        connection_limits: Mapping[str, int],
+        endpoints_uncertain: bool,
+        now: timedelta,
     ) -> bool:
-        """Whether an attempt may be made at a backend now, a slot apart."""
+        """Whether an attempt may be made at a backend now, apart from the need for a free slot."""
         if backend.id in self.tried or backend.open_calls >= connection_limits[backend.id]:
             return False
-        if in_doubt and not backend.has_stayed(now, self._longest_trust()):
+        if endpoints_uncertain and not backend.is_confirmed_active(now, self._confirmation_lifetime()):
             return False
-        return not cold or self._bears_one_more(backend, now)
+        return not cold or self._within_cold_rate(backend, now)
 
-    def _longest_trust(self) -> timedelta:
-        """For how long an answer shows that a backend isn't leaving; what is sent then arrives within the bound."""
+    def _confirmation_lifetime(self) -> timedelta:
+        """Return how long a response confirms that a backend isn't shutting down.
+
+        This is shorter than the drain bound, so a request that is sent in this time still arrives within the bound.
+        """
         return self._services.state.settings.bounds.drain * DOUBT_AFTER_DRAIN_PART
 
-    def _bears_one_more(self, backend: Backend, now: timedelta) -> bool:
-        """Whether this router's share of what a cold backend bears allows one more request."""
+    def _within_cold_rate(self, backend: Backend, now: timedelta) -> bool:
+        """Whether this router's share of a cold backend's rate limit allows one more request."""
         state = self._services.state
         service = state.configuration.services.get(backend.service) if state.configuration else None
         limit = fleet_limit(service, state.settings.cold)
@@ -195,11 +205,11 @@
         slot = self._services.in_flight.acquire(backend.id, buckets, now, prefill_tokens)
         if slot is None:
             return None
-        yields = is_heavy_prefill(prefill_tokens, backend.cached.capacity, backend.slots)
-        return BackendChoice(backend, slot, yields, candidate.calls)
+        deprioritized = is_heavy_prefill(prefill_tokens, backend.cached.capacity, backend.slots)
+        return BackendChoice(backend, slot, deprioritized, candidate.calls)
 
     def _announce_prompt(self, backend: Backend) -> None:
-        """Note that the backend will have the prompt cached, here, at the other routers and at a controller."""
+        """Record here, at the other routers and at a controller that the backend will have the prompt cached."""
         shared = self._request.shared_parts
         backend.cached.add(self._request.parts)
         self._services.gossip.on_prompt_sent(backend, shared)
--- a/sparloom/router/backends.py
+++ b/sparloom/router/backends.py
@@ -1,4 +1,9 @@
-"""The runners as this router knows them: a new table after each change, of ``Backend`` objects that go on."""
+"""The runners known to this router.
+
+``Backend`` is one runner instance with its connections and its health as
+observed from traffic. ``BackendTable`` is an immutable snapshot of all
+backends; a new table after a change reuses the ``Backend`` objects.
+"""
 
 from __future__ import annotations
 
@@ -28,19 +33,20 @@
 
 NOT_SUSPECTED = timedelta(0)
 NEVER = timedelta(0)
-# Runners of a zone that is taken back count as cold for so long: by then a list that was made afterwards tells.
-RETURN_TIME = timedelta(seconds=4)
-# Of failures in a row so many lengthen the suspicion; each doubles it.
-MAXIMUM_STRIKES = 4
-# Seconds for which an unused connection is kept where the runner says nothing.
+# How long backends count as cold after the evacuation of their zone ends. After that time the endpoint list shows
+# which of them are cold.
+COLD_AFTER_EVACUATION = timedelta(seconds=4)
+# The suspicion time doubles with each consecutive failure, up to this number of failures.
+MAXIMUM_COUNTED_FAILURES = 4
+# Idle timeout of connections to runners that send no Keep-Alive header.
 DEFAULT_IDLE_TIMEOUT_S = 4.0
-# An unused connection is closed after this part of the time that the runner keeps it.
-KEEP_ALIVE_PART = 0.7
+# The idle timeout of a connection as a fraction of the runner's own keep-alive timeout.
+KEEP_ALIVE_FRACTION = 0.7
 MINIMUM_IDLE_TIMEOUT_S = 0.05
 
 
 def number(id: str) -> int:
-    """A runner's number in the gossip: 64 bits of a hash of its id.
+    """Return the number that identifies a runner in the gossip: a 64-bit hash of its id.
 
     >>> 0 <= number("i-1") < 1 << 64
     True
@@ -49,7 +55,7 @@
 
 
 def _open_socket(address: tuple[int, int, int, str, tuple[str, int]]) -> socket.socket:
-    """A socket for a connection to a runner; ``address``: an entry of ``getaddrinfo``."""
+    """Open a socket for a connection to a runner; ``address`` is an entry of ``getaddrinfo``."""
     sock = socket.socket(address[0], address[1], address[2])
     sock.setblocking(False)
     tune(sock)
@@ -59,28 +65,32 @@
 
 @define(slots=True, eq=False)
 class Backend:
-    """One instance of a runner, with its connections and what was learned from traffic.
+    """One runner instance, with its connections and its health as observed from traffic.
+
+    All times are on the monotonic clock.
 
     Attributes
     ----------
-    id, address, zone, slots, draining: as the endpoint list has them.
+    id, address, zone, slots, draining: as in the endpoint list.
     service: the service that it belongs to.
-    pool: the runners of the service that run the same version.
-    warming_up: whether it has started a short time ago (slow start).
+    pool: the name of the group of the service's runners that run the same version.
+    warming_up: whether it started recently (slow start).
     evacuated: whether its zone is evacuated.
-    returned_at: when its zone was taken back; ``NEVER`` if it was not evacuated.
-    stays_at: when it was last seen not to be leaving, by an answer; ``NEVER`` if it wasn't, or said that it leaves.
-    cold_sends: what was sent to it while it was cold.
-    number: the 64-bit number of its id in the gossip.
-    cached: the prompt prefixes that it is believed to have cached.
-    client_session: the open connections; made when first needed.
-    suspected_until: until then it is avoided (monotonic clock).
-    strikes: failures in a row, four at most.
-    absent_until: until then it is taken not to be at its address: no connection opened, or another instance answered.
-    unresponsive_calls: calls here that have passed their timeout without a sign of life.
-    open_calls: calls in hand here.
+    restored_at: when the evacuation of its zone ended; ``NEVER`` if there was none.
+    confirmed_active_at: when the latest request was sent whose response showed that it isn't shutting down; ``NEVER``
+        without such a response, or if the latest response announced a shutdown.
+    cold_sends: the requests sent to it while it was cold.
+    number: the 64-bit number that identifies it in the gossip.
+    cached: the prompt prefixes that it is expected to have cached.
+    client_session: holds the open connections; created on first use.
+    suspected_until: the time until which it is avoided.
+    consecutive_failures: the number of consecutive failures, four at most.
+    absent_until: until then the instance is assumed not to be at its address, because a connection failed or another
+        instance responded.
+    unresponsive_calls: open calls that have passed their timeout without data from the backend.
+    open_calls: the number of calls in progress.
     delisted: whether it has left the endpoint list; its connections are closed once no call needs them.
-    idle_timeout: seconds for which an unused connection is kept.
+    idle_timeout_s: how long an unused connection stays open, in seconds.
     """
 
     id: str
@@ -94,53 +104,53 @@
     cached: CachedPrefixes
     client_session: aiohttp.ClientSession | None = None
     suspected_until: timedelta = NOT_SUSPECTED
-    strikes: int = 0
+    consecutive_failures: int = 0
     absent_until: timedelta = NOT_SUSPECTED
     unresponsive_calls: int = 0
     open_calls: int = 0
-    idle_timeout: float = DEFAULT_IDLE_TIMEOUT_S
+    idle_timeout_s: float = DEFAULT_IDLE_TIMEOUT_S
     evacuated: bool = False
-    returned_at: timedelta = NEVER
-    stays_at: timedelta = NEVER
+    restored_at: timedelta = NEVER
+    confirmed_active_at: timedelta = NEVER
     cold_sends: ColdSends = field(factory=ColdSends)
     pool: str = ""
     delisted: bool = False
     _closing: asyncio.Task[None] | None = None
 
     def is_cold(self, now: timedelta) -> bool:
-        """Whether it is warming up, or may be: it may have become cold shortly before its zone was taken back.
+        """Whether it is or may be warming up: it may have restarted shortly before its zone's evacuation ended.
 
         >>> backend = Backend("i", "s", "h:1", "z", 1, False, False, 0, None)
         >>> backend.is_cold(timedelta(seconds=9))
         False
-        >>> backend.note_evacuation(True, timedelta(seconds=8)); backend.note_evacuation(False, timedelta(seconds=9))
+        >>> backend.set_evacuated(True, timedelta(seconds=8)); backend.set_evacuated(False, timedelta(seconds=9))
         >>> backend.is_cold(timedelta(seconds=10)), backend.is_cold(timedelta(seconds=14))
         (True, False)
         """
-        return self.warming_up or (self.returned_at != NEVER and now < self.returned_at + RETURN_TIME)
+        return self.warming_up or (self.restored_at != NEVER and now < self.restored_at + COLD_AFTER_EVACUATION)
 
-    def note_answer(self, asked_at: timedelta, closes: bool) -> None:
-        """Notes an answer to a request that was sent at ``asked_at``; a runner that leaves says that it ``closes``."""
-        self.stays_at = NEVER if closes else max(self.stays_at, asked_at)
+    def record_response(self, asked_at: timedelta, closes: bool) -> None:
+        """Record a response to a request sent at ``asked_at``; ``closes``: it announces a shutdown of the runner."""
+        self.confirmed_active_at = NEVER if closes else max(self.confirmed_active_at, asked_at)
 
-    def has_stayed(self, now: timedelta, within: timedelta) -> bool:
-        """Whether an answer has shown, no longer ago than ``within``, that it isn't leaving.
+    def is_confirmed_active(self, now: timedelta, within: timedelta) -> bool:
+        """Whether a response to a request sent less than ``within`` ago showed that it isn't shutting down.
 
         >>> backend, second = Backend("i", "s", "h:1", "z", 1, False, False, 0, None), timedelta(seconds=1)
-        >>> backend.note_answer(5 * second, False)
-        >>> backend.has_stayed(7 * second, 3 * second), backend.has_stayed(9 * second, 3 * second)
+        >>> backend.record_response(5 * second, False)
+        >>> backend.is_confirmed_active(7 * second, 3 * second), backend.is_confirmed_active(9 * second, 3 * second)
         (True, False)
         """
-        return self.stays_at != NEVER and now - self.stays_at < within
+        return self.confirmed_active_at != NEVER and now - self.confirmed_active_at < within
 
-    def note_evacuation(self, evacuated: bool, now: timedelta) -> None:
-        """Notes whether its zone is evacuated now."""
+    def set_evacuated(self, evacuated: bool, now: timedelta) -> None:
+        """Set whether its zone is evacuated, and record the time at which an evacuation ends."""
         if self.evacuated and not evacuated:
-            self.returned_at = now
+            self.restored_at = now
         self.evacuated = evacuated
 
     def is_suspected(self, now: timedelta) -> bool:
-        """Whether traffic says to avoid it for now.
+        """Whether it is avoided because of recent failures.
 
         >>> Backend("i", "s", "h:1", "z", 1, False, False, 0, None).is_suspected(timedelta(seconds=1))
         False
@@ -148,20 +158,23 @@
         return now < self.suspected_until
 
     def record_failure(self, now: timedelta, duration: timedelta) -> None:
-        """An attempt failed here: avoid it for ``duration``, twice as long after each further failure in a row."""
-        self.strikes = min(self.strikes + 1, MAXIMUM_STRIKES)
-        self.suspected_until = max(self.suspected_until, now + duration * 2 ** (self.strikes - 1))
+        """Avoid it for ``duration`` after a failed attempt; each further consecutive failure doubles the time."""
+        self.consecutive_failures = min(self.consecutive_failures + 1, MAXIMUM_COUNTED_FAILURES)
+        self.suspected_until = max(self.suspected_until, now + duration * 2 ** (self.consecutive_failures - 1))
 
     def record_absence(self, now: timedelta, duration: timedelta) -> None:
-        """No connection to it opened, or another instance answered at its address."""
+        """Assume for ``duration`` that it isn't at its address.
+
+        Called when a connection failed to open, or when another instance responded there.
+        """
         self.absent_until = now + duration
 
     def forget_absence(self) -> None:
-        """Its whole zone was out of reach and is back: that no connection opened says nothing about it."""
+        """Clear the absence after its whole zone was unreachable, since failed connections then show nothing."""
         self.absent_until = NOT_SUSPECTED
 
     def is_absent(self, now: timedelta) -> bool:
-        """Whether it seems not to be at its address.
+        """Whether it is assumed not to be at its address.
 
         >>> Backend("i", "s", "h:1", "z", 1, False, False, 0, None).is_absent(timedelta(seconds=1))
         False
@@ -169,22 +182,22 @@
         return now < self.absent_until
 
     def record_success(self) -> None:
-        """It answered: earlier failures no longer count."""
+        """Clear earlier failures after a response."""
         self.absent_until = NOT_SUSPECTED
-        self.strikes = 0
+        self.consecutive_failures = 0
         self.suspected_until = NOT_SUSPECTED
 
     def begin_call(self) -> None:
-        """A call is sent here."""
+        """Count a call that is about to be sent to this backend."""
         self.open_calls += 1
 
     def end_call(self) -> None:
-        """A call has ended, and its connection was released."""
+        """Count the end of a call whose connection was released."""
         self.open_calls -= 1
         self._close_if_unused()
 
     def delist(self) -> None:
-        """It has left the endpoint list: no further call comes."""
+        """Mark it as removed from the endpoint list; it receives no further calls."""
         self.delisted = True
         self._close_if_unused()
 
@@ -194,12 +207,12 @@
             self._closing = asyncio.get_running_loop().create_task(session.close())
 
     def session(self) -> aiohttp.ClientSession:
-        """The session that holds the connections to this instance."""
+        """Return the session that holds the connections to this instance; create it if needed."""
         if self.client_session is None or self.client_session.closed:
             connector = Connector(
                 limit=0,
                 ttl_dns_cache=None,
-                keepalive_timeout=self.idle_timeout,
+                keepalive_timeout=self.idle_timeout_s,
                 socket_factory=_open_socket,
                 enable_cleanup_closed=False,
             )
@@ -213,7 +226,7 @@
         return self.client_session
 
     def has_idle_connection(self) -> bool:
-        """Whether an open connection waits unused: no new one is needed.
+        """Whether an open connection is idle, so that no new one is needed.
 
         >>> Backend("i", "s", "h:1", "z", 1, False, False, 0, None).has_idle_connection()
         False
@@ -225,13 +238,13 @@
         return idle
 
     def apply_keep_alive(self, header: str) -> None:
-        """Follows the runner's ``Keep-Alive`` header: unused connections are closed before the runner does so."""
+        """Apply the runner's ``Keep-Alive`` header, so that idle connections are closed before the runner does so."""
         for item in header.split(","):
             name, _, value = item.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit():
-                self.idle_timeout = max(MINIMUM_IDLE_TIMEOUT_S, int(value) * KEEP_ALIVE_PART)
+                self.idle_timeout_s = max(MINIMUM_IDLE_TIMEOUT_S, int(value) * KEEP_ALIVE_FRACTION)
                 if self.client_session:
-                    cast(Connector, self.client_session.connector).keep_idle(self.idle_timeout)
+                    cast(Connector, self.client_session.connector).keep_idle(self.idle_timeout_s)
 
 
 def _new_backend(endpoint: Endpoint, cache_tokens: int) -> Backend:
@@ -254,11 +267,11 @@
 
     Attributes
     ----------
-    by_id: each backend.
-    services: for each service the backends that take new requests: those that drain or whose zone is evacuated don't,
-        nor those of a version that doesn't serve.
-    trials: for each service with a roll-out under way the backends of the new version that take new requests.
-    connected: for each service the backends of both.
+    by_id: all backends by id.
+    services: for each service the backends that take new requests. Draining backends, those of an evacuated zone and
+        those of a version that doesn't serve are left out.
+    trials: for each service with a rollout in progress, the backends of the new version that take new requests.
+    connected: for each service the backends of ``services`` and ``trials``.
     ids_by_number: backend ids by their number in the gossip.
 
     >>> BackendTable().of("s"), BackendTable().on_trial("s")
@@ -272,15 +285,15 @@
     connected: dict[str, tuple[Backend, ...]] = field(factory=dict)
 
     def of(self, service: str) -> tuple[Backend, ...]:
-        """The backends of a service that take new requests."""
+        """Return the backends of a service that take new requests."""
         return self.services.get(service, ())
 
     def on_trial(self, service: str) -> tuple[Backend, ...]:
-        """The backends of the version that is on trial, which may be sent a part of the service's requests."""
+        """Return the backends of the version on trial, which may receive a fraction of the service's requests."""
         return self.trials.get(service, ())
 
     def connected_to(self, service: str) -> tuple[Backend, ...]:
-        """The backends of a service that requests may be sent to, on trial or not."""
+        """Return all backends of a service that requests may be sent to, on trial or not."""
         return self.connected.get(service, ())
 
     def renew(
@@ -291,11 +304,11 @@
         now: timedelta = NEVER,
         versions: Mapping[str, ServiceVersions] | None = None,
     ) -> BackendTable:
-        """The next snapshot; instances that go on keep what was learned of them.
+        """Return the next snapshot; instances that remain listed keep their ``Backend`` object.
 
         ``cache_tokens(service)``: how many tokens a backend of a service caches.
-        ``evacuated_zones``: whose backends take no new requests; ``now`` is when that is so.
-        ``versions``: which pools of a service serve, and which is on trial, where it has had a roll-out.
+        ``evacuated_zones``: zones whose backends take no new requests, as of ``now``.
+        ``versions``: for each service that has had a rollout, which pools serve and which is on trial.
         """
         by_id: dict[str, Backend] = {}
         for endpoint in endpoints:
@@ -308,37 +321,37 @@
             backend.draining = endpoint.draining
             backend.warming_up = bool(endpoint.cold)
             backend.slots = endpoint.slots
-            backend.note_evacuation(endpoint.zone in evacuated_zones, now)
+            backend.set_evacuated(endpoint.zone in evacuated_zones, now)
             backend.cached.capacity = tokens
             by_id[endpoint.id] = backend
         for backend in self.by_id.values():
             if by_id.get(backend.id) is not backend:
                 backend.delist()
-        return _table(by_id, versions or {})
+        return _build_table(by_id, versions or {})
 
 
-def _table(by_id: dict[str, Backend], versions: Mapping[str, ServiceVersions]) -> BackendTable:
-    """The table of some backends."""
-    taking: dict[str, list[Backend]] = {backend.service: [] for backend in by_id.values()}
+def _build_table(by_id: dict[str, Backend], versions: Mapping[str, ServiceVersions]) -> BackendTable:
+    """Return the table for the given backends."""
+    available: dict[str, list[Backend]] = {backend.service: [] for backend in by_id.values()}
     for backend in by_id.values():
         if not backend.draining and not backend.evacuated:
-            taking[backend.service].append(backend)
+            available[backend.service].append(backend)
     services, trials, connected = {}, {}, {}
-    for name, backends in taking.items():
-        found = versions.get(name)
-        services[name] = connected[name] = _serving(backends, name, found)
-        if found is not None and found.trial is not None:
-            trials[name] = _in_pools(backends, (found.trial.pool,))
+    for name, backends in available.items():
+        service_versions = versions.get(name)
+        services[name] = connected[name] = _serving_backends(backends, name, service_versions)
+        if service_versions is not None and service_versions.trial is not None:
+            trials[name] = _backends_in_pools(backends, (service_versions.trial.pool,))
             connected[name] = tuple({backend.id: backend for backend in services[name] + trials[name]}.values())
     return BackendTable(by_id, services, {backend.number: backend.id for backend in by_id.values()}, trials, connected)
 
 
-def _serving(backends: list[Backend], service: str, versions: ServiceVersions | None) -> tuple[Backend, ...]:
-    """The backends of versions that serve; while none of them is listed, of those that served before."""
+def _serving_backends(backends: list[Backend], service: str, versions: ServiceVersions | None) -> tuple[Backend, ...]:
+    """Return the backends of the serving versions, or of the previous ones while no serving version is listed."""
     if versions is None:
-        return _in_pools(backends, (service,))
-    return _in_pools(backends, versions.pools) or _in_pools(backends, versions.base)
+        return _backends_in_pools(backends, (service,))
+    return _backends_in_pools(backends, versions.pools) or _backends_in_pools(backends, versions.base)
 
 
-def _in_pools(backends: list[Backend], pools: Collection[str]) -> tuple[Backend, ...]:
+def _backends_in_pools(backends: list[Backend], pools: Collection[str]) -> tuple[Backend, ...]:
     return tuple(backend for backend in backends if backend.pool in pools)
--- a/sparloom/router/client_connections.py
+++ b/sparloom/router/client_connections.py
@@ -1,4 +1,8 @@
-"""Clients' connections: which of them rest, for how long they may be idle, and how they are closed."""
+"""Clients' connections: which are idle, how long they may stay idle, and how they are closed.
+
+``ClientServer`` is the HTTP server for clients. ``ClientConnection`` is the
+protocol of one connection.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +17,14 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-# A connection is kept for at least so long, whatever the configuration allows.
+# Lower bound of the idle timeout, whatever the configuration has.
 MINIMUM_IDLE_TIMEOUT = timedelta(seconds=75)
-# The library's own limit on a header line, above the largest that a configuration may set.
+# aiohttp's limit on a header line, set above the largest limit that a configuration may have.
 LIBRARY_MAXIMUM_LINE_BYTES = 65536
-# The library's own idle time-out is fixed when a connection opens, so it is set out of reach.
+# aiohttp fixes its own idle timeout when a connection opens. This value disables it in practice, so that the current
+# configuration applies.
 LIBRARY_KEEPALIVE_S = 1e6
-# Attributes of the library that have no public name.
+# Private attributes of aiohttp's request handler that this module relies on.
 _REQUIRED_SLOTS = {"_waiter", "_messages"}
 
 
@@ -28,8 +33,8 @@
 
     Attributes
     ----------
-    last_active_at: when bytes came or a response was made, on the monotonic clock.
-    partial: whether a part of a request's head has come while no request was in hand.
+    last_active_at: when data last arrived or a request last ended, on the monotonic clock.
+    partial: whether an incomplete request head has arrived while no request was in progress.
     """
 
     __slots__ = ("last_active_at", "partial")
@@ -38,7 +43,7 @@
         super().__init__(
             server,
             loop=asyncio.get_running_loop(),
-            access_log=None,  # type: ignore[arg-type]  # the library takes None, its annotation doesn't
+            access_log=None,  # type: ignore[arg-type]  # aiohttp accepts None, its annotation doesn't
             keepalive_timeout=LIBRARY_KEEPALIVE_S,
             max_field_size=LIBRARY_MAXIMUM_LINE_BYTES,
             max_line_size=LIBRARY_MAXIMUM_LINE_BYTES,
@@ -48,36 +53,36 @@
 
     @property
     def keepalive_timeout(self) -> float:
-        """For how many seconds it may be idle, by the configuration in force."""
+        """The idle timeout in seconds, by the current configuration."""
         return cast("ClientServer", self._manager).idle_timeout().total_seconds()
 
     @property
-    def resting(self) -> bool:
-        """Whether no request is in hand here, and none of which a part has been read."""
+    def is_idle(self) -> bool:
+        """Whether no request is in progress and no part of the next one has been read."""
         return self._awaits_request and not self.partial
 
     @property
     def _awaits_request(self) -> bool:
-        """Whether the library waits for the next request and has none in its queue."""
+        """Whether aiohttp waits for the next request and has none queued."""
         return self._waiter is not None and not self._waiter.done() and not self._messages
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; where still no request is in hand, they are a part of one."""
+        """Process data; if there is still no complete request afterwards, a partial head has arrived."""
         super().data_received(data)
         self.last_active_at = monotonic()
         self.partial = self._awaits_request
 
     def request_ended(self) -> None:
-        """Note that the response to the request in hand has been made."""
+        """Record that the current request has ended."""
         self.last_active_at = monotonic()
 
 
 class ClientServer(web.Server):
-    """Serves clients.
+    """The HTTP server for clients.
 
     Parameters
     ----------
-    idle_timeout: says for how long a connection may be idle now.
+    idle_timeout: returns the idle timeout that applies now.
     """
 
     def __init__(
@@ -87,7 +92,7 @@
     ) -> None:
         super().__init__(handler, handler_cancellation=True)
         if not set(web.RequestHandler.__slots__).issuperset(_REQUIRED_SLOTS):
-            raise RuntimeError("this version of aiohttp does not tell which connections rest")
+            raise RuntimeError("this version of aiohttp doesn't show which connections are idle")
         self.idle_timeout = idle_timeout
 
     def __call__(self) -> ClientConnection:
@@ -97,15 +102,15 @@
     def _client_connections(self) -> list[ClientConnection]:
         return cast("list[ClientConnection]", self.connections)
 
-    def close_resting(self) -> None:
-        """Close each connection on which nothing is under way."""
+    def close_all_idle(self) -> None:
+        """Close all connections that have no request in progress."""
         for connection in self._client_connections():
-            if connection.resting:
+            if connection.is_idle:
                 connection.force_close()
 
-    def close_idle(self) -> None:
-        """Close each connection that has rested for longer than it may."""
+    def close_expired(self) -> None:
+        """Close connections that have been idle for longer than the idle timeout."""
         now, idle_timeout = monotonic(), self.idle_timeout()
         for connection in self._client_connections():
-            if connection.resting and now - connection.last_active_at > idle_timeout:
+            if connection.is_idle and now - connection.last_active_at > idle_timeout:
                 connection.force_close()
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -1,4 +1,4 @@
-"""The address that clients call, and the one at which the platform asks for readiness."""
+"""The HTTP servers of a router: one for clients' requests, one for the platform's readiness checks."""
 
 from __future__ import annotations
 
@@ -36,27 +36,27 @@
 IDLE_SWEEP_INTERVAL = timedelta(seconds=1)
 DRAIN_POLL_INTERVAL = timedelta(milliseconds=25)
 SERVER_SHUTDOWN_TIMEOUT_S = 0.1
-# Retry-After, in seconds, of a router that has no configuration yet, or may be behind the newest one.
-RETRY_AFTER_UNCONFIGURED = "0.2"
-# The same, of a router whose kind of deployment this program doesn't know.
-RETRY_AFTER_UNKNOWN_DEPLOYMENT = "1"
+# Retry-After value of a router that has no configuration yet, or whose configuration may be outdated.
+RETRY_AFTER_UNCONFIGURED_S = "0.2"
+# Retry-After value of a router with an unknown deployment kind in its settings.
+RETRY_AFTER_UNKNOWN_DEPLOYMENT_S = "1"
 READY_PATH = "/-/ready"
 BELIEFS_PATH = "/-/beliefs"
 NOT_FOUND = 404
 UNAUTHORIZED = 401
 HEADERS_TOO_LARGE = 431
-# Bytes that a header line has beside its name and its value: ": " and the line's end.
-HEADER_LINE_OVERHEAD = 4
-# The names of SWIM's states, by number.
+# Size of a header line beyond its name and value: ": " and CRLF.
+HEADER_LINE_OVERHEAD_BYTES = 4
+# Names of the SWIM states, indexed by their number.
 PEER_STATES = ("alive", "suspect", "dead")
 
 
-def _required(address: Address | None, name: str) -> Address:
-    """A listen address that this program needs.
+def _require_address(address: Address | None, name: str) -> Address:
+    """Return a listen address that this program requires.
 
     Raises
     ------
-    SettingsError: the settings lack it.
+    SettingsError: the address is missing from the settings.
     """
     if address is None:
         raise SettingsError(f"listenAddresses.{name} is missing")
@@ -64,16 +64,16 @@
 
 
 class Frontend(Service):
-    """Takes clients' requests and answers them.
+    """Accepts clients' requests and responds to them.
 
     Attributes
     ----------
-    settings: the settings in force; replaced whole when the file is read again.
-    graceful_shutdown: the moments of the graceful shutdown, once one has begun.
-    forwarders: the requests in hand.
-    outcomes: how requests have ended.
-    jobs: answers clients' calls about jobs; None on deployments without them.
-    client_server, client_runner: the server for clients and what runs it, once clients are served.
+    settings: the current settings; replaced as a whole when the file is reloaded.
+    graceful_shutdown: the schedule of the graceful shutdown; None until one has begun.
+    forwarders: the requests in progress.
+    outcomes: counts of the outcomes of requests.
+    jobs: handles requests of the job API; None on other deployments.
+    client_server, client_runner: the server for clients and its aiohttp runner; set once clients are served.
     """
 
     client_server: ClientServer
@@ -86,17 +86,17 @@
         self.graceful_shutdown: GracefulShutdown | None = None
         self.forwarders: set[RequestForwarder] = set()
         self.outcomes = Outcomes()
-        self.jobs = self._job_requests(settings, node)
+        self.jobs = self._create_job_requests(settings, node)
         self._server_runners: list[web.ServerRunner] = []
 
     @staticmethod
-    def _job_requests(settings: Settings, node: RouterNode) -> JobRequests | None:
+    def _create_job_requests(settings: Settings, node: RouterNode) -> JobRequests | None:
         if settings.deployment == MODEL_DEPLOYMENT:
             return None
         if settings.deployment != JOB_DEPLOYMENT:
-            logging.warning("frontend: all requests are refused, deployment=%r is not known", settings.deployment)
+            logging.warning("frontend: refusing all requests, unknown deployment=%r", settings.deployment)
             return None
-        # Other deployments don't spend time and memory of a start on it.
+        # Imported here to save startup time and memory on other deployments.
         from .job_channel import JobChannel
         from .job_requests import JobRequests
 
@@ -109,25 +109,25 @@
 
     # -- listening ----------------------------------------------------------------
     async def on_start(self) -> None:
-        """Listen at both addresses."""
+        """Listen on both addresses."""
         readiness = web.Server(self._answer_platform, access_log=None)
-        await self.serve(readiness, bind(_required(self.settings.listen.readiness, "readiness")))
-        await self.serve_clients(bind(_required(self.settings.listen.front, "front")))
+        await self.serve(readiness, bind(_require_address(self.settings.listen.readiness, "readiness")))
+        await self.serve_clients(bind(_require_address(self.settings.listen.front, "front")))
 
-    async def serve_clients(self, listening: socket.socket) -> None:
+    async def serve_clients(self, listen_socket: socket.socket) -> None:
         """Serve clients on a listening socket."""
-        self.client_runner = await self.serve(self.clients(), listening)
+        self.client_runner = await self.serve(self.create_client_server(), listen_socket)
 
-    def clients(self) -> ClientServer:
-        """Return a new server for clients."""
+    def create_client_server(self) -> ClientServer:
+        """Create the server for clients."""
         self.client_server = ClientServer(self._handle, self.idle_timeout)
         return self.client_server
 
-    async def serve(self, server: web.Server, listening: socket.socket) -> web.ServerRunner:
+    async def serve(self, server: web.Server, listen_socket: socket.socket) -> web.ServerRunner:
         """Serve on a listening socket until this service stops."""
         runner = web.ServerRunner(server, shutdown_timeout=SERVER_SHUTDOWN_TIMEOUT_S)
         await runner.setup()
-        await web.SockSite(runner, listening).start()
+        await web.SockSite(runner, listen_socket).start()
         self._server_runners.append(runner)
         return runner
 
@@ -139,7 +139,7 @@
             await runner.cleanup()
 
     def idle_timeout(self) -> timedelta:
-        """Return for how long a client's idle connection is kept: never less than the configuration allows."""
+        """Return how long a client's connection may be idle: the configured time, but at least the minimum."""
         configuration = self.node.configuration
         if configuration is None:
             return MINIMUM_IDLE_TIMEOUT
@@ -147,14 +147,14 @@
         return max(MINIMUM_IDLE_TIMEOUT, configured)
 
     @Service.task
-    async def _close_idle_connections(self) -> None:
+    async def _close_expired_connections(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(IDLE_SWEEP_INTERVAL.total_seconds())
-            self.client_server.close_idle()
+            self.client_server.close_expired()
 
     @property
-    def _sends_clients_away(self) -> bool:
-        """Whether clients are better served by other routers."""
+    def _out_of_service(self) -> bool:
+        """Whether clients should use other routers: this one is shutting down or cut off from the fleet."""
         return self.stopping or self.node.serviceability.cut_off
 
     # -- the platform -------------------------------------------------------------
@@ -163,41 +163,42 @@
             return web.json_response(self.beliefs())
         if http_request.path != READY_PATH:
             return web.Response(status=NOT_FOUND)
-        ready = self.node.ready() and not self._sends_clients_away
+        ready = self.node.ready() and not self._out_of_service
         return web.Response(status=200 if ready else UNAVAILABLE)
 
     def beliefs(self) -> dict[str, Any]:
-        """Return what this router believes, for the comparison of all nodes."""
-        return beliefs_of(self.settings, self.node, self.outcomes)
+        """Return this router's view of the fleet, for comparison with the other nodes."""
+        return collect_beliefs(self.settings, self.node, self.outcomes)
 
     # -- requests -----------------------------------------------------------------
     async def _handle(self, http_request: web.BaseRequest) -> web.StreamResponse:
         connection = cast("ClientConnection", http_request.protocol)
         try:
             response = await self._respond(http_request)
-            if self._sends_clients_away and not response.prepared:
+            if self._out_of_service and not response.prepared:
                 response.force_close()
             return response
         finally:
             connection.request_ended()
 
     async def _respond(self, http_request: web.BaseRequest) -> web.StreamResponse:
-        """Read a request, match it to a route and forward it."""
+        """Read a request, match it to a route, authorize it and forward it."""
         received_at, state = monotonic(), self.node.snapshots
         if self.settings.deployment not in (MODEL_DEPLOYMENT, JOB_DEPLOYMENT):
-            # Its calls may be of a kind that must not be forwarded: nothing is known to have run.
-            return web.Response(status=UNAVAILABLE, headers={"Retry-After": RETRY_AFTER_UNKNOWN_DEPLOYMENT})
+            # Requests of an unknown deployment kind may be ones that must not be forwarded. Nothing has run, so that
+            # 503 is valid.
+            return web.Response(status=UNAVAILABLE, headers={"Retry-After": RETRY_AFTER_UNKNOWN_DEPLOYMENT_S})
         await self.node.wait_known(time_remaining(http_request.headers, self.settings.bounds.contact))
         if state.configuration is None:
-            return web.Response(status=UNAVAILABLE, headers={"Retry-After": RETRY_AFTER_UNCONFIGURED})
+            return web.Response(status=UNAVAILABLE, headers={"Retry-After": RETRY_AFTER_UNCONFIGURED_S})
         limits = state.configuration.limits
-        if _size_of_headers(http_request) > limits.maximum_header_bytes:
+        if _headers_size_bytes(http_request) > limits.maximum_header_bytes:
             return web.Response(status=HEADERS_TOO_LARGE)
         try:
             body = await read_body(http_request, limits)
         except RequestBodyError as error:
             return closing_response(error.status)
-        # The configuration may have changed while the body came.
+        # The configuration may have changed while the body was read.
         path = http_request.raw_path.partition("?")[0]
         route = state.configuration.match(http_request.headers.get("Host", ""), path)
         if route is None:
@@ -213,22 +214,22 @@
         return await self._forward(RequestForwarder(services, http_request, request, lambda: self.stopping))
 
     def _authorize(self, route: Route, http_request: web.BaseRequest) -> Access | web.Response | None:
-        """Return with what a request is let in, None where there are no tenants, or the response that denies it."""
+        """Return the access granted to a request, None if no tenants are configured, or the response that denies it."""
         state = self.node.snapshots
         if state.configuration is None or state.configuration.tenants is None:
             return None
-        # Routers without tenants don't spend time and memory of a start on it.
+        # Imported here to save startup time and memory on routers without tenants.
         from .access import Denial, authorize
 
         access = authorize(state, route, http_request.headers.get(AUTHORIZATION), monotonic())
         if access is Denial.UNKNOWN_KEY:
             return web.Response(status=UNAUTHORIZED, headers={"WWW-Authenticate": AUTHORIZATION_SCHEME})
-        if access is Denial.NOT_SURE:
-            return web.Response(status=UNAVAILABLE, headers={"Retry-After": RETRY_AFTER_UNCONFIGURED})
+        if access is Denial.UNCONFIRMED:
+            return web.Response(status=UNAVAILABLE, headers={"Retry-After": RETRY_AFTER_UNCONFIGURED_S})
         return access
 
     async def _forward(self, forwarder: RequestForwarder) -> web.StreamResponse:
-        """Forward a request, or refuse it where this router may stop before it ends."""
+        """Forward a request, or refuse it if this router may stop before the request ends."""
         self.forwarders.add(forwarder)
         try:
             if self.graceful_shutdown and not self.graceful_shutdown.admits(monotonic(), forwarder.request.deadline):
@@ -236,26 +237,30 @@
             return await forwarder.forward()
         finally:
             self.forwarders.discard(forwarder)
-            self._count(forwarder)
+            self._record_outcome(forwarder)
 
-    def _count(self, forwarder: RequestForwarder) -> None:
+    def _record_outcome(self, forwarder: RequestForwarder) -> None:
         self.outcomes.add(forwarder.outcome)
-        if forwarder.outcome is Outcome.UNANSWERED:
-            logging.warning("frontend: request ended without response id=%s", forwarder.request.attempt_id)
+        if forwarder.outcome is Outcome.NO_RESPONSE:
+            logging.warning("frontend: request ended without a response id=%s", forwarder.request.attempt_id)
 
     # -- graceful shutdown --------------------------------------------------------
     async def drain(self) -> None:
-        """Shut down gracefully: unready at once, later no new connections, then each closes once it is idle."""
+        """Shut down gracefully.
+
+        The router is unready at once. Later it stops accepting connections, closes each one as it becomes idle, and
+        aborts the remaining requests near the end of the grace period.
+        """
         self.graceful_shutdown = shutdown = GracefulShutdown.starting_at(monotonic(), self.settings.bounds.grace)
         logging.info("frontend: draining in_flight=%d", len(self.forwarders))
         await asyncio.sleep((shutdown.accepts_until - monotonic()).total_seconds())
         await self._stop_listening()
-        await self._close_resting_connections(shutdown.aborts_at)
+        await self._drain_connections(shutdown.aborts_at)
         if self.forwarders:
             logging.warning("frontend: aborting requests=%d", len(self.forwarders))
         for forwarder in list(self.forwarders):
             forwarder.expire()
-        await self._close_resting_connections(shutdown.ends_at)
+        await self._drain_connections(shutdown.ends_at)
         logging.info(
             "frontend: drained connections=%d in_flight=%d outcomes=%s",
             len(self.client_server.connections),
@@ -264,30 +269,30 @@
         )
 
     async def _stop_listening(self) -> None:
-        """Accept no client's connection any more; the platform may still ask for readiness."""
+        """Stop accepting clients' connections; readiness checks are still answered."""
         for site in list(self.client_runner.sites):
             await site.stop()
 
-    async def _close_resting_connections(self, until: timedelta) -> None:
-        """Close connections as they come to rest, until none is left or the time is over.
+    async def _drain_connections(self, deadline: timedelta) -> None:
+        """Close connections as they become idle, until none is left or the deadline has passed.
 
-        The library's list of connections alone doesn't tell that no request is
-        in flight: the forwarders are asked as well.
+        The library's list of connections may lack one whose request is still
+        in flight, so the forwarders are checked as well.
         """
-        while monotonic() < until:
-            self.client_server.close_resting()
+        while monotonic() < deadline:
+            self.client_server.close_all_idle()
             await asyncio.sleep(DRAIN_POLL_INTERVAL.total_seconds())
             if not self.client_server.connections and not self.forwarders:
                 return
 
 
-def _size_of_headers(http_request: web.BaseRequest) -> int:
-    """Return the bytes that the headers took on the wire."""
-    return sum(len(name) + len(value) + HEADER_LINE_OVERHEAD for name, value in http_request.raw_headers)
+def _headers_size_bytes(http_request: web.BaseRequest) -> int:
+    """Return the size of the headers on the wire, in bytes."""
+    return sum(len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES for name, value in http_request.raw_headers)
 
 
-def _zones_of(node: RouterNode, now: timedelta) -> dict[str, Any]:
-    """Return what the endpoint list and this router's own requests tell of each zone."""
+def _zone_status(node: RouterNode, now: timedelta) -> dict[str, Any]:
+    """Return the state of each zone, from the endpoint list and from this router's own requests."""
     from sparloom.discovery.zones import zone_figures
 
     evacuated = node.configuration.evacuated_zones if node.configuration else ()
@@ -300,9 +305,9 @@
     return zones
 
 
-def beliefs_of(settings: Settings, node: RouterNode, outcomes: Outcomes) -> dict[str, Any]:
-    """Return the beliefs under the names that the protocol gives them."""
-    # They are seldom asked for: a start doesn't wait for what only they need.
+def collect_beliefs(settings: Settings, node: RouterNode, outcomes: Outcomes) -> dict[str, Any]:
+    """Return a router's view of the fleet under the names of the protocol."""
+    # Imported here because this is rarely requested, to keep startup fast.
     from sparloom.metrics.reporter import process_figures
 
     now = monotonic()
@@ -317,7 +322,7 @@
         "runners": list(node.shelf.version(ENDPOINTS)),
         "revision": configuration.revision if configuration else 0,
         "evacuated": sorted(configuration.evacuated_zones) if configuration else [],
-        "zones": _zones_of(node, now),
+        "zones": _zone_status(node, now),
         "members": {peer.key: PEER_STATES[peer.state] for peer in peers},
         "fleet": {backend.id: "draining" if backend.draining else "ready" for backend in backends.values()},
         "counts": {backend_id: node.in_flight.count(backend_id, now) for backend_id in backends},
--- a/sparloom/router/hedging.py
+++ b/sparloom/router/hedging.py
@@ -1,4 +1,8 @@
-"""Hedged requests: a second attempt is opened while the first one's backend is unresponsive."""
+"""Hedged requests: a second attempt is opened while the first one's backend is unresponsive.
+
+``HedgedAttempt`` is the second attempt. ``Hedging`` manages at most one of
+them for a request and decides whether it replaces the first attempt.
+"""
 
 from __future__ import annotations
 
@@ -19,9 +23,9 @@
 
 
 class HedgedAttempt:
-    """An attempt that is opened beside another one.
+    """An attempt that is opened in parallel to another one.
 
-    ``on_opened`` is called once it is open, has failed, or ``timeout`` is over.
+    ``on_opened`` is called once it is open, has failed or has timed out.
     """
 
     def __init__(
@@ -44,28 +48,28 @@
 
     @property
     def response(self) -> aiohttp.ClientResponse | None:
-        """The response, once a head has come that may be relayed; None before and after a failure."""
+        """The response, once a head that may be relayed has arrived; None before that and after a failure."""
         task = self.task
         opened = task.done() and not task.cancelled() and not task.exception() and task.result() is None
         return self.attempt.response if opened else None
 
-    def drop(self) -> None:
-        """Cancel it, since it isn't needed any more."""
+    def cancel(self) -> None:
+        """Cancel the attempt because it is no longer needed."""
         self.task.cancel()
         self.attempt.end()
 
 
 class Hedging:
-    """The hedged attempt of one request: none or one at a time.
+    """The hedged attempt of one request, at most one at a time.
 
-    The unresponsive backend is left only once the other one has begun to
-    answer, so that silence by itself never ends an attempt.
+    The attempt at the unresponsive backend is given up only once the other
+    backend has started to respond, so a timeout alone never ends an attempt.
 
     Parameters
     ----------
-    is_preferable: whether a response is worth leaving an unresponsive backend for.
-    on_preferable: called when such a response has come; it ends the present attempt.
-    on_failed: called with the hedged attempt when it has not brought a preferable response.
+    is_preferable: returns whether a hedged attempt with this response replaces the current attempt.
+    on_preferable: called when such a response has arrived; it ends the current attempt.
+    on_failed: called with the hedged attempt if it ended without a preferable response.
     """
 
     def __init__(
@@ -81,45 +85,45 @@
 
     @property
     def active(self) -> bool:
-        """Whether a hedged attempt is under way."""
+        """Whether a hedged attempt is in progress."""
         return self._hedged is not None
 
     def start(self, attempt: Attempt, last_event_id: str | None, timeout: timedelta) -> None:
-        """Open an attempt beside the present one."""
+        """Open an attempt in parallel to the current one."""
         self._hedged = HedgedAttempt(attempt, last_event_id, timeout, self._on_opened)
 
     def _on_opened(self) -> None:
         if self._hedged is None:
             return
-        if self._preferable(self._hedged):
+        if self._has_preferable_response(self._hedged):
             self._on_preferable()
         else:
-            self._settle()
+            self._resolve()
 
-    def _preferable(self, hedged: HedgedAttempt) -> bool:
+    def _has_preferable_response(self, hedged: HedgedAttempt) -> bool:
         response = hedged.response
         return response is not None and self._is_preferable(response)
 
-    async def take_over(self, seconds: float) -> Attempt | None:
-        """Return the hedged attempt to go on with, once its response is preferable; None where there is none."""
+    async def promote(self, seconds: float) -> Attempt | None:
+        """Wait for the hedged attempt and return it if its response is preferable; else return None."""
         if self._hedged is None:
             return None
         await asyncio.wait({self._hedged.task}, timeout=seconds)
-        return self._settle()
+        return self._resolve()
 
-    def _settle(self) -> Attempt | None:
-        """Hand the hedged attempt over if its response is preferable, else drop it."""
+    def _resolve(self) -> Attempt | None:
+        """Return the hedged attempt if its response is preferable, else cancel it; either way forget it."""
         hedged, self._hedged = self._hedged, None
         if hedged is None:
             return None
-        if self._preferable(hedged):
+        if self._has_preferable_response(hedged):
             return hedged.attempt
         self._on_failed(hedged.attempt)
-        hedged.drop()
+        hedged.cancel()
         return None
 
-    def drop(self) -> None:
-        """Cancel the hedged attempt, if any."""
+    def cancel(self) -> None:
+        """Cancel the hedged attempt, if there is one."""
         if self._hedged is not None:
-            self._hedged.drop()
+            self._hedged.cancel()
             self._hedged = None
--- a/sparloom/router/inactivity_timer.py
+++ b/sparloom/router/inactivity_timer.py
@@ -1,4 +1,4 @@
-"""Notices that a backend has sent nothing for an attempt's time-out."""
+"""Detects that a backend has sent nothing within an attempt's timeout."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 
 
 class InactivityTimer:
-    """The time-out of one attempt, from one sign of its backend to the next.
+    """The inactivity timeout of one attempt, restarted whenever its backend sends data.
 
-    When it fires, the backend counts as unresponsive and ``suspect`` is called
-    once; ``on_unresponsive`` is called then and after each further time-out.
-    The timer never ends the attempt. It also tells ``zones`` what is awaited;
-    when the backend's zone is found unreachable, it fires at once.
+    When the timer fires, the backend counts as unresponsive and ``suspect`` is
+    called once. ``on_unresponsive`` is called then and after each further
+    timeout. The timer never ends the attempt. It also registers the pending
+    response with ``zones``, and fires at once when the backend's zone is found
+    unreachable.
 
-    ``patience``: silence up to this says nothing about the zone.
+    ``allowed_silence``: silence of up to this time is not evidence against the zone.
     """
 
     def __init__(
@@ -36,10 +37,10 @@
         suspect: Callable[[], None],
         on_unresponsive: Callable[[], None],
         zones: ZoneReachability,
-        patience: timedelta,
+        allowed_silence: timedelta,
     ) -> None:
         self._zones = zones
-        self._patience = patience
+        self._allowed_silence = allowed_silence
         self._awaited: AwaitedSign | None = None
         self._backend = backend
         self._slot = slot
@@ -50,31 +51,31 @@
         self._fired = False
 
     def arm(self, timeout: timedelta | None = None) -> None:
-        """Wait for the next sign, for the time-out given now or before."""
+        """Start waiting for data, with the given timeout or else the previous one."""
         self._timeout = timeout or self._timeout
         self._cancel()
         self._timer = asyncio.get_running_loop().call_later(self._timeout.total_seconds(), self._on_timeout)
         if self._awaited is None:
             backend = self._backend
             self._awaited = self._zones.await_sign(
-                backend.id, backend.zone, monotonic(), self._patience, self._on_timeout
+                backend.id, backend.zone, monotonic(), self._allowed_silence, self._on_timeout
             )
 
-    def not_connected(self) -> None:
-        """No connection opened in time: the backend still owes a sign."""
+    def on_connect_timeout(self) -> None:
+        """Handle a connect timeout: for the zone, the backend counts as still silent."""
         if self._awaited is not None:
             self._zones.give_up(self._awaited, monotonic())
             self._awaited = None
 
-    def progressed(self) -> None:
-        """The backend has sent something; nothing is waited for until the timer is armed again."""
+    def record_progress(self) -> None:
+        """Record data from the backend, and stop waiting until the timer is armed again."""
         self._zones.note_sign(self._backend.zone, monotonic())
         if self._fired:
             self._backend.record_success()
         self.stop()
 
     def stop(self) -> None:
-        """The attempt has ended, or its backend isn't waited for."""
+        """Stop waiting for the backend."""
         self._cancel()
         if self._awaited is not None:
             self._zones.stop_waiting(self._awaited)
--- a/sparloom/router/outcomes.py
+++ b/sparloom/router/outcomes.py
@@ -1,4 +1,4 @@
-"""How requests ended that matched a route: one count for each way to end."""
+"""Counts the outcomes of requests that matched a route."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 
 class Outcome(Enum):
-    """How a request ended here; the values are shown to operators."""
+    """How a request ended at this router; the values are shown to operators."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
-    REFUSED_AT_END = "refused, since this router ends"
+    REFUSED_ON_SHUTDOWN = "refused, since this router ends"
     FAILED = "failed"
-    RUNNER_BROKE_OFF = "cut: the runner broke off"
-    TIME_OVER = "cut: its time was over"
-    BROKEN_OFF_AT_END = "cut: this router ends"
-    CLIENT_LEFT = "the client left"
-    UNANSWERED = "ended without an answer"
+    BACKEND_FAILED = "cut: the runner broke off"
+    DEADLINE_EXCEEDED = "cut: its time was over"
+    ABORTED_ON_SHUTDOWN = "cut: this router ends"
+    CLIENT_DISCONNECTED = "the client left"
+    NO_RESPONSE = "ended without an answer"
 
 
 class Outcomes:
     """Counts of outcomes; each request that matched a route is counted once.
 
-    A 404, 408, 413, 431 and the 503 of a router without a configuration are not counted.
+    Responses 404, 408, 413 and 431, and the 503 of a router without a configuration, are not counted.
 
     >>> outcomes = Outcomes()
     >>> outcomes.add(Outcome.ANSWERED)
@@ -35,9 +35,9 @@
         self._counts: Counter[Outcome] = Counter()
 
     def add(self, outcome: Outcome) -> None:
-        """Count a request that has ended."""
+        """Count the outcome of a request."""
         self._counts[outcome] += 1
 
     def figures(self) -> dict[str, int]:
-        """Return the counts by the outcomes' values."""
+        """Return the counts, keyed by the values of the outcomes."""
         return {outcome.value: count for outcome, count in self._counts.items()}
--- a/sparloom/router/refusal.py
+++ b/sparloom/router/refusal.py
@@ -1,4 +1,4 @@
-"""Responses that the router makes itself, in place of a backend's."""
+"""Responses that the router itself generates when it has none from a backend to relay."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 UNAVAILABLE = 503
 BAD_GATEWAY = 502
 MINIMUM_RETRY_AFTER_S = 0.02
-# A client may come back after this part of its route's latency target.
-RETRY_AFTER_PART = 1 / 16
+# The default Retry-After as a fraction of the route's latency target.
+RETRY_AFTER_FRACTION = 1 / 16
 
 
-def status_of(step: GiveUp, worst_verdict: Verdict) -> int:
-    """Return the status with which to give up.
+def refusal_status(step: GiveUp, worst_verdict: Verdict) -> int:
+    """Return the status code of the response to a request that is given up.
 
-    503 promises that the request did not run, which no attempt may contradict.
+    503 promises that the request did not run, so it is used only if this is true of every attempt.
     """
     if step.status == UNAVAILABLE and worst_verdict is not NOT_RUN:
         return BAD_GATEWAY
@@ -34,26 +34,26 @@
 
 
 def refusal_response(status: int, route: Route, retry_after: timedelta) -> web.Response:
-    """Return a response without a body; one with 503 names a time to come back, ``retry_after`` at least."""
+    """Return an empty response; a 503 has a Retry-After header of at least ``retry_after``."""
     headers = {}
     if status == UNAVAILABLE:
-        seconds = max(default_retry_after(route), retry_after.total_seconds())
+        seconds = max(default_retry_after_s(route), retry_after.total_seconds())
         headers["Retry-After"] = f"{seconds:.2f}"
     return web.Response(status=status, headers=headers, text="")
 
 
-def default_retry_after(route: Route) -> float:
-    """Return after how many seconds a rejected client may come back."""
-    return max(MINIMUM_RETRY_AFTER_S, route.target.total_seconds() * RETRY_AFTER_PART)
+def default_retry_after_s(route: Route) -> float:
+    """Return the default Retry-After of a refused request, in seconds."""
+    return max(MINIMUM_RETRY_AFTER_S, route.target.total_seconds() * RETRY_AFTER_FRACTION)
 
 
-def outcome_of(status: int) -> Outcome:
-    """Return how a request ended that was given up with a status."""
+def refusal_outcome(status: int) -> Outcome:
+    """Return the outcome of a request that was given up with this status code."""
     return Outcome.REFUSED if status == UNAVAILABLE else Outcome.FAILED
 
 
 def closing_response(status: int) -> web.Response:
-    """Return a response after which the client's connection is closed, since its request was not read whole."""
+    """Return a response after which the connection is closed, because the request was not read completely."""
     response = web.Response(status=status)
     response.force_close()
     return response
--- a/sparloom/router/request.py
+++ b/sparloom/router/request.py
@@ -1,4 +1,8 @@
-"""A client's request: its body read, its headers parsed, and those that go upstream with it."""
+"""Parses a client's request, and builds the headers of the requests sent to backends.
+
+``Request`` is the parsed request. ``response_head`` extracts the part of a
+backend's response that the verdict on an attempt depends on.
+"""
 
 from __future__ import annotations
 
@@ -28,10 +32,10 @@
     from .access import Access
     from .backends import Backend
 
-# Urgency counts from 0, the most urgent, to 9.
-LEAST_URGENT = 9
-# So many bytes at the end of an attempt id stand in for the key of a request without a prompt.
-KEY_BYTES = 8
+# Urgency ranges from 0, the most urgent, to 9.
+LOWEST_URGENCY = 9
+# A request without a prompt takes its affinity key from the last bytes of its attempt id.
+AFFINITY_KEY_BYTES = 8
 STATUSES_WITHOUT_BODY = (204, 304)
 CONTENT_TOO_LARGE = 413
 REQUEST_TIMEOUT = 408
@@ -39,11 +43,11 @@
 
 @define(frozen=True, slots=True, eq=False)
 class Request:
-    """One request, its body read whole; nothing changes it while it is forwarded.
+    """One request with its complete body; it doesn't change while it is forwarded.
 
     Attributes
     ----------
-    attempt_id: the client's id of it, "" where it names none.
+    attempt_id: the id that the client gave it; "" without one.
     path: the request target, byte for byte.
     headers: the client's end-to-end headers.
     route: the route that it matched.
@@ -51,8 +55,8 @@
     parts: the prompt's prefixes, as (hash of the prefix, tokens of its last part).
     member: the name of the member whose share it counts against.
     part_ids: the ids of the prompt's parts; empty without isolation.
-    priority: the lowest number goes first; that of the tenant, or else of the route.
-    tenant: the name of the tenant whose key the client holds; "" without one.
+    priority: the tenant's priority, or else the route's; the lowest number is served first.
+    tenant: the name of the tenant that the client's key belongs to; "" without one.
     """
 
     attempt_id: str
@@ -70,20 +74,23 @@
 
     @property
     def shared_parts(self) -> tuple[tuple[int, int], ...]:
-        """The parts that other prompts may begin with too: all but the last."""
+        """The parts that other prompts may share: all but the last."""
         return self.parts[:-1]
 
     @property
     def affinity_key(self) -> int:
-        """The hash by which backends are ranked: that of the longest shared part."""
+        """The hash that ranks backends by affinity: that of the longest shared part.
+
+        Without shared parts it is that of the longest part, and without a prompt it is taken from the attempt id.
+        """
         candidates = self.shared_parts or self.parts
         if not candidates:
-            return int.from_bytes(self.attempt_id.encode()[-KEY_BYTES:])
+            return int.from_bytes(self.attempt_id.encode()[-AFFINITY_KEY_BYTES:])
         return max(candidates, key=lambda part: part[1])[0]
 
 
 class RequestBodyError(SparloomError):
-    """A body that was not read whole; ``status`` is the one to answer with."""
+    """The request body could not be read completely; ``status`` is the status code of the response."""
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
@@ -91,16 +98,16 @@
 
 
 async def read_body(http_request: BaseRequest, limits: RequestLimits) -> bytes:
-    """Return the whole body.
+    """Return the complete body.
 
     Raises
     ------
-    RequestBodyError: it is larger than the limit, or takes longer to come.
+    RequestBodyError: the body exceeds the size limit, or doesn't arrive within the idle timeout.
     """
     declared = http_request.content_length or 0
     if declared > limits.maximum_body_bytes:
         raise RequestBodyError(
-            CONTENT_TOO_LARGE, f"a body of {declared} bytes, expected at most {limits.maximum_body_bytes}"
+            CONTENT_TOO_LARGE, f"request body of {declared} bytes exceeds the limit of {limits.maximum_body_bytes}"
         )
     chunks, size = [], 0
     try:
@@ -108,11 +115,13 @@
             async for chunk in http_request.content.iter_any():
                 size += len(chunk)
                 if size > limits.maximum_body_bytes:
-                    raise RequestBodyError(CONTENT_TOO_LARGE, f"a body of more than {limits.maximum_body_bytes} bytes")
+                    raise RequestBodyError(
+                        CONTENT_TOO_LARGE, f"request body exceeds the limit of {limits.maximum_body_bytes} bytes"
+                    )
                 chunks.append(chunk)
     except TimeoutError as error:
         raise RequestBodyError(
-            REQUEST_TIMEOUT, f"{size} bytes of a body, not whole after {limits.idle_timeout}"
+            REQUEST_TIMEOUT, f"request body incomplete after {limits.idle_timeout}, {size} bytes received"
         ) from error
     return b"".join(chunks)
 
@@ -123,7 +132,7 @@
 
 
 def _part_ids(prompt: str | None) -> tuple[str, ...]:
-    # Routers without isolation don't spend time and memory of a start on it.
+    # Imported here to save startup time and memory on routers without isolation.
     from sparloom.isolation import part_ids
 
     ids: tuple[str, ...] = part_ids(prompt)
@@ -139,14 +148,14 @@
     isolation: Isolation | None = None,
     access: Access | None = None,
 ) -> Request:
-    """Build a request from what the server has read.
+    """Build a request from the server's request and its body.
 
-    With isolation the prompt's parts are hashed under the key of its member,
-    so that equal prompts of two members have nothing in common.
+    With isolation the prompt's parts are hashed with the member's key, so that
+    equal prompts of two members have different hashes.
     """
     headers = end_to_end(http_request.raw_headers)
     if access is not None:
-        access.edit(headers)
+        access.rewrite_headers(headers)
     prompt = headers.get(names.PROMPT_PREFIX)
     return Request(
         attempt_id=headers.get(names.ATTEMPT_ID, ""),
@@ -169,26 +178,26 @@
     backend: Backend,
     now: timedelta,
     last_event_id: str | None,
-    yields: bool = False,
+    deprioritized: bool = False,
 ) -> CIMultiDict[str]:
     """Return the headers of one attempt.
 
-    The backend's instance is named, so that an address that has passed to
-    another instance rejects the request. The urgency is the route's priority,
-    one less urgent if the request ``yields`` (its prefill is heavy, so that
-    others go first). ``last_event_id`` says where a stream is to be resumed.
+    They name the expected instance, so that another instance that has taken
+    over the address rejects the request. The urgency is the request's
+    priority. A ``deprioritized`` request has a heavy prefill and is sent one
+    level less urgent. ``last_event_id`` is where a stream is resumed.
     """
     headers = request.headers.copy()
     headers[names.DEADLINE_REMAINING] = str(max(1, int((request.deadline - now) / MILLISECOND)))
     headers[names.EXPECTED_INSTANCE] = backend.id
-    headers[names.REQUEST_URGENCY] = str(min(LEAST_URGENT, request.priority + yields))
+    headers[names.REQUEST_URGENCY] = str(min(LOWEST_URGENCY, request.priority + deprioritized))
     if last_event_id is not None:
         headers[names.LAST_EVENT_ID] = last_event_id
     return headers
 
 
 def response_head(response: ClientResponse, attempt_id: str) -> ResponseHead:
-    """Return what of a backend's response judges the attempt at the request with that id ("" for none)."""
+    """Return the parts of a response that the verdict on the attempt depends on; ``attempt_id`` is "" for none."""
     response_ids = response.headers.getall(names.ATTEMPT_ID, [])
     encoding = response.headers.get("Transfer-Encoding")
     if encoding is None:
--- a/sparloom/router/response_relay.py
+++ b/sparloom/router/response_relay.py
@@ -1,4 +1,8 @@
-"""Relays a backend's response to the client, and joins the streams of several backends into one."""
+"""Relays a backend's response to the client.
+
+``ResponseRelay`` sends one response. A resumable stream that one backend
+breaks off is continued with the stream of the next backend.
+"""
 
 from __future__ import annotations
 
@@ -22,11 +26,11 @@
     from .request import Request
 
 OK = 200
-FIRST_UNSUCCESSFUL = 300
+FIRST_NON_SUCCESS = 300
 
 
 class ClientDisconnectedError(SparloomError):
-    """The client's connection takes no more bytes."""
+    """The client's connection accepts no more data."""
 
 
 class ResponseRelay:
@@ -34,9 +38,9 @@
 
     Parameters
     ----------
-    on_progress: called with the attempt whenever its backend has sent something.
-    on_prefilled: called with the attempt at the first bytes of its stream, once its prompt has been read.
-    closing: whether the client's connection is to end with this request.
+    on_progress: called with the attempt whenever data has arrived from its backend.
+    on_prefilled: called with the attempt at the first bytes of the stream, when its prompt has been prefilled.
+    should_close: returns whether the client's connection closes after this request.
     """
 
     def __init__(
@@ -45,43 +49,48 @@
         request: Request,
         on_progress: Callable[[Attempt], None],
         on_prefilled: Callable[[Attempt], None],
-        closing: Callable[[], bool],
+        should_close: Callable[[], bool],
     ) -> None:
         self._http_request = http_request
         self._request = request
         self._on_progress = on_progress
         self._on_prefilled = on_prefilled
-        self._closing = closing
+        self._should_close = should_close
         self._resumable = ResumableStream()
         self._response: web.StreamResponse | None = None
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Whether the head of the response has been sent."""
         return self._response is not None
 
     @property
     def response(self) -> web.StreamResponse:
-        """The response to the client; there is none before its head has been sent."""
+        """The response to the client.
+
+        Raises
+        ------
+        RuntimeError: no head has been sent yet.
+        """
         if self._response is None:
-            raise RuntimeError("no response has begun")
+            raise RuntimeError("no response has been started")
         return self._response
 
     @property
     def last_event_id(self) -> str | None:
-        """The id of the last event that the client was sent."""
+        """The id of the last event sent to the client."""
         return self._resumable.last_event_id
 
     async def relay(self, attempt: Attempt) -> Verdict | None:
-        """Relay the attempt's response; None once it is complete, else the verdict on the attempt.
+        """Relay the attempt's response; return None once it is complete, else the verdict on the attempt.
 
         Raises
         ------
-        ClientDisconnectedError: the client takes no more bytes.
-        aiohttp.ClientError, OSError, ValueError: the backend broke off.
+        ClientDisconnectedError: the client's connection accepts no more data.
+        aiohttp.ClientError, OSError, ValueError: the backend's connection failed or its response is invalid.
         """
         upstream = attempt.response
-        if self._request.route.kind == "streaming" and OK <= upstream.status < FIRST_UNSUCCESSFUL:
+        if self._request.route.kind == "streaming" and OK <= upstream.status < FIRST_NON_SUCCESS:
             if self._request.route.repeatable:
                 return await self._relay_events(attempt)
             await self._relay_bytes(attempt)
@@ -90,7 +99,7 @@
         return None
 
     async def _relay_body(self, attempt: Attempt) -> None:
-        """Relay a response that is no stream, once it has been read whole."""
+        """Relay a response that is not a stream, after reading it completely."""
         body = await attempt.response.read()
         self._on_progress(attempt)
         await self._send_head(attempt.response, str(len(body)))
@@ -98,23 +107,23 @@
         await self._send_end()
 
     async def _relay_bytes(self, attempt: Attempt) -> None:
-        """Relay a stream that goes on at no other backend, as it comes."""
+        """Relay the bytes of a stream that can't be resumed at another backend."""
         upstream = attempt.response
         length = upstream.headers.get("Content-Length")
         async for chunk in upstream.content.iter_any():
-            await self._note_chunk(attempt, length)
+            await self._on_chunk(attempt, length)
             if chunk:
                 await self._send(chunk)
             attempt.inactivity.arm()
-        if not self.begun:
+        if not self.started:
             await self._send_head(upstream, length)
         await self._send_end()
 
     async def _relay_events(self, attempt: Attempt) -> Verdict | None:
-        """Relay whole events, without those that the client already has from another backend."""
+        """Relay complete events, except those that the client has already received from another backend."""
         upstream, splitter = attempt.response, EventSplitter()
         async for chunk in upstream.content.iter_any():
-            await self._note_chunk(attempt, None)
+            await self._on_chunk(attempt, None)
             events = b"".join(event for event in splitter.feed(chunk) if self._resumable.accept(event))
             if self._resumable.has_gap:
                 upstream.close()
@@ -122,17 +131,17 @@
             if events:
                 await self._send(events)
             attempt.inactivity.arm()
-        if not self.begun:
+        if not self.started:
             await self._send_head(upstream, None)
         if splitter.rest:
             await self._send(splitter.rest)
         await self._send_end()
         return None
 
-    async def _note_chunk(self, attempt: Attempt, length: str | None) -> None:
-        """Note that a part of a stream has come; before the first one goes on, the head does."""
+    async def _on_chunk(self, attempt: Attempt, length: str | None) -> None:
+        """Report a chunk of a stream; before the first chunk is relayed, send the head."""
         self._on_progress(attempt)
-        if not self.begun:
+        if not self.started:
             self._on_prefilled(attempt)
             await self._send_head(attempt.response, length)
 
@@ -146,26 +155,26 @@
             response.headers["Content-Length"] = length
         else:
             response.enable_chunked_encoding()
-        if self._closing():
+        if self._should_close():
             response.force_close()
-        await self._to_client(response.prepare(self._http_request))
+        await self._send_to_client(response.prepare(self._http_request))
 
     async def _send(self, data: bytes) -> None:
-        await self._to_client(self.response.write(data))
+        await self._send_to_client(self.response.write(data))
 
     async def _send_end(self) -> None:
-        await self._to_client(self.response.write_eof())
+        await self._send_to_client(self.response.write_eof())
 
     @staticmethod
-    async def _to_client(sending: Awaitable[object]) -> None:
-        """Send towards the client; a failure here must not count against the backend."""
+    async def _send_to_client(write: Awaitable[object]) -> None:
+        """Await a write to the client; its failure must not count against the backend."""
         try:
-            await sending
+            await write
         except (aiohttp.ClientError, OSError) as error:
-            raise ClientDisconnectedError(f"the client's connection failed: {error!r}") from error
+            raise ClientDisconnectedError(f"client connection failed: {error!r}") from error
 
     def abort(self) -> web.StreamResponse:
-        """Close the client's connection, so that it sees that the response is incomplete."""
+        """Close the client's connection, so that the client detects that the response is incomplete."""
         if self._http_request.transport is not None:
             self._http_request.transport.close()
         return self.response
