--- a/tests/router/test_delisted_sessions.py
+++ b/tests/router/test_delisted_sessions.py
@@ -1,6 +1,7 @@
-"""Regression: connections to runners that had left the list stayed open until they were collected as garbage.
+"""Connections to runners that are removed from the endpoint list are closed.
 
-Each such session logged `Unclosed client session`; a lost zone left hundreds of them.
+Regression: such connections stayed open until their session was garbage-collected, which logged `Unclosed client
+session`. The loss of a zone left hundreds of them.
 """
 
 import asyncio
@@ -12,40 +13,40 @@
 
 
 class DelistedSessions(unittest.TestCase):
-    def play(self, story):
+    def run_scenario(self, scenario):
         async def run():
             async with Rig(2) as rig:
-                await story(rig)
+                await scenario(rig)
 
         with world(1) as loop:
             loop.run_until_complete(run())
 
     @staticmethod
     def list_only(rig, runners):
-        endpoints = [Endpoint(r.id, "s", f"127.0.0.1:{r.port}", "z1", 8, False, 0) for r in runners]
+        endpoints = [Endpoint(runner.id, "s", f"127.0.0.1:{runner.port}", "z1", 8, False, 0) for runner in runners]
         rig.state.endpoint_list = EndpointList(endpoints, 2)
         rig.state.update_backends()
 
-    def test_an_unused_session_ends_with_the_entry(self):
-        async def story(rig):
+    def test_idle_session_is_closed_when_its_runner_is_delisted(self):
+        async def scenario(rig):
             await rig.send("/once/x")
-            used = next(b for b in rig.state.backends.by_id.values() if b.client_session)
-            kept = [runner for runner in rig.runners if runner.id != used.id]
-            self.list_only(rig, kept)
+            used = next(backend for backend in rig.state.backends.by_id.values() if backend.client_session)
+            remaining = [runner for runner in rig.runners if runner.id != used.id]
+            self.list_only(rig, remaining)
             await asyncio.sleep(0.01)
             self.assertTrue(used.client_session.closed)
             self.assertEqual(sum(len(runner.tasks) for runner in rig.runners), 0)
             self.assertEqual((await rig.send("/once/x")).status, 200)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_a_call_under_way_is_finished_first(self):
-        async def story(rig):
+    def test_session_is_closed_after_its_last_call(self):
+        async def scenario(rig):
             for runner in rig.runners:
                 runner.script, runner.silence = ["late"], 0.5
             request = asyncio.ensure_future(rig.send("/once/x"))
             await asyncio.sleep(0.1)
-            used = next(b for b in rig.state.backends.by_id.values() if b.open_calls)
+            used = next(backend for backend in rig.state.backends.by_id.values() if backend.open_calls)
             self.list_only(rig, [runner for runner in rig.runners if runner.id != used.id])
             await asyncio.sleep(0.1)
             self.assertFalse(used.client_session.closed)
@@ -53,7 +54,7 @@
             await asyncio.sleep(0.01)
             self.assertTrue(used.client_session.closed)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/router/test_misdirected.py
+++ b/tests/router/test_misdirected.py
@@ -1,7 +1,8 @@
-"""Regression: clients got 503 for requests that met a runner's successor at its address, with seconds left.
+"""Misdirected requests (421) don't count as attempts of the route.
 
-A zone's runners lost power and came back as other instances. Routers that still had the list of before sent them
-requests of a route with one attempt; each was answered 421, was not run, and took the route's only attempt with it.
+Regression: the runners of a zone lost power and were replaced by other instances at the same addresses. Routers with
+an outdated endpoint list sent them requests of a route with one attempt. Each got 421 and did not run, but used up the
+only attempt, so the client got 503 with seconds left before its deadline.
 Trace: `reaches server ... answers 421 and doesn't run it (misdirected)`, 5 ms later `the client gets 503`.
 """
 
@@ -15,50 +16,50 @@
 
 
 class Misdirected(unittest.TestCase):
-    def play(self, *words, path="/single/x", runners=3, startup=STARTUP):
-        """The status of one request, where runners meet ``words`` in the order in which they are picked."""
+    def send_request(self, *behaviors, path="/single/x", runners=3, startup=STARTUP):
+        """Return the status of one request; runners follow ``behaviors`` in the order in which they are chosen."""
 
-        async def story():
+        async def run():
             async with Rig(runners, {**POLICY, "routes": ROUTES}, startup) as rig:
-                script = list(words)
+                script = list(behaviors)
                 for runner in rig.runners:
                     runner.script = script
                 answer = await rig.send(path)
-                self.sent = [got.word for runner in rig.runners for got in runner.got]
+                self.sent = [request.word for runner in rig.runners for request in runner.got]
                 return answer.status
 
         with world(1) as loop:
-            return loop.run_until_complete(story())
+            return loop.run_until_complete(run())
 
-    def test_a_request_goes_on_to_another_runner(self):
-        self.assertEqual(self.play("moved", "moved", "ok"), 200)
+    def test_misdirected_request_is_sent_to_another_runner(self):
+        self.assertEqual(self.send_request("moved", "moved", "ok"), 200)
         self.assertEqual(sorted(self.sent), ["moved", "moved", "ok"])
 
-    def test_no_runner_is_asked_twice(self):
-        self.assertEqual(self.play("moved", "moved", "moved", "ok"), 503)
+    def test_each_runner_is_tried_once(self):
+        self.assertEqual(self.send_request("moved", "moved", "moved", "ok"), 503)
         self.assertEqual(len(self.sent), 3)
 
-    def test_what_may_have_run_is_still_sent_no_further(self):
-        for word in ("reset", "junk", "noseal"):
-            with self.subTest(word=word):
-                self.assertEqual(self.play("moved", word, "ok"), 502)
-                self.assertEqual(sorted(self.sent), sorted(["moved", word]))
+    def test_request_that_may_have_run_is_not_retried(self):
+        for behavior in ("reset", "junk", "noseal"):
+            with self.subTest(behavior=behavior):
+                self.assertEqual(self.send_request("moved", behavior, "ok"), 502)
+                self.assertEqual(sorted(self.sent), sorted(["moved", behavior]))
 
-    def test_a_full_runner_takes_an_attempt(self):
-        self.assertEqual(self.play("shed", "ok"), 503)
-        self.assertEqual(self.play("moved", "shed", "ok"), 503)
+    def test_rejection_uses_an_attempt(self):
+        self.assertEqual(self.send_request("shed", "ok"), 503)
+        self.assertEqual(self.send_request("moved", "shed", "ok"), 503)
 
-    def test_runs_stay_within_the_attempts_of_the_route(self):
-        self.assertEqual(self.play("moved", "reset", "moved", "ok", path="/two/x", runners=5), 200)
-        self.assertEqual(self.play("reset", "moved", "reset", "ok", path="/two/x", runners=5), 502)
+    def test_runs_are_limited_by_the_attempts_of_the_route(self):
+        self.assertEqual(self.send_request("moved", "reset", "moved", "ok", path="/two/x", runners=5), 200)
+        self.assertEqual(self.send_request("reset", "moved", "reset", "ok", path="/two/x", runners=5), 502)
         self.assertNotIn("ok", self.sent)
 
-    def test_every_further_arrival_is_charged_to_the_budget(self):
-        self.assertEqual(self.play("moved", "ok", startup=NO_BUDGET), 503)
+    def test_misdirected_request_counts_against_the_retry_budget(self):
+        self.assertEqual(self.send_request("moved", "ok", startup=NO_BUDGET), 503)
         self.assertEqual(self.sent, ["moved"])
 
-    def test_a_hedged_attempt_that_was_misdirected_takes_none_either(self):
-        self.assertEqual(self.play("late", "moved", "ok", path="/two/x"), 200)
+    def test_misdirected_hedged_attempt_uses_no_attempt(self):
+        self.assertEqual(self.send_request("late", "moved", "ok", path="/two/x"), 200)
 
 
 if __name__ == "__main__":
--- a/tests/router/test_reconfigured.py
+++ b/tests/router/test_reconfigured.py
@@ -1,4 +1,4 @@
-"""Requests that wait, are retried, or stream while the configuration and the runners change under them."""
+"""Changes of the configuration and the endpoint list while requests are waiting, retried or streaming."""
 
 import asyncio
 import itertools
@@ -7,15 +7,14 @@
 from simulator.clients import Client
 from simulator.virtual import world
 from sparloom.configuration import build
-from sparloom.discovery import Endpoint as Listed
-from sparloom.discovery import EndpointList
+from sparloom.discovery import Endpoint, EndpointList
 from tests.support.router_fixture import POLICY, Rig, route
 
 ROUTES = [route("once", "/once/", timeoutMs=8000), route("resume", "/resume/", resumeStreams=True, timeoutMs=8000)]
 SERVICE = POLICY["services"][0]
 BASE = {**POLICY, "routes": ROUTES}
-# The time-out that one of the changes gives to a route, in seconds.
-SHORT = 0.3
+# The route timeout that one of the changes sets.
+SHORT_TIMEOUT_S = 0.3
 CHANGES = {
     "route removed": {**BASE, "routes": [route("other", "/other/")]},
     "route renamed": {**BASE, "routes": [route("once-2", "/once/"), route("resume-2", "/resume/")]},
@@ -30,54 +29,64 @@
         **BASE,
         "routes": [route("once", "/once/", resumeStreams=True), route("resume", "/resume/", maxAttempts=1)],
     },
-    "time-out changed": {**BASE, "routes": [{**r, "timeoutMs": int(SHORT * 1000)} for r in ROUTES]},
+    "timeout changed": {
+        **BASE,
+        "routes": [{**changed, "timeoutMs": int(SHORT_TIMEOUT_S * 1000)} for changed in ROUTES],
+    },
 }
-WORDS = ("late", "still", "cut")
-MOMENTS = (0.0, 0.3, 0.9)
+BEHAVIORS = ("late", "still", "cut")
+CHANGE_DELAYS_S = (0.0, 0.3, 0.9)
 CLIENTS = 40
-STORIES = tuple(itertools.product(CHANGES, WORDS, MOMENTS, (False, True)))
+SCENARIOS = tuple(itertools.product(CHANGES, BEHAVIORS, CHANGE_DELAYS_S, (False, True)))
 
 
 class Changes(unittest.TestCase):
-    def play(self, change, word, moment, runners_too, path):
-        """The outcomes of requests on kept connections, one of which meets a word, with a change at a moment."""
+    def run_scenario(self, change, behavior, delay_s, change_runners, path):
+        """Return the outcomes of concurrent requests to runners with this behavior, with a change after ``delay_s``."""
 
-        async def story():
+        async def run():
             async with Rig(2, BASE) as rig:
                 self.rig = rig
                 for runner in rig.runners:
-                    runner.script, runner.silence = [word] * 12, 1.0
+                    runner.script, runner.silence = [behavior] * 12, 1.0
                 clients = [await Client.connect("127.0.0.1", rig.port) for _ in range(CLIENTS)]
-                sends = [asyncio.ensure_future(c.send(path, f"r{i}")) for i, c in enumerate(clients)]
-                await asyncio.sleep(moment)
-                self.renew(change, runners_too)
+                sends = [asyncio.ensure_future(client.send(path, f"r{i}")) for i, client in enumerate(clients)]
+                await asyncio.sleep(delay_s)
+                self.apply_change(change, change_runners)
                 return await asyncio.gather(*sends)
 
         with world(1) as loop:
-            return loop.run_until_complete(asyncio.wait_for(story(), 60))
+            return loop.run_until_complete(asyncio.wait_for(run(), 60))
 
-    def renew(self, change, runners_too):
+    def apply_change(self, change, change_runners):
         state = self.rig.state
         state.configuration = build({**CHANGES[change], "revision": 2})
-        if runners_too:
+        if change_runners:
             runner = self.rig.runners[1]
-            kept = [Listed(runner.id, "s", f"127.0.0.1:{runner.port}", "z1", 8, False, 0)]
-            state.endpoint_list = EndpointList(kept, 1)
+            remaining = [Endpoint(runner.id, "s", f"127.0.0.1:{runner.port}", "z1", 8, False, 0)]
+            state.endpoint_list = EndpointList(remaining, 1)
         state.update_backends()
         state.queues.tick()
 
-    def check(self, path, ends):
-        for change, word, moment, runners_too in STORIES:
-            with self.subTest(change=change, word=word, moment=moment, runners_too=runners_too):
-                outcomes = self.play(change, word, moment, runners_too, path)
-                if change == "time-out changed":
-                    outcomes = [o for o in outcomes if o.whole and o.status != 504 or o.ended - o.sent < SHORT]
-                self.assertEqual({o.status for o in outcomes} - ends, set())
-                if word != "cut":
-                    self.assertTrue(all(o.whole for o in outcomes), [o for o in outcomes if not o.whole])
+    def check(self, path, statuses):
+        for change, behavior, delay_s, change_runners in SCENARIOS:
+            with self.subTest(change=change, behavior=behavior, delay_s=delay_s, change_runners=change_runners):
+                outcomes = self.run_scenario(change, behavior, delay_s, change_runners, path)
+                if change == "timeout changed":
+                    outcomes = [
+                        outcome
+                        for outcome in outcomes
+                        if outcome.whole and outcome.status != 504 or outcome.ended - outcome.sent < SHORT_TIMEOUT_S
+                    ]
+                self.assertEqual({outcome.status for outcome in outcomes} - statuses, set())
+                if behavior != "cut":
+                    self.assertTrue(
+                        all(outcome.whole for outcome in outcomes),
+                        [outcome for outcome in outcomes if not outcome.whole],
+                    )
 
-    def test_streams_that_may_not_be_repeated(self):
+    def test_streams_that_must_not_be_repeated(self):
         self.check("/once/x", {200, 404, 503, 502})
 
-    def test_streams_that_may_be_resumed(self):
+    def test_resumable_streams(self):
         self.check("/resume/x", {200, 404, 503, 502})
