--- a/sparloom/controller/duty_service.py
+++ b/sparloom/controller/duty_service.py
@@ -1,12 +1,12 @@
-"""Carries out the duties at the platform while this controller is the primary.
-
-The holder is the primary that has committed its claim; with each epoch it
-claims anew and so has a fence of its own. What is to be sent is committed
-before it is sent. A holder that takes over from another node waits until the
-lease of that is over, so that two nodes never take turns within it. Before
-each call a majority confirms that this is still the primary; what such a check
-can't rule out - a process that stands still between it and the call - the
-fence makes harmless: `docs/notes/duties.md` has the table.
+"""``DutyService``: carries out the duties at the platform while this controller is the primary.
+
+The holder is the primary that has committed its claim. It claims again in each
+epoch and thereby gets a new fencing token. All that is sent is committed first.
+A holder that succeeds another node waits until that node's lease has expired,
+so that calls of two nodes never alternate within a lease. Before each call a
+quorum confirms that this controller is still the primary. The process may still
+be paused between that check and the call; the fencing token makes such a late
+call harmless. `docs/notes/duties.md` has the table of cases.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 
 from sparloom.duties import DecidedWindow, DutyState, DutyUpdate, ScaleOrder
 from sparloom.duties.lease import first_act
-from sparloom.duties.scaling import ScalePolicy, demand_of
-from sparloom.duties.state import MAXIMUM_WINDOWS
+from sparloom.duties.scaling import ScalePolicy, total_demand
+from sparloom.duties.state import MAX_PENDING_WINDOWS
 from sparloom.membership import ROUTER
 from sparloom.transport import monotonic, wall_clock_us
 from sparloom.usage import FleetClock, UsageCollector, UsageReply, UsageReport, window_number
@@ -31,7 +31,7 @@
 
 from .change_requests import StateUpdate
 from .configuration_writer import Acknowledged, Deadline
-from .duty_updates import judge_duties
+from .duty_updates import evaluate_duty_update
 from .platform_calls import CallResult, PlatformCalls
 
 if TYPE_CHECKING:
@@ -45,78 +45,80 @@
     from .consensus_service import ConsensusService
 
 COLLECTOR_ID_BYTES = 7
-STEP = timedelta(milliseconds=100)
-# Between two looks at what is needed.
-SCALE_STEP = timedelta(seconds=1)
-NOT_HOLDER_PAUSE = timedelta(milliseconds=100)
-# After a call that was not accepted.
-RETRY_PAUSE = timedelta(milliseconds=300)
-# A window is decided no earlier than this after its end.
-SETTLE_TIME = timedelta(milliseconds=300)
-# It is decided without the routers that have not told all after this part of the time in which its report is due,
-DECIDE_PART = 0.7
-# but not before a new primary has given them so long to find it.
-COLLECT_TIME = timedelta(seconds=2)
-# A primary takes reports in while its last confirmation is no older than this part of the lease.
-COLLECT_PART = 0.5
-# A call may take this part of the contact bound.
-CALL_TIMEOUT_PART = 0.5
-# The confirmation before a call may take, and be as old as, this part of the lease.
-CONFIRM_PART = 0.25
+# Interval of the checks whether to claim the duties or to decide windows.
+DECIDE_INTERVAL = timedelta(milliseconds=100)
+# Interval of the scaling decisions.
+SCALE_INTERVAL = timedelta(seconds=1)
+# Polling interval while there is nothing to send.
+IDLE_PAUSE = timedelta(milliseconds=100)
+# Delay after a call that was not accepted.
+RETRY_DELAY = timedelta(milliseconds=300)
+# Minimum time between the end of a window and the decision on it.
+MIN_DECIDE_DELAY = timedelta(milliseconds=300)
+# Fraction of the usage lateness bound after which a window is decided even if the reports of some routers are missing.
+DECIDE_DEADLINE_RATIO = 0.7
+# Minimum time that a new primary gives the routers to find it before it decides windows without some of them.
+MIN_COLLECT_TIME = timedelta(seconds=2)
+# Maximum age, as a fraction of the lease, of the confirmation with which a primary replies as the primary to reports.
+MAX_CONFIRMATION_AGE_RATIO = 0.5
+# Timeout of a call as a fraction of the contact bound.
+CALL_TIMEOUT_RATIO = 0.5
+# Timeout and maximum age of the confirmation before a call, as a fraction of the lease.
+CONFIRM_TIMEOUT_RATIO = 0.25
 
 
 @define(slots=True, eq=False)
 class DutyTerm:
-    """What one epoch of this primary knows of its duties.
+    """The state of the duties in one epoch of this primary.
 
     Attributes
     ----------
     epoch
-        The epoch.
+        The epoch of the consensus group.
     started_at
-        When it was first seen here, on the monotonic clock.
+        Monotonic time at which this process first observed the epoch.
     usage_fence
-        The fence of this epoch's claim; 0 before it is committed.
-    acts_from
-        From when on calls may be made.
+        The fencing token of this epoch's claim; 0 before the claim is committed.
+    active_from
+        Earliest monotonic time for calls; None before the claim is committed.
     delivered_through
-        The platform has the windows up to this number.
+        The platform has accepted the windows up to this number.
     fenced
-        Whether the platform has seen a higher fence: nothing more is sent in this epoch.
+        Whether the platform has seen a higher fencing token; then this epoch makes no more calls.
     accepted
-        The fence of the newest order that the platform has, by service and zone.
+        The fencing token of the newest order that the platform has accepted, by service and zone.
     policies
-        The needs of each service that is scaled.
+        The scaling policy of each scaled service.
     """
 
     epoch: int
     started_at: timedelta
     usage_fence: int = 0
-    acts_from: timedelta | None = None
+    active_from: timedelta | None = None
     delivered_through: int = 0
     fenced: bool = False
     accepted: dict[tuple[str, str], int] = field(factory=dict)
     policies: dict[str, ScalePolicy] = field(factory=dict)
 
-    def may_act(self, now: timedelta) -> bool:
-        """Whether the wait for the lease of an earlier holder is over."""
-        return self.acts_from is not None and now >= self.acts_from and not self.fenced
+    def may_call(self, now: timedelta) -> bool:
+        """Return whether calls may be made: the lease of the previous holder has expired and no call was fenced."""
+        return self.active_from is not None and now >= self.active_from and not self.fenced
 
 
 class DutyService(Service):
-    """The duties of this controller.
+    """Claims the duties while this controller is the primary, and carries them out.
 
     Attributes
     ----------
     term : DutyTerm or None
-        The present epoch; None while this controller is not the primary.
+        The state of the current epoch; None while this controller is not the primary.
     collector : UsageCollector
-        The sums of usage; a controller that may become the primary collects as well.
+        The usage sums. Controllers that may become the primary collect as well.
 
     Parameters
     ----------
     scaled_services
-        Gives the services whose runners are ordered, as they are configured and listed now.
+        Returns the services with automatic scaling, from the current configuration and list of runners.
     """
 
     def __init__(
@@ -130,14 +132,14 @@
         self.settings, self.consensus, self.writer = settings, consensus, writer
         self.scaled_services = scaled_services
         self.term: DutyTerm | None = None
-        self.calls = PlatformCalls(settings, settings.bounds.contact * CALL_TIMEOUT_PART)
+        self.calls = PlatformCalls(settings, settings.bounds.contact * CALL_TIMEOUT_RATIO)
         collector_id = int.from_bytes(os.urandom(COLLECTOR_ID_BYTES))
         self.collector = UsageCollector(collector_id, FleetClock(monotonic(), wall_clock_us()))
-        self._acts_from: timedelta | None = None
+        self._active_from: timedelta | None = None
 
     @property
     def enabled(self) -> bool:
-        """Whether the platform expects any duty."""
+        """Return whether the platform expects any duty."""
         return self.settings.cloud is not None and self.settings.duties.expected
 
     async def on_stop(self) -> None:
@@ -145,8 +147,8 @@
         await self.calls.close()
 
     # -- terms ----------------------------------------------------------------------
-    def _present_term(self) -> DutyTerm | None:
-        """The term of the epoch in which this controller is the primary, made anew with each epoch."""
+    def _current_term(self) -> DutyTerm | None:
+        """Return the term of the epoch in which this controller is the primary; each epoch gets a new one."""
         epoch = self.consensus.leading_epoch()
         if epoch is None:
             self.term = None
@@ -155,44 +157,44 @@
         return self.term
 
     def _state(self) -> DutyState | None:
-        """The committed state of the duties; None before there is a configuration."""
+        """Return the committed state of the duties; None before the first configuration."""
         committed = self.writer.committed
         if committed is None or not committed.state.revision:
             return None
         return committed.state.duties or DutyState()
 
     def receive(self, sender: str, record: Record) -> bool:
-        """Take a router's report in and reply; return whether the record was one."""
+        """Apply a router's usage report and reply to it; return whether the record was such a report."""
         if not isinstance(record, UsageReport):
             return False
         self.consensus.send_datagram(sender, self._reply_to(record))
         return True
 
     def _reply_to(self, report: UsageReport) -> UsageReply:
-        """The reply to a report; only the primary tells the time and what is decided.
+        """Return the reply to a report; only the primary sends the true time and the decided windows.
 
-        One that was not confirmed lately, as after a pause, may have a
-        successor: it must not keep routers from finding that.
+        A primary without a recent confirmation, for instance after a pause, may
+        have been replaced. It must not keep routers from finding the new one.
         """
         now, collector, member = monotonic(), self.collector, self.consensus.member
         collector.decide(report.decided_through)
         sequence, primary = collector.on_report(now, report), member.primary()
-        if self._present_term() is None:
+        if self._current_term() is None:
             key = f"{primary.host}:{primary.port}" if primary is not None else ""
             return UsageReply(collector.id, key, [], sequence, report.sent_at_us, 0, 0)
         age = member.confirmation_age(now)
-        if age is None or age > self.settings.duties.lease * COLLECT_PART:
+        if age is None or age > self.settings.duties.lease * MAX_CONFIRMATION_AGE_RATIO:
             return UsageReply(collector.id, "", [], sequence, report.sent_at_us, 0, 0)
         true_us, decided = collector.clock.true_us(now), collector.decided_through
         standbys = self.consensus.backup_keys()
         return UsageReply(collector.id, self.consensus.key, standbys, sequence, report.sent_at_us, true_us, decided)
 
-    # -- what is decided --------------------------------------------------------------
+    # -- decisions ------------------------------------------------------------------
     @Service.task
     async def _decide(self) -> None:
         while not self.should_stop and self.enabled:
-            await asyncio.sleep(STEP.total_seconds())
-            term, state = self._present_term(), self._state()
+            await asyncio.sleep(DECIDE_INTERVAL.total_seconds())
+            term, state = self._current_term(), self._state()
             if term is None or state is None:
                 continue
             if not term.usage_fence:
@@ -201,32 +203,32 @@
                 await self._decide_windows(term, state)
 
     async def _claim(self, term: DutyTerm) -> None:
-        """Take the duties over in this epoch, with a fence of its own."""
+        """Claim the duties for this epoch, with a new fencing token."""
         now, node = monotonic(), self.settings.node
-        # Requests may have begun before anyone could claim: the first holder of all reports a little back.
+        # Requests may begin before the first claim, so the first holder starts one lateness bound earlier.
         first_window = self._window(self.collector.clock.true_us(now - self.settings.duties.usage_lateness))
         if not await self._commit(DutyUpdate(node, claim=True, first_window=first_window)):
-            # The claim may have been committed: who held the duties before is not known any more.
-            self._acts_from = None
+            # The claim may have been committed. Then the next claim hides the earlier holder, so it must wait.
+            self._active_from = None
             return
         claimed = self._state()
         if claimed is None or claimed.holder != node or self.consensus.leading_epoch() != term.epoch:
-            self._acts_from = None
+            self._active_from = None
             return
         self.collector.decide(claimed.next_window - 1)
         duties = self.settings.duties
         wait = duties.lease + duties.thaw_slack
-        term.acts_from = first_act(node, claimed.previous_holder, self._acts_from, monotonic(), wait)
-        self._acts_from = term.acts_from
+        term.active_from = first_act(node, claimed.previous_holder, self._active_from, monotonic(), wait)
+        self._active_from = term.active_from
         term.usage_fence = claimed.usage_fence
-        wait_ms = max(0.0, (term.acts_from - monotonic()).total_seconds()) * 1000
+        wait_ms = max(0.0, (term.active_from - monotonic()).total_seconds()) * 1000
         logging.info("duties: claimed fence=%d before=%r wait_ms=%d", claimed.fence, claimed.previous_holder, wait_ms)
 
     def _window(self, true_us: int) -> int:
         return window_number(true_us, self.settings.duties.usage_window)
 
     async def _decide_windows(self, term: DutyTerm, state: DutyState) -> None:
-        """Commit the windows that are over and told, with what the platform has by now."""
+        """Commit the windows that are due, together with the windows that the platform has accepted."""
         windows = self._windows_to_decide(term, state) if self.settings.duties.reports_usage else ()
         if not windows:
             return
@@ -249,53 +251,53 @@
         collector, now = self.collector, monotonic()
         true_us = collector.clock.true_us(now)
         alive = self._routers()
-        collector.keep_only(alive, now)
+        collector.remove_departed(alive, now)
         undelivered = sum(window.number > term.delivered_through for window in state.windows)
         windows: list[DecidedWindow] = []
         number = state.next_window
-        while undelivered + len(windows) < MAXIMUM_WINDOWS and self._is_due(term, number, true_us, alive, now):
+        while undelivered + len(windows) < MAX_PENDING_WINDOWS and self._is_due(term, number, true_us, alive, now):
             windows.append(DecidedWindow(number, collector.counts(number)))
             number += 1
         return tuple(windows)
 
     def _routers(self) -> set[tuple[str, int]]:
-        """The runs of routers that are believed up."""
+        """Return the router processes that the membership lists as alive."""
         return {(peer.key, peer.instance_id) for peer in self.consensus.swim.alive() if peer.role == ROUTER}
 
     def _is_due(self, term: DutyTerm, number: int, true_us: int, alive: set[tuple[str, int]], now: timedelta) -> bool:
-        """Whether a window is over, and told by all routers or waited for long enough."""
+        """Return whether a window has ended, and all routers have reported it or the time for that has passed."""
         duties = self.settings.duties
         end_us = (number + 1) * microseconds(duties.usage_window)
-        if true_us < end_us + microseconds(SETTLE_TIME):
+        if true_us < end_us + microseconds(MIN_DECIDE_DELAY):
             return False
-        if now - term.started_at > COLLECT_TIME and true_us >= end_us + microseconds(
-            duties.usage_lateness * DECIDE_PART
+        if now - term.started_at > MIN_COLLECT_TIME and true_us >= end_us + microseconds(
+            duties.usage_lateness * DECIDE_DEADLINE_RATIO
         ):
             return True
         return self.collector.is_complete(end_us, alive)
 
     async def _commit(self, update: DutyUpdate) -> bool:
-        """Commit an update; return whether it is known to be committed."""
-        outcome = await self.writer.change(StateUpdate(update, judge_duties), Deadline.after_body(0))
+        """Commit an update; return whether the commit was acknowledged."""
+        outcome = await self.writer.change(StateUpdate(update, evaluate_duty_update), Deadline.after_body(0))
         return isinstance(outcome, Acknowledged)
 
-    # -- what is sent -------------------------------------------------------------------
+    # -- usage reports --------------------------------------------------------------
     @Service.task
     async def _send_usage(self) -> None:
         while not self.should_stop and self.enabled:
             window = self._next_window()
             if window is None:
-                await asyncio.sleep(NOT_HOLDER_PAUSE.total_seconds())
+                await asyncio.sleep(IDLE_PAUSE.total_seconds())
                 continue
             if await self._send_window(window) is not CallResult.ACCEPTED:
-                await asyncio.sleep(RETRY_PAUSE.total_seconds())
+                await asyncio.sleep(RETRY_DELAY.total_seconds())
 
     def _next_window(self) -> DecidedWindow | None:
-        """The oldest decided window that the platform isn't known to have, where it may be sent now."""
-        held = self._held()
-        if held is None:
+        """Return the oldest decided window that the platform has not accepted, if calls may be made now."""
+        active = self._active_term()
+        if active is None:
             return None
-        term, state = held
+        term, state = active
         return next((window for window in state.windows if window.number > term.delivered_through), None)
 
     async def _send_window(self, window: DecidedWindow) -> CallResult:
@@ -307,39 +309,39 @@
             term.delivered_through = max(term.delivered_through, window.number)
         elif result is CallResult.FENCED:
             term.fenced = True
-            logging.warning("duties: fenced off fence=%d window=%d", term.usage_fence, window.number)
+            logging.warning("duties: call fenced fence=%d window=%d", term.usage_fence, window.number)
         return result
 
-    # -- scaling ------------------------------------------------------------------------
+    # -- scaling --------------------------------------------------------------------
     @Service.task
     async def _scale(self) -> None:
         while not self.should_stop and self.enabled and self.settings.duties.scales:
-            await asyncio.sleep(SCALE_STEP.total_seconds())
-            held = self._held()
-            if held is None:
+            await asyncio.sleep(SCALE_INTERVAL.total_seconds())
+            active = self._active_term()
+            if active is None:
                 continue
-            term, state = held
-            orders = self._wanted_orders(term, state)
+            term, state = active
+            orders = self._new_orders(term, state)
             if orders:
                 await self._commit_orders(term, orders)
 
-    def _held(self) -> tuple[DutyTerm, DutyState] | None:
-        """The present term and the committed state, where this controller holds the duties and may act."""
-        term, state = self._present_term(), self._state()
-        if term is None or state is None or not term.may_act(monotonic()) or state.usage_fence != term.usage_fence:
+    def _active_term(self) -> tuple[DutyTerm, DutyState] | None:
+        """Return the current term and the committed state if this controller holds the duties and may make calls."""
+        term, state = self._current_term(), self._state()
+        if term is None or state is None or not term.may_call(monotonic()) or state.usage_fence != term.usage_fence:
             return None
         return term, state
 
-    def _wanted_orders(self, term: DutyTerm, state: DutyState) -> tuple[ScaleOrder, ...]:
-        """Orders that differ from those before; none while routers are missing whose load isn't known."""
+    def _new_orders(self, term: DutyTerm, state: DutyState) -> tuple[ScaleOrder, ...]:
+        """Return the orders that change a number of runners; none unless all routers have reported their load."""
         now = monotonic()
-        if not self.collector.has_heard(now, self._routers()):
+        if not self.collector.has_recent_reports(now, self._routers()):
             return ()
         loads, orders = self.collector.loads(now), []
         for service in self.scaled_services():
             ordered = {order.zone: order.desired for order in state.orders if order.service == service.name}
             policy = term.policies.setdefault(service.name, ScalePolicy())
-            changes = policy.wanted(service, demand_of(loads.get(service.name, ())), now, ordered)
+            changes = policy.desired_changes(service, total_demand(loads.get(service.name, ())), now, ordered)
             orders += [ScaleOrder(service.name, zone, desired) for zone, desired in changes.items()]
         return tuple(orders)
 
@@ -353,20 +355,20 @@
         while not self.should_stop and self.enabled and self.settings.duties.scales:
             order = self._next_order()
             if order is None:
-                await asyncio.sleep(NOT_HOLDER_PAUSE.total_seconds())
+                await asyncio.sleep(IDLE_PAUSE.total_seconds())
             elif not await self._send_order(order):
-                await asyncio.sleep(RETRY_PAUSE.total_seconds())
+                await asyncio.sleep(RETRY_DELAY.total_seconds())
 
     def _next_order(self) -> ScaleOrder | None:
-        """The first of the newest orders that the platform isn't known to have."""
-        held = self._held()
-        if held is None:
+        """Return the first order that the platform has not accepted, if calls may be made now."""
+        active = self._active_term()
+        if active is None:
             return None
-        term, state = held
+        term, state = active
         return next((order for order in state.orders if term.accepted.get(order.subject) != order.fence), None)
 
     async def _send_order(self, order: ScaleOrder) -> bool:
-        """Send an order; return whether the platform has it."""
+        """Send an order; return whether the platform has accepted it."""
         term = self.term
         if term is None or not await self._is_confirmed(term):
             return False
@@ -375,14 +377,14 @@
             term.accepted[order.subject] = order.fence
         elif result is CallResult.FENCED:
             term.fenced = True
-            logging.warning("duties: fenced off fence=%d zone=%s", order.fence, order.zone)
+            logging.warning("duties: call fenced fence=%d zone=%s", order.fence, order.zone)
         return result is CallResult.ACCEPTED
 
     async def _is_confirmed(self, term: DutyTerm) -> bool:
-        """Whether a majority has just confirmed this primary and its term, so that a call may be made at once."""
+        """Wait for the call rate, then return whether a quorum confirms this primary and its term for a call now."""
         await self.calls.wait_for_rate()
-        limit, began = self.settings.duties.lease * CONFIRM_PART, monotonic()
+        limit, began = self.settings.duties.lease * CONFIRM_TIMEOUT_RATIO, monotonic()
         if await self.consensus.confirm(limit) is None:
             return False
         now = monotonic()
-        return now - began <= limit and self.consensus.leading_epoch() == term.epoch and term.may_act(now)
+        return now - began <= limit and self.consensus.leading_epoch() == term.epoch and term.may_call(now)
--- a/sparloom/controller/duty_updates.py
+++ b/sparloom/controller/duty_updates.py
@@ -1,4 +1,4 @@
-"""Updates of the duties' state, judged against a committed control state. No I/O."""
+"""Evaluates updates of the duties against the committed control state. No I/O."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
     from .control_state import State
 
 
-def judge_duties(state: State, update: DutyUpdate) -> Judgement:
-    """What becomes of an update upon a committed state.
+def evaluate_duty_update(state: State, update: DutyUpdate) -> Judgement:
+    """Return the verdict on an update of the duties based on a committed state, and the new state if there is one.
 
     >>> from sparloom.duties import DutyUpdate
     >>> from .control_state import State
-    >>> judge_duties(State({}), DutyUpdate("core-1", claim=True)).verdict.name
+    >>> evaluate_duty_update(State({}), DutyUpdate("core-1", claim=True)).verdict.name
     'NEW'
-    >>> judge_duties(State({}), DutyUpdate("core-1")).verdict.name
+    >>> evaluate_duty_update(State({}), DutyUpdate("core-1")).verdict.name
     'STALE'
     """
-    before = state.duties or DutyState()
-    duties = update.apply(before)
+    current = state.duties or DutyState()
+    duties = update.apply(current)
     if duties is None:
         return Judgement(Verdict.STALE)
-    if duties == before:
+    if duties == current:
         return Judgement(Verdict.ALREADY_COMMITTED)
     return Judgement(Verdict.NEW, state.with_duties(duties))
--- a/sparloom/controller/platform_calls.py
+++ b/sparloom/controller/platform_calls.py
@@ -1,4 +1,4 @@
-"""Calls of duties to the platform: each with the holder's name and a fence, within the platform's rate."""
+"""``PlatformCalls``: calls of the duties to the platform, with the holder's name and a fencing token, rate-limited."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
 FENCE = "X-Sparloom-Fence-Number"
 USAGE_PATH = "/usage"
 SCALE_PATH = "/scale"
-# Calls are made at most at this part of the rate that the platform allows to all nodes together.
-RATE_PART = 0.5
+# Maximum call rate of this node, as a fraction of the rate that the platform allows to all nodes together.
+RATE_RATIO = 0.5
 CALL_ERRORS = (aiohttp.ClientError, OSError, TimeoutError, ValueError)
 
 
 class CallResult(Enum):
-    """What became of a call."""
+    """The outcome of a call."""
 
-    ACCEPTED = "the platform has it"
-    FENCED = "the platform has seen a higher fence"
-    FAILED = "it is not known whether the platform has it"
-    REFUSED = "the platform does not take it now, or ever"
+    ACCEPTED = "the platform has accepted the call"
+    FENCED = "the platform has seen a higher fencing token"
+    FAILED = "it is unknown whether the platform has accepted the call"
+    REFUSED = "the platform has rejected the call, temporarily or permanently"
 
 
-def result_of(status: int) -> CallResult:
-    """Return what the status of an answer says.
+def result_from_status(status: int) -> CallResult:
+    """Return the outcome that an HTTP status stands for.
 
-    >>> result_of(200).name, result_of(409).name, result_of(429).name
+    >>> result_from_status(200).name, result_from_status(409).name, result_from_status(429).name
     ('ACCEPTED', 'FENCED', 'REFUSED')
     """
     if HTTPStatus.OK <= status < HTTPStatus.MULTIPLE_CHOICES:
@@ -52,19 +52,19 @@
 
 
 class PlatformCalls:
-    """Makes the calls; a call that fails takes its connection with it.
+    """Makes calls to the platform; a failed call closes its connection.
 
     Parameters
     ----------
     timeout
-        How long an answer may take.
+        Timeout of a call.
     """
 
     def __init__(self, settings: Settings, timeout: timedelta) -> None:
         self._settings = settings
         self._timeout = timeout
         self._session: aiohttp.ClientSession | None = None
-        self._next_at = monotonic()
+        self._next_call_at = monotonic()
 
     async def close(self) -> None:
         """Close the connections."""
@@ -72,19 +72,19 @@
             await self._session.close()
 
     async def wait_for_rate(self) -> None:
-        """Wait until a call may be made without passing the platform's rate."""
+        """Wait until a call may be made within the rate limit."""
         now = monotonic()
-        at = max(now, self._next_at)
-        interval_s = 1 / (self._settings.duties.rate * RATE_PART)
-        self._next_at = at + type(at)(seconds=interval_s)
-        await asyncio.sleep((at - now).total_seconds())
+        call_at = max(now, self._next_call_at)
+        interval_s = 1 / (self._settings.duties.rate * RATE_RATIO)
+        self._next_call_at = call_at + type(call_at)(seconds=interval_s)
+        await asyncio.sleep((call_at - now).total_seconds())
 
     async def report_usage(self, window: DecidedWindow, fence: int) -> CallResult:
-        """Send the report of a window."""
+        """Send the usage report of a window."""
         return await self._post(USAGE_PATH, fence, {"windowNumber": window.number, "counts": window.counts})
 
     async def scale(self, order: ScaleOrder) -> CallResult:
-        """Send an order about the number of runners."""
+        """Send an order that sets the number of runners."""
         body = {"service": order.service, "zone": order.zone, "desiredCount": order.desired}
         return await self._post(SCALE_PATH, order.fence, body)
 
@@ -101,7 +101,7 @@
         try:
             async with self._session.post(url, data=data, headers=headers, allow_redirects=False) as response:
                 await response.read()
-                result = result_of(response.status)
+                result = result_from_status(response.status)
         except CALL_ERRORS as error:
             logging.info("duties: call failed path=%s fence=%d error=%s", path, fence, type(error).__name__)
             return CallResult.FAILED
--- a/sparloom/controller/scaled_services.py
+++ b/sparloom/controller/scaled_services.py
@@ -1,4 +1,4 @@
-"""The services whose runners are ordered, from the configuration and the list of runners."""
+"""Selects the services with automatic scaling, from the configuration and the list of runners."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def scaled_services(services: Iterable[dict[str, Any]], runners: Iterable[Endpoint]) -> list[ScaledService]:
-    """Return the services of a configuration that have limits of scaling and runners that are listed.
+    """Return the services that have scaling limits in the configuration and at least one listed runner.
 
     >>> from sparloom.discovery import Endpoint
     >>> services = [{"name": "s", "scaling": {"minimum": 1, "maximum": 4}}, {"name": "t"}]
@@ -22,18 +22,20 @@
     [ScaledService(name='s', minimum=1, maximum=4, slots=8, runners={'z': 1})]
     """
     listed = list(runners)
-    found = []
+    result = []
     for service in services:
         limits, name = service.get("scaling"), service["name"]
-        own = [runner for runner in listed if runner.service == name]
-        if limits is None or not own:
+        service_runners = [runner for runner in listed if runner.service == name]
+        if limits is None or not service_runners:
             continue
-        zones = Counter({runner.zone: 0 for runner in own})
-        zones.update(runner.zone for runner in own if not runner.draining)
-        slots = min((runner.slots for runner in own if runner.slots), default=0) or _engine_slots(service)
-        found.append(ScaledService(name, limits["minimum"], limits["maximum"], slots, dict(zones)))
-    return found
+        zones = Counter({runner.zone: 0 for runner in service_runners})
+        zones.update(runner.zone for runner in service_runners if not runner.draining)
+        slots = min((runner.slots for runner in service_runners if runner.slots), default=0) or _configured_slots(
+            service
+        )
+        result.append(ScaledService(name, limits["minimum"], limits["maximum"], slots, dict(zones)))
+    return result
 
 
-def _engine_slots(service: dict[str, Any]) -> int:
+def _configured_slots(service: dict[str, Any]) -> int:
     return int((service.get("engine") or {}).get("slots") or 1)
--- a/sparloom/duties/__init__.py
+++ b/sparloom/duties/__init__.py
@@ -1,4 +1,4 @@
-"""Duties at the platform that one node at a time carries out: what is decided about them, before anything is sent."""
+"""Duties: calls to the platform that one node at a time makes. Their committed state, and the decisions behind it."""
 
 from .state import DecidedWindow, DutyState, DutyUpdate, ScaleOrder
 
--- a/sparloom/duties/lease.py
+++ b/sparloom/duties/lease.py
@@ -1,4 +1,4 @@
-"""When a holder that has just claimed the duties may act for the first time."""
+"""Computes when a new holder of the duties may make its first call."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 def first_act(
-    node: str, previous_holder: str, own_first_act: timedelta | None, now: timedelta, wait: timedelta
+    node: str, previous_holder: str, own_earliest_action: timedelta | None, now: timedelta, wait: timedelta
 ) -> timedelta:
-    """Return from when on a node may act that has committed its claim now.
+    """Return the earliest time at which a node may act after committing its claim now.
 
-    The previous holder may have acted until now, and two holders must not take
-    turns within a lease. A node that held the duties itself goes on, but not
-    before the wait that its earlier claim began is over.
+    The previous holder may have acted until now, and calls of two holders must
+    not alternate within one lease. A node that succeeds itself continues, but
+    not before the wait of its earlier claim has ended.
 
     Parameters
     ----------
     node
         The new holder.
     previous_holder
-        The node whose claim was committed before; "" if there was none.
-    own_first_act
-        What this returned for the node's last claim; None where its process doesn't know.
+        The holder of the previous committed claim; "" if there was none.
+    own_earliest_action
+        The result of this function for the node's last claim; None if its process has no record of it.
     now
-        The monotonic clock.
+        The monotonic time.
     wait
-        The lease, and how late a holder that stood still may act after it.
+        The lease plus the time after it in which a previous holder that was paused may still act.
 
     >>> from datetime import timedelta
     >>> second = timedelta(seconds=1)
@@ -41,6 +41,6 @@
     """
     if not previous_holder:
         return now
-    if previous_holder == node and own_first_act is not None:
-        return max(now, own_first_act)
+    if previous_holder == node and own_earliest_action is not None:
+        return max(now, own_earliest_action)
     return now + wait
--- a/sparloom/duties/scaling.py
+++ b/sparloom/duties/scaling.py
@@ -1,12 +1,12 @@
-"""How many runners of a service each zone is to have: target tracking on what the fleet has in hand. No I/O.
-
-The wanted number is that with which a part of all slots, ``TARGET_UTILISATION``,
-is in use. More runners are ordered once they were needed throughout
-``SUSTAINED``: a shorter burst is over before a new runner serves. Fewer are
-ordered once the need has been lower throughout ``STABILISATION``, since the
-prompts that a runner has cached go with it; sooner where there was no request
-at all. Orders name absolute numbers, so one that is repeated or lost and sent
-again changes nothing.
+"""Computes the number of runners of a service per zone: target tracking on the fleet's demand. No I/O.
+
+``ScalePolicy`` aims at a number of runners that keeps ``TARGET_UTILISATION``
+of all slots in use. It scales up once the higher number was required
+throughout ``SCALE_UP_STABILISATION``: a shorter burst ends before a new runner
+serves. It scales down once a lower number was sufficient throughout
+``SCALE_DOWN_STABILISATION``, because a removed runner takes its cached prompts
+with it; it scales down sooner if there were no requests at all. Orders contain
+absolute numbers, so repeating or resending one changes nothing.
 """
 
 from __future__ import annotations
@@ -23,30 +23,30 @@
 
     from sparloom.usage import ServiceLoad
 
-# The part of all slots that is to be in use.
+# Fraction of all slots that should be in use.
 TARGET_UTILISATION = 0.45
-# More runners are ordered only after all observations in this time asked for more,
-SUSTAINED = timedelta(seconds=3)
-# and fewer only after none in this time did,
-STABILISATION = timedelta(seconds=30)
-# or after a shorter time without any request.
-IDLE_STABILISATION = timedelta(seconds=6)
+# Scales up only if all observations in this period require more runners.
+SCALE_UP_STABILISATION = timedelta(seconds=3)
+# Scales down only if every observation in this period requires fewer runners than there are.
+SCALE_DOWN_STABILISATION = timedelta(seconds=30)
+# Scales down after this period if it contains no requests.
+IDLE_SCALE_DOWN_STABILISATION = timedelta(seconds=6)
 
 
 @define(frozen=True, slots=True)
 class ScaledService:
-    """A service whose runners are ordered, as it is now.
+    """A service with automatic scaling, with its configured limits and its listed runners.
 
     Attributes
     ----------
     name
         Its name.
     minimum, maximum
-        How many runners a zone may have.
+        Limits of the number of runners in a zone.
     slots
-        Requests that a runner works on at once.
+        Concurrent requests that a runner can process.
     runners
-        Runners that are listed and not draining, by zone.
+        Number of listed runners that are not draining, by zone.
     """
 
     name: str
@@ -56,7 +56,7 @@
     runners: Mapping[str, int]
 
     def clamp(self, count: int) -> int:
-        """Return the number of runners nearest to a count that a zone may have.
+        """Return a number of runners clamped to the limits of a zone.
 
         >>> ScaledService("s", 2, 4, 8, {}).clamp(9)
         4
@@ -64,16 +64,16 @@
         return max(self.minimum, min(self.maximum, count))
 
 
-def demand_of(loads: Iterable[ServiceLoad]) -> int:
-    """Return how many requests routers have in hand for a service, at runners and waiting."""
+def total_demand(loads: Iterable[ServiceLoad]) -> int:
+    """Return how many requests of a service are in flight or waiting at the routers."""
     return sum(load.in_flight + load.waiting for load in loads)
 
 
-def needed_per_zone(service: ScaledService, demand: int) -> int:
-    """Return how many runners each zone needs for a number of requests in hand.
+def required_per_zone(service: ScaledService, demand: int) -> int:
+    """Return how many runners each zone requires for a number of requests in flight or waiting.
 
     >>> service = ScaledService("s", 2, 9, 10, {"a": 3, "b": 3})
-    >>> needed_per_zone(service, 0), needed_per_zone(service, 45), needed_per_zone(service, 900)
+    >>> required_per_zone(service, 0), required_per_zone(service, 45), required_per_zone(service, 900)
     (2, 5, 9)
     """
     slots = max(1, service.slots) * TARGET_UTILISATION * max(1, len(service.runners))
@@ -82,63 +82,67 @@
 
 @define(frozen=True, slots=True)
 class _Observation:
-    """What was in hand at one moment, and how many runners each zone needed for it."""
+    """The demand at one moment, and the number of runners per zone that it required."""
 
     at: timedelta
     demand: int
-    needed: int
+    required: int
 
 
 @define(slots=True)
 class ScalePolicy:
-    """The needs of one service over the last seconds.
+    """Decides the scaling of one service from the recent observations of its demand.
 
     >>> policy, second = ScalePolicy(), timedelta(seconds=1)
     >>> service = ScaledService("s", 1, 9, 10, {"a": 3})
-    >>> [policy.wanted(service, 0, n * second, {"a": 3}) for n in (0, 5, 6)]
+    >>> [policy.desired_changes(service, 0, n * second, {"a": 3}) for n in (0, 5, 6)]
     [{}, {}, {'a': 1}]
-    >>> [policy.wanted(service, 20, n * second, {"a": 1}) for n in (7, 8, 10)]
+    >>> [policy.desired_changes(service, 20, n * second, {"a": 1}) for n in (7, 8, 10)]
     [{}, {}, {'a': 5}]
     """
 
-    _seen: deque[_Observation] = field(factory=deque)
+    _observations: deque[_Observation] = field(factory=deque)
 
-    def wanted(self, service: ScaledService, demand: int, now: timedelta, ordered: Mapping[str, int]) -> dict[str, int]:
-        """Return the zones whose number is to change, with the new one.
+    def desired_changes(
+        self, service: ScaledService, demand: int, now: timedelta, ordered: Mapping[str, int]
+    ) -> dict[str, int]:
+        """Return the new number of runners for each zone in which it changes.
 
         Parameters
         ----------
         service
-            The service as it is now.
+            The service with its current runners.
         demand
-            The requests in hand over the fleet.
+            The requests that are in flight or waiting in the whole fleet.
         now
-            The monotonic clock.
+            The monotonic time.
         ordered
-            What was ordered last for each zone; what is listed stands in for a zone without an order.
+            The last ordered number for each zone. A zone without an order uses its number of listed runners.
         """
-        self._observe(_Observation(now, demand, needed_per_zone(service, demand)))
-        at_least = min((seen.needed for seen in self._since(now - SUSTAINED)), default=service.minimum)
-        idle = [seen.demand == 0 for seen in self._since(now - IDLE_STABILISATION)]
-        quiet_since = now - (IDLE_STABILISATION if idle and all(idle) else STABILISATION)
-        at_most = max((seen.needed for seen in self._since(quiet_since)), default=service.maximum)
+        self._observe(_Observation(now, demand, required_per_zone(service, demand)))
+        lower_bound = min(
+            (observed.required for observed in self._since(now - SCALE_UP_STABILISATION)), default=service.minimum
+        )
+        idle = [observed.demand == 0 for observed in self._since(now - IDLE_SCALE_DOWN_STABILISATION)]
+        scale_down_start = now - (IDLE_SCALE_DOWN_STABILISATION if idle and all(idle) else SCALE_DOWN_STABILISATION)
+        upper_bound = max((observed.required for observed in self._since(scale_down_start)), default=service.maximum)
         changes = {}
         for zone in sorted({*service.runners, *ordered}):
-            present = ordered.get(zone, service.runners.get(zone, 0))
-            target = service.clamp(max(at_least, min(present, at_most)))
-            if target != present:
+            current = ordered.get(zone, service.runners.get(zone, 0))
+            target = service.clamp(max(lower_bound, min(current, upper_bound)))
+            if target != current:
                 changes[zone] = target
         return changes
 
     def _observe(self, observation: _Observation) -> None:
-        self._seen.append(observation)
-        # The oldest one that is left covers the whole time.
-        while len(self._seen) > 1 and observation.at - self._seen[1].at >= STABILISATION:
-            self._seen.popleft()
+        self._observations.append(observation)
+        # Keeps one observation from before the period, so that the remaining ones cover all of it.
+        while len(self._observations) > 1 and observation.at - self._observations[1].at >= SCALE_DOWN_STABILISATION:
+            self._observations.popleft()
 
     def _since(self, start: timedelta) -> list[_Observation]:
-        """The observations from a moment on, with the last one before it; none where they don't reach back so far."""
-        if self._seen[0].at > start:
+        """Return the observations since ``start`` and the last one before it; none if the history is too short."""
+        if self._observations[0].at > start:
             return []
-        earlier = [seen for seen in self._seen if seen.at <= start]
-        return [earlier[-1], *(seen for seen in self._seen if seen.at > start)]
+        earlier = [observed for observed in self._observations if observed.at <= start]
+        return [earlier[-1], *(observed for observed in self._observations if observed.at > start)]
--- a/sparloom/duties/state.py
+++ b/sparloom/duties/state.py
@@ -1,8 +1,9 @@
-"""The durable state of the duties: who holds them, under which fence, and what was decided and is to be sent.
+"""The durable state of the duties: the holder, its fencing tokens, and the reports and orders to send.
 
-It is part of the control state. Whatever goes to the platform was committed
-here first, so that a successor sends just the same, and a fence that was
-committed belongs to one holder: no other can commit it again.
+``DutyState`` is part of the control state; a ``DutyUpdate`` changes it. All
+that is sent to the platform is committed here first, so that a successor sends
+exactly the same. A committed fencing token (``fence``) belongs to one holder:
+no other holder can commit it again.
 """
 
 from __future__ import annotations
@@ -11,20 +12,20 @@
 
 from attrs import define, evolve, field
 
-# Windows that are decided and not yet acknowledged by the platform; further ones wait at the routers.
-MAXIMUM_WINDOWS = 64
+# Limit of decided windows that the platform has not acknowledged. The counts of further windows stay at the routers.
+MAX_PENDING_WINDOWS = 64
 
 
 @define(frozen=True, slots=True)
 class DecidedWindow:
-    """The report of one window, as it is sent by whoever sends it.
+    """The committed usage report of one window; each holder sends the same.
 
     Attributes
     ----------
     number
         The window's number.
     counts
-        The requests of each tenant that began in it.
+        Number of requests that began in the window, by tenant.
     """
 
     number: int
@@ -33,16 +34,16 @@
 
 @define(frozen=True, slots=True)
 class ScaleOrder:
-    """The newest order about the runners of a service in a zone.
+    """The newest order that sets the number of runners of a service in a zone.
 
     Attributes
     ----------
     service, zone
-        What it is about.
+        The service and the zone that are scaled.
     desired
-        How many runners there are to be.
+        Desired number of runners.
     fence
-        The fence under which it is sent; each order has one of its own.
+        The fencing token with which the order is sent; unique to the order.
     """
 
     service: str
@@ -52,28 +53,28 @@
 
     @property
     def subject(self) -> tuple[str, str]:
-        """Service and zone."""
+        """The service and the zone, which identify the order."""
         return self.service, self.zone
 
 
 @define(frozen=True, slots=True)
 class DutyState:
-    """What is decided about the duties.
+    """The committed state of the duties.
 
     Attributes
     ----------
     holder
-        The name of the node that holds them; "" before the first.
+        The name of the node that holds the duties; "" before the first claim.
     fence
-        The highest fence that was given out.
+        The highest fencing token that was issued.
     usage_fence
-        The fence of the present holder's reports of usage.
+        The fencing token of the current holder's usage reports.
     previous_holder
-        The node whose claim came before the present one, or the same node; "" if there was none.
+        The holder of the previous claim, which may be the same node; "" if there was none.
     next_window
-        The first window that is not decided; 0 before the first holder.
+        The first window that is not decided; 0 before the first claim.
     windows
-        Decided windows that the platform isn't known to have, ascending.
+        Decided windows that the platform is not known to have acknowledged, in ascending order.
     orders
         The newest order for each service and zone.
 
@@ -91,7 +92,7 @@
     previous_holder: str = ""
 
     def claim(self, holder: str, first_window: int) -> DutyState:
-        """Return the state once a node has taken the duties over, with fences of its own for reports and orders."""
+        """Return the state after a node claims the duties, with new fencing tokens for its reports and all orders."""
         fence = self.fence + 1
         next_window = self.next_window or first_window
         claimed = evolve(
@@ -105,17 +106,17 @@
         return claimed.order(self.orders)
 
     def decide(self, windows: tuple[DecidedWindow, ...]) -> DutyState:
-        """Return the state once further windows are decided, which follow on those before."""
+        """Return the state after deciding the windows that follow the last decided one."""
         return evolve(self, next_window=self.next_window + len(windows), windows=self.windows + windows)
 
     def acknowledge(self, through: int) -> DutyState:
-        """Return the state without the windows up to a number: the platform has them."""
+        """Return the state without the windows up to ``through``, which the platform has acknowledged."""
         return evolve(self, windows=tuple(window for window in self.windows if window.number > through))
 
-    def order(self, wanted: tuple[ScaleOrder, ...]) -> DutyState:
-        """Return the state with newer orders; each is given the next fence."""
+    def order(self, new_orders: tuple[ScaleOrder, ...]) -> DutyState:
+        """Return the state with newer orders; each gets the next fencing token."""
         orders, fence = {order.subject: order for order in self.orders}, self.fence
-        for order in wanted:
+        for order in new_orders:
             fence += 1
             orders[order.subject] = evolve(order, fence=fence)
         return evolve(self, fence=fence, orders=tuple(orders[subject] for subject in sorted(orders)))
@@ -134,7 +135,7 @@
 
     @classmethod
     def from_json(cls, item: dict[str, Any]) -> DutyState:
-        """Return the state in a JSON object that ``to_json`` has made."""
+        """Return the state from a JSON object that ``to_json`` returned."""
         return cls(
             item["holder"],
             item["fence"],
@@ -148,24 +149,24 @@
 
 @define(frozen=True, slots=True)
 class DutyUpdate:
-    """A change of the duties' state that a holder wants committed.
+    """A change of the duties' state that a node asks to commit.
 
     Attributes
     ----------
     holder
-        The node that wants it.
+        The node that asks for the change.
     claim
-        Whether it takes the duties over; otherwise it must hold them under ``usage_fence``.
+        Whether the node claims the duties. Otherwise it must hold them with ``usage_fence``.
     usage_fence
-        The fence of its claim.
+        The fencing token of the node's claim.
     first_window
-        With a claim: the window to begin with, where none was decided before.
+        In a claim: the first window to decide if none was decided before.
     windows
-        Further windows, the first one that is not decided first.
+        Windows to decide, in ascending order from the first undecided one.
     acknowledged_through
-        The platform has the windows up to this number.
+        The platform has acknowledged the windows up to this number.
     orders
-        Newer orders; their fences are given out as they are committed.
+        Newer orders; they get their fencing tokens at the commit.
     """
 
     holder: str
@@ -177,7 +178,7 @@
     orders: tuple[ScaleOrder, ...] = ()
 
     def is_retry_of(self, other: object) -> bool:
-        """Whether this is the other update; each is made once, from what was committed before it.
+        """Return whether this is the same update object; each update is made once, from the committed state.
 
         >>> DutyUpdate("a", claim=True).is_retry_of(DutyUpdate("a", claim=True))
         False
@@ -185,7 +186,7 @@
         return self is other
 
     def apply(self, state: DutyState) -> DutyState | None:
-        """Return the state after the update; None where it does not follow on this one.
+        """Return the state after the update; None if the update is not based on this state.
 
         >>> claimed = DutyUpdate("a", claim=True, first_window=7).apply(DutyState())
         >>> DutyUpdate("a", usage_fence=1, windows=(DecidedWindow(7),)).apply(claimed).next_window
--- a/sparloom/usage/__init__.py
+++ b/sparloom/usage/__init__.py
@@ -1,4 +1,4 @@
-"""Usage: the requests of each tenant that began in each window of true time, summed over all routers."""
+"""Usage accounting: the requests that began per tenant and time window, summed over all routers."""
 
 from .clock import FleetClock, RouterClock, window_number
 from .collector import UsageCollector
--- a/sparloom/usage/clock.py
+++ b/sparloom/usage/clock.py
@@ -1,9 +1,10 @@
-"""The true time, from wall clocks that may jump and monotonic clocks that don't.
+"""The true time, estimated from wall clocks, which may jump, and monotonic clocks, which do not.
 
-The primary takes the median of the wall clocks that routers tell, each against
-its own monotonic clock: a jump on fewer than half of the machines moves
-nothing. Routers take the primary's time over, by the quickest of their last
-exchanges. All times are in microseconds, whole numbers.
+``FleetClock`` is the primary's estimate: the median of the offsets between the
+routers' reported wall clocks and its own monotonic clock. A jump on fewer than
+half of the machines does not change it. ``RouterClock`` is a router's estimate:
+it adopts the primary's time from the recent exchange with the shortest round
+trip. All times are integers in microseconds.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 from attrs import define, field
 
 MICROSECOND = timedelta(microseconds=1)
-# Of so many exchanges the quickest one counts.
+# Number of recent exchanges of which the one with the shortest round trip sets the clock.
 RECENT_EXCHANGES = 12
-# What a router told of its wall clock longer ago doesn't count.
-OFFSET_VALID = timedelta(seconds=30)
+# A router's reported wall clock is ignored after this time.
+MAX_OFFSET_AGE = timedelta(seconds=30)
 
 
 def microseconds(time: timedelta) -> int:
-    """Return a time as a whole number of microseconds.
+    """Return a duration as an integer number of microseconds.
 
     >>> microseconds(timedelta(milliseconds=2))
     2000
@@ -30,7 +31,7 @@
 
 
 def window_number(true_us: int, length: timedelta) -> int:
-    """Return the number of the window that a moment lies in; window k begins k times its length after 1970 began.
+    """Return the number of the window that contains a time; window k begins k window lengths after the Unix epoch.
 
     >>> window_number(10_000_000, timedelta(seconds=5)), window_number(9_999_999, timedelta(seconds=5))
     (2, 1)
@@ -40,15 +41,15 @@
 
 @define(slots=True)
 class RouterClock:
-    """A router's view of the true time.
+    """A router's estimate of the true time.
 
-    Before the first exchange it is the machine's wall clock as it was at the
-    start of the process: a later jump changes nothing.
+    Before the first exchange it follows the machine's wall clock as read when
+    the process started, so a later jump of the wall clock has no effect.
 
     Parameters
     ----------
     now, wall_us
-        The monotonic and the wall clock at the start.
+        The monotonic and the wall clock when the process started.
 
     >>> clock, second = RouterClock(timedelta(seconds=1), 50_000_000), timedelta(seconds=1)
     >>> clock.true_us(2 * second)
@@ -69,32 +70,32 @@
 
     @property
     def round_trip_us(self) -> int:
-        """The quickest of the last exchanges; 0 before the first."""
+        """The shortest round trip of the recent exchanges; 0 before the first exchange."""
         return min(self._exchanges)[0] if self._exchanges else 0
 
     def on_exchange(self, sent_at: timedelta, now: timedelta, true_us: int) -> None:
-        """Take the true time from a reply that came now to what was sent at ``sent_at``."""
+        """Update the clock from a reply received now to a report sent at ``sent_at``."""
         round_trip = max(0, microseconds(now - sent_at))
         self._exchanges.append((round_trip, true_us + round_trip // 2 - microseconds(now)))
         self._offset_us = min(self._exchanges)[1]
 
     def forget_exchanges(self) -> None:
-        """Another collector replies from now on, whose time may differ a little; the offset holds until it does."""
+        """Drop the recent exchanges after a change of collector, whose time may differ; the offset remains in use."""
         self._exchanges.clear()
 
     def true_us(self, now: timedelta) -> int:
-        """Return the true time at a moment of the monotonic clock."""
+        """Return the true time at a monotonic time."""
         return microseconds(now) + self._offset_us
 
 
 @define(slots=True)
 class FleetClock:
-    """The primary's view of the true time: the median of the wall clocks that it knows of.
+    """The primary's estimate of the true time: the median of the routers' wall clocks and its own.
 
     Parameters
     ----------
     now, wall_us
-        The monotonic and the wall clock at the start; the own wall clock counts as one of them.
+        The primary's monotonic and wall clock when the process started.
 
     >>> clock, second = FleetClock(timedelta(0), 10_000_000), timedelta(seconds=1)
     >>> clock.true_us(second)
@@ -114,15 +115,15 @@
         self._own_offset_us = self.wall_us - microseconds(self.now)
 
     def on_report(self, node: str, now: timedelta, wall_us: int, round_trip_us: int) -> None:
-        """Take the wall clock of a node from a report that came now."""
+        """Record a node's wall clock from a report received now."""
         self._offsets[node] = (wall_us + round_trip_us // 2 - microseconds(now), now)
 
     def true_us(self, now: timedelta) -> int:
-        """Return the true time at a moment of the monotonic clock."""
+        """Return the true time at a monotonic time."""
         return microseconds(now) + self._median(now)
 
     def _median(self, now: timedelta) -> int:
-        self._offsets = {node: told for node, told in self._offsets.items() if now - told[1] <= OFFSET_VALID}
+        self._offsets = {node: sample for node, sample in self._offsets.items() if now - sample[1] <= MAX_OFFSET_AGE}
         offsets = sorted([self._own_offset_us, *(offset for offset, _ in self._offsets.values())])
-        # The lower of two in the middle; the library's median would load much else at each start.
+        # Lower median. The statistics module is not used because it loads many other modules at each start.
         return offsets[(len(offsets) - 1) // 2]
--- a/sparloom/usage/counter.py
+++ b/sparloom/usage/counter.py
@@ -1,9 +1,11 @@
-"""A router's counts of usage: what began, what each collector has taken in, what it is to be told next. No I/O.
-
-A report holds what was counted since the last one that the collector is known
-to have: a lost report is contained in the next one, and a repeated one is
-recognised by its number. Counts are held until their window is decided, so
-that another collector can be told all of them.
+"""A router's usage counts, and the reports of them to each collector. No I/O.
+
+``UsageCounter`` counts requests by window and tenant. ``UsageChannel`` makes
+the reports to one controller. A report contains the counts since the last
+report that the collector is known to have applied: a lost report is included in
+the next one, and a duplicate is recognised by its sequence number. Counts
+remain until their window is decided, so that a new collector can get all of
+them.
 """
 
 from __future__ import annotations
@@ -18,24 +20,24 @@
 if TYPE_CHECKING:
     Counts = Counter[tuple[int, str]]
 
-# Beyond so many windows that nobody decides, the oldest are given up.
-MAXIMUM_WINDOWS = 720
-# In one datagram.
-MAXIMUM_ENTRIES = 1000
+# Limit of undecided windows; the oldest ones beyond it are dropped.
+MAX_UNDECIDED_WINDOWS = 720
+# Limit of entries in a report, which is one datagram.
+MAX_REPORT_ENTRIES = 1000
 
 
 @define(slots=True)
 class UsageCounter:
-    """Counts by (window, tenant).
+    """Counts requests by (window, tenant).
 
     Attributes
     ----------
     counts
-        What began in windows that are not decided.
+        The counts of the windows that are not decided.
     decided_through
-        Of this window and those before it nothing is counted any more.
+        Windows up to this one are decided; their requests are no longer counted.
     late
-        How many requests began in a window that was decided already.
+        Number of requests that began in a window that was already decided.
 
     >>> counter = UsageCounter()
     >>> counter.add(7, "a"); counter.decide(7); counter.add(7, "a")
@@ -55,23 +57,23 @@
         self.counts[window, tenant] += 1
 
     def decide(self, through: int) -> None:
-        """Forget the counts of a window and all before it: they are decided."""
+        """Drop the counts of the windows up to ``through``, which are decided."""
         self.decided_through = max(self.decided_through, through)
         windows = sorted({window for window, _ in self.counts})
-        oldest = windows[-MAXIMUM_WINDOWS] if len(windows) > MAXIMUM_WINDOWS else 0
+        oldest = windows[-MAX_UNDECIDED_WINDOWS] if len(windows) > MAX_UNDECIDED_WINDOWS else 0
         self.counts = _from_window(self.counts, max(self.decided_through + 1, oldest))
 
 
 @define(slots=True)
 class UsageChannel:
-    """What one controller was told of a router's counts.
+    """The state of a router's reports to one controller.
 
     Attributes
     ----------
     collector_id
-        The collector that replied last; 0 before the first reply. A process that starts anew is another one.
+        The collector that replied last; 0 before the first reply. A restarted process is a new collector.
     base
-        The report that it was last known to have taken in; 0 for none.
+        Sequence number of the last report that the collector is known to have applied; 0 for none.
 
     >>> counter, channel = UsageCounter(), UsageChannel()
     >>> counter.add(7, "a"); counter.add(7, "a")
@@ -89,35 +91,37 @@
     collector_id: int = 0
     base: int = 0
     _sequence: int = 0
-    _told: Counts = field(factory=Counter)
-    # The entries of the newest report, until the collector that it was made for has it.
+    _acknowledged: Counts = field(factory=Counter)
+    # The entries of the newest report until its collector acknowledges it; None afterwards.
     _last_entries: Counts | None = None
 
     def next_report(self, counter: UsageCounter) -> tuple[int, list[UsageEntry]]:
-        """Return the number of the next report, and what was counted since ``base``."""
+        """Return the sequence number of the next report, and the counts since ``base``."""
         self._sequence += 1
-        self._told = _from_window(self._told, counter.decided_through + 1)
-        # The oldest windows are decided first.
-        changed = sorted(key for key, count in counter.counts.items() if count > self._told[key])[:MAXIMUM_ENTRIES]
-        entries = Counter({key: counter.counts[key] - self._told[key] for key in changed})
+        self._acknowledged = _from_window(self._acknowledged, counter.decided_through + 1)
+        # The oldest windows go first because they are decided first.
+        changed = sorted(key for key, count in counter.counts.items() if count > self._acknowledged[key])[
+            :MAX_REPORT_ENTRIES
+        ]
+        entries = Counter({key: counter.counts[key] - self._acknowledged[key] for key in changed})
         self._last_entries = entries
         return self._sequence, [UsageEntry(window, tenant, count) for (window, tenant), count in entries.items()]
 
     def on_reply(self, collector_id: int, sequence: int) -> None:
-        """Take note of a reply to the newest report; ``sequence`` is the newest one that the collector took in.
+        """Process a reply to the newest report; ``sequence`` is the newest report that the collector has applied.
 
-        Replies to earlier reports are not for this: so a collector meets no
-        base but that of the last report that it took in, or that report.
+        Replies to earlier reports must not be passed in. Thus the base of each
+        report is either the last applied report or the base of that report.
         """
         if collector_id != self.collector_id:
-            # What another process at the address was told this one doesn't know; the newest report was for that.
+            # A new process at the address has none of the acknowledged counts. The newest report was for the old one.
             self.collector_id, self.base, self._last_entries = collector_id, 0, None
-            self._told.clear()
+            self._acknowledged.clear()
         elif not sequence and self.base:
-            # The collector has forgotten this process, but not its counts.
+            # The collector has removed this router process, but its sums still include the acknowledged counts.
             self.base, self._last_entries = 0, None
         elif sequence == self._sequence and self._last_entries is not None:
-            self._told.update(self._last_entries)
+            self._acknowledged.update(self._last_entries)
             self.base, self._last_entries = sequence, None
 
 
--- a/sparloom/usage/records.py
+++ b/sparloom/usage/records.py
@@ -1,6 +1,6 @@
-"""Records between routers and controllers, by datagram: counts of usage one way, the true time back.
+"""Datagram records of usage accounting: routers report counts, controllers reply with the true time.
 
-Tags, order and kinds of the fields are the wire format: they never change.
+The tags and the order and types of the fields are the wire format and must not change.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 
 @record(130)
 class UsageEntry(Record):
-    """How many requests of a tenant began in a window.
+    """The number of requests of a tenant that began in a window.
 
     Attributes
     ----------
     window
-        Number of the window.
+        The window's number.
     tenant
         The tenant's name.
     count
-        The requests.
+        Number of requests.
     """
 
     window: UInt64
@@ -29,18 +29,18 @@
 
 @record(131)
 class ServiceLoad(Record):
-    """What a router has in hand for one service.
+    """The load of one service at a router.
 
     Attributes
     ----------
     service
         The service's name.
     in_flight
-        Requests that are at runners.
+        Requests that are in flight at runners.
     waiting
-        Requests that wait to be admitted.
+        Requests that wait for admission.
     rejected
-        Requests that were rejected for want of capacity since the process started.
+        Requests rejected for lack of capacity since the process started.
     """
 
     service: str
@@ -51,35 +51,35 @@
 
 @record(132)
 class UsageReport(Record):
-    """What a router has counted, to the controller that it takes for the primary, and to those that may follow it.
+    """A router's counts, sent to the controller that it believes to be the primary and to that one's standbys.
 
     Attributes
     ----------
     node
         The router's internal HOST:PORT.
     instance_id
-        Random for each run of the router's process.
+        Random identifier of the router process.
     collector_id
-        The collector for which ``base`` holds; 0 before the first reply.
+        The collector to which ``base`` refers; 0 before the first reply.
     sequence
-        Counts the reports of the process, from 1.
+        Sequence number of the report within the process, from 1.
     base
-        The report that the collector was last known to have taken in; the entries are what was counted since.
-        0 for none: then they are all that is held.
+        Sequence number of the last report that the collector is known to have applied; the entries are the counts
+        since that report. 0 for none: then the entries contain all undecided counts.
     sent_at_us
-        The router's monotonic clock in microseconds; the reply repeats it.
+        The router's monotonic clock in microseconds; the reply returns it.
     wall_us
-        The router's wall clock, in microseconds since 1970.
+        The router's wall clock, in microseconds since the Unix epoch.
     round_trip_us
-        The shortest round trip that the router has seen of late; 0 before the first reply.
+        The shortest round trip of the router's recent exchanges; 0 before the first reply.
     complete_through_us
-        True time up to which all that began is counted, in microseconds since 1970.
+        True time up to which all requests are counted, in microseconds since the Unix epoch.
     decided_through
-        The counts of this window and all before it are decided, as far as the router knows.
+        The last decided window that the router knows of; all windows up to it are decided.
     entries
-        What was counted since ``base``.
+        The counts since ``base``.
     loads
-        What the router has in hand now.
+        The router's current load by service.
     """
 
     node: str
@@ -98,24 +98,24 @@
 
 @record(133)
 class UsageReply(Record):
-    """The answer of a controller to a report.
+    """A controller's reply to a report.
 
     Attributes
     ----------
     collector_id
-        Random for each run of a controller's process.
+        Random identifier of the controller process.
     primary
-        The primary's internal HOST:PORT as far as the sender knows, which may be itself; "" where it doesn't.
+        Internal HOST:PORT of the primary that the sender knows of, possibly its own; "" if unknown.
     standbys
-        From the primary: the internal HOST:PORT of each controller that holds the control state besides.
+        From the primary: internal HOST:PORT of each other controller that has the control state.
     sequence
-        The newest report that was taken in of this router's process; 0 for none.
+        Sequence number of the newest applied report of the router process; 0 for none.
     sent_at_us
-        That of the report.
+        The value from the report.
     true_us
-        From the primary: the true time in microseconds since 1970; otherwise 0.
+        From the primary: the true time in microseconds since the Unix epoch. Otherwise 0.
     decided_through
-        The counts of this window and all before it are decided.
+        The last decided window; all windows up to it are decided.
     """
 
     collector_id: UInt64
--- a/tests/duties/test_duties_on_loopback.py
+++ b/tests/duties/test_duties_on_loopback.py
@@ -1,4 +1,4 @@
-"""A controller and a router on loopback beside a platform that takes the calls of duties."""
+"""A controller, a router and a platform that accepts the calls of the duties, on loopback."""
 
 import asyncio
 import time
@@ -27,14 +27,14 @@
         await self.router.start()
         self.addAsyncCleanup(self.router.stop)
 
-    async def within(self, condition):
-        """Wait for what windows of a second bring about."""
+    async def wait_until(self, condition):
+        """Wait for a condition for up to 30 s; usage windows take one second here."""
         async with asyncio.timeout(30):
             while not condition():
                 await asyncio.sleep(0.01)
 
     async def until_answered(self, call, status):
-        """Repeat a call while it is answered 503, which promises that it did nothing; then it has this status."""
+        """Repeat a call while its status is 503, which means that it had no effect; then expect ``status``."""
         async with asyncio.timeout(30):
             while (answer := await call()) == HTTPStatus.SERVICE_UNAVAILABLE:
                 await asyncio.sleep(0.05)
@@ -51,20 +51,20 @@
             await response.read()
             return response.status
 
-    async def test_keys_usage_and_orders(self):
-        # A process that stands still for a moment answers 503: it is sent again, as operators do.
+    async def test_api_keys_usage_reports_and_scale_orders(self):
+        # A controller that was paused for a moment answers 503; operators then send the request again.
         await self.until_answered(lambda: self.put(), HTTPStatus.OK)
-        await self.within(self.router.node.ready)
+        await self.wait_until(self.router.node.ready)
         for _ in range(5):
             await self.until_answered(lambda: self.send(KEY), HTTPStatus.OK)
-        await self.within(lambda: self.router.node.snapshots.configuration_confirmed_at is not None)
+        await self.wait_until(lambda: self.router.node.snapshots.configuration_confirmed_at is not None)
         for key in ("no-key", None):
             await self.until_answered(lambda key=key: self.send(key), HTTPStatus.UNAUTHORIZED)
-        self.assertEqual({got.head("X-Sparloom-Tenant") for got in self.runner.got}, {"first"})
-        self.assertEqual({got.head("Authorization") for got in self.runner.got}, {None})
+        self.assertEqual({request.head("X-Sparloom-Tenant") for request in self.runner.got}, {"first"})
+        self.assertEqual({request.head("Authorization") for request in self.runner.got}, {None})
         log = self.platform.duties
-        await self.within(lambda: sum(counts.get("first", 0) for counts in log.usage.values()) == 5)
-        await self.within(lambda: log.desired == {"s z1": 2})
+        await self.wait_until(lambda: sum(counts.get("first", 0) for counts in log.usage.values()) == 5)
+        await self.wait_until(lambda: log.desired == {"s z1": 2})
         self.assertEqual((log.faults, {call.holder for call in log.accepted}), ([], {"core-1"}))
         async with self.http.get(self.url.replace("configuration", "beliefs")) as response:
             duties = (await response.json())["duties"]
--- a/tests/duties/test_lease.py
+++ b/tests/duties/test_lease.py
@@ -1,4 +1,4 @@
-"""From when on a new holder of the duties may act."""
+"""When a new holder of the duties may make its first call."""
 
 import unittest
 from datetime import timedelta
@@ -9,14 +9,14 @@
 WAIT = 3 * SECOND
 
 
-class FirstAct(unittest.TestCase):
-    def test_a_node_that_follows_another_waits_whatever_it_was_allowed_before(self):
+class EarliestAction(unittest.TestCase):
+    def test_a_node_that_succeeds_another_waits_despite_its_own_earlier_claim(self):
         self.assertEqual(first_act("a", "b", 6 * SECOND, 5 * SECOND, WAIT), 8 * SECOND)
 
-    def test_a_node_that_follows_itself_goes_on(self):
+    def test_a_node_that_succeeds_itself_continues(self):
         self.assertEqual(first_act("a", "a", 6 * SECOND, 7 * SECOND, WAIT), 7 * SECOND)
 
-    def test_a_node_that_follows_itself_and_does_not_know_what_it_was_allowed_waits(self):
+    def test_a_node_that_succeeds_itself_without_a_record_of_its_claim_waits(self):
         self.assertEqual(first_act("a", "a", None, 5 * SECOND, WAIT), 8 * SECOND)
 
 
