--- a/sparloom/controller/job_answers.py
+++ b/sparloom/controller/job_answers.py
@@ -1,4 +1,4 @@
-"""What the job primary answers to one call: a job handed in, shown or cancelled, or the count of a queue."""
+"""Answers of the job primary to routers' calls: submit, cancel or show a job, or count the jobs of a queue."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
     from .job_term import JobTerm
 
-MAXIMUM_ACTIVE_JOBS = 20_000
-MAXIMUM_ENDED_JOBS = 60_000
+MAX_ACTIVE_JOBS = 20_000
+MAX_ENDED_JOBS = 60_000
 
 
 async def answer_call(term: JobTerm, call: JobCall, wake: asyncio.Event) -> JobReply:
-    """Answer a call in a term; ``wake`` is set where something is to be stored."""
+    """Answer a call in a term; sets ``wake`` if there is something to store."""
     if call.action == JobAction.SUBMIT:
         return await _submit(term, call, wake)
     if call.action == JobAction.CANCEL:
@@ -38,39 +38,39 @@
 async def _submit(term: JobTerm, call: JobCall, wake: asyncio.Event) -> JobReply:
     if call.job in term.ended or call.job in term.scheduler.jobs:
         return _reply(call, JobOutcome.OK)
-    if call.job in term.arriving:
-        # The same job came by another connection and is not stored yet.
-        in_next = call.job in term.unstored
-        write = term.next_write if in_next or term.current_write is None else term.current_write
+    if call.job in term.pending:
+        # The same job was submitted on another connection and is not stored yet.
+        in_next_write = call.job in term.unstored
+        write = term.next_write if in_next_write or term.current_write is None else term.current_write
     else:
         parsed = parse_job(call.body)
         specification = parsed.value_or(None)
         if specification is None:
             return _reply(call, JobOutcome.INVALID, text=str(parsed.failure()))
-        if len(term.store.active) >= MAXIMUM_ACTIVE_JOBS or len(term.store.ended) >= MAXIMUM_ENDED_JOBS:
+        if len(term.store.active) >= MAX_ACTIVE_JOBS or len(term.store.ended) >= MAX_ENDED_JOBS:
             return _reply(call, JobOutcome.REJECTED)
         job = Job(call.job, call.queue, call.policy, specification, call.body, wall_clock_ms())
-        term.arriving[job.id] = term.unstored[job.id] = job
+        term.pending[job.id] = term.unstored[job.id] = job
         write = term.next_write
     wake.set()
     return _reply(call, JobOutcome.OK if await asyncio.shield(write) else JobOutcome.UNKNOWN)
 
 
 async def _cancel(term: JobTerm, call: JobCall, wake: asyncio.Event) -> JobReply:
-    if call.job in term.arriving:
-        await _stored(term, wake)
+    if call.job in term.pending:
+        await _wait_until_stored(term, wake)
     job = term.scheduler.jobs.get(call.job)
     if job is None or job.queue != call.queue:
         return _reply(call, JobOutcome.OK if _ended_in_queue(term, call) else JobOutcome.GONE)
     if job.end_stored:
         return _reply(call, JobOutcome.OK)
     term.scheduler.cancel(job)
-    return _reply(call, JobOutcome.OK if await _stored(term, wake) else JobOutcome.UNKNOWN)
+    return _reply(call, JobOutcome.OK if await _wait_until_stored(term, wake) else JobOutcome.UNKNOWN)
 
 
-async def _stored(term: JobTerm, wake: asyncio.Event) -> bool:
-    """Wait until what has changed up to now is stored; return whether it is known to be."""
-    term.awaited = True
+async def _wait_until_stored(term: JobTerm, wake: asyncio.Event) -> bool:
+    """Wait until all current changes are stored; return whether this is confirmed."""
+    term.write_requested = True
     wake.set()
     return await asyncio.shield(term.next_write)
 
@@ -84,12 +84,12 @@
     ended = _ended_in_queue(term, call)
     if ended is not None:
         return _reply(call, JobOutcome.OK, state=ended.state)
-    job = term.scheduler.jobs.get(call.job) or term.arriving.get(call.job)
+    job = term.scheduler.jobs.get(call.job) or term.pending.get(call.job)
     if job is None or job.queue != call.queue:
         return _reply(call, JobOutcome.GONE)
     return _reply(call, JobOutcome.OK, state=JobState.SERVING if job.begun else JobState.QUEUED)
 
 
 def _count_queued(term: JobTerm, queue: str) -> int:
-    """The accepted jobs of a queue of which no task has begun."""
+    """Return the number of accepted jobs of a queue of which no task has started."""
     return sum(job.queue == queue and not job.begun and job.end is None for job in term.scheduler.jobs.values())
--- a/sparloom/controller/job_calls.py
+++ b/sparloom/controller/job_calls.py
@@ -1,4 +1,4 @@
-"""Answers routers' calls about jobs, on connections that routers keep open."""
+"""Serves routers' job calls on persistent connections."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 async def serve_job_calls(
     frames: Frames, first: Record, answer: Callable[[JobCall], Awaitable[JobReply]], stall_timeout: timedelta
 ) -> None:
-    """Answer the calls on one connection, each as soon as its answer is there, until the connection ends.
+    """Answer the calls on one connection concurrently until the connection ends.
 
     Raises
     ------
     OSError, EOFError, DecodeError
-        The connection ended, or what came was no call.
+        The connection ended, or it received data that is not a job call.
     """
     tasks: set[asyncio.Task[None]] = set()
 
--- a/sparloom/controller/job_service.py
+++ b/sparloom/controller/job_service.py
@@ -1,9 +1,9 @@
-"""Jobs on one controller: their storage, the scheduler while this member is the job primary, and routers' calls.
+"""``JobService``: a controller's part of the job system. It stores jobs, runs the scheduler and answers routers' calls.
 
-Jobs have a consensus group of their own among the controllers, with a disk
-file, a port and a primary of its own (``docs/notes/scheduler.md``). Its
-primary stores all jobs in one state, many changes in each write, and orders
-the runners.
+Jobs have a separate consensus group among the controllers, with its own disk
+file, port and primary (``docs/notes/scheduler.md``). The job primary stores all
+jobs in one state, batches the changes of each write, and sends the scheduler's
+orders to the runners.
 """
 
 from __future__ import annotations
@@ -46,26 +46,30 @@
     from sparloom.transport import Frames
 
 DATA_FOLDER = "jobs"
-TICK_S = 0.02
+# Interval of the scheduler's ticks and of the checks for changes to write.
+TICK_INTERVAL_S = 0.02
+# Polling interval while this member does not lead.
 IDLE_PAUSE_S = 0.05
-# The platform's list is read so often, in seconds, and a call for a page may take so long.
+# Interval of reading the platform's list of runners.
 LIST_INTERVAL_S = 1.0
+# Timeout of the request for one page of the list.
 LIST_TIMEOUT_S = 1.0
-# Ended jobs are shown for longer than is asked for by this.
-KEPT_MARGIN = timedelta(seconds=30)
-# Tasks that are stalled are logged so often, in seconds, and at most so many of them.
-STALLED_INTERVAL_S = 5.0
-LOGGED_STALLED_TASKS = 5
-# A write that is not over by then is looked at again.
+# Ended jobs are retained for this time beyond the configured status bound.
+ENDED_JOB_RETENTION_MARGIN = timedelta(seconds=30)
+# Interval of the log messages about stalled tasks.
+STALLED_LOG_INTERVAL_S = 5.0
+# Maximum number of stalled tasks that are logged in each interval.
+MAX_LOGGED_STALLED_TASKS = 5
+# Timeout of a write attempt; after it, the service checks whether the term still holds and writes again.
 WRITE_TIMEOUT = timedelta(seconds=5)
-# A term waits for so long for this member to lead again; what runs is still held by then.
+# Maximum time that a term waits for this member to lead again. The runners still hold their tasks by then.
 RESUME_TIMEOUT = timedelta(seconds=3)
 CONFIRM_TIMEOUT = timedelta(seconds=1)
 STALL_TIMEOUT = timedelta(seconds=2)
 
 
 class JobService(Service):
-    """One controller's part in keeping and running jobs.
+    """Stores and schedules jobs while this member is the primary of the jobs' consensus group.
 
     Attributes
     ----------
@@ -74,7 +78,7 @@
     consensus : ConsensusService
         This controller's member of the jobs' consensus group.
     evacuated_zones : callable
-        Gives the evacuated zones as this controller knows them; None before it knows any control state.
+        Returns the evacuated zones that this controller knows of; None before it has any control state.
     """
 
     def __init__(
@@ -89,37 +93,37 @@
 
     @staticmethod
     def _group_settings(settings: Settings) -> Settings:
-        """The settings of the jobs' group: another port and another folder."""
+        """Return the settings of the jobs' group, which uses a different port and data directory."""
         folder = os.path.join(settings.data or "", DATA_FOLDER)
         return evolve(settings, ports=(settings.job_port, settings.ports[1]), data=folder)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Goes by other checked settings from now on."""
+        """Apply changed settings that have been validated."""
         self.settings = settings
         self.consensus.apply_settings(self._group_settings(settings))
 
     async def on_start(self) -> None:
-        """Starts the consensus group's member."""
+        """Start this controller's member of the jobs' consensus group."""
         if self.settings.orders != ORDERS_BY_CALL:
-            logging.warning("jobs: refused, since orders=%r is not known here", self.settings.orders)
+            logging.warning("jobs: rejecting all job calls, unsupported setting orders=%r", self.settings.orders)
         await self.add_runtime_dependency(self.consensus)
 
     async def on_stop(self) -> None:
-        """Ends the term, if there is one."""
+        """End the current term, if there is one."""
         await self._end_term()
 
     def _on_committed(self, data: Data) -> None:
-        """The group has committed a state; the write's caller takes note of it."""
+        """Ignore a committed state: the caller of the write handles the result."""
 
     # -- terms --------------------------------------------------------------------
-    def _active(self) -> JobTerm | None:
-        """The term, if this member is still its primary."""
+    def _active_term(self) -> JobTerm | None:
+        """Return the term if this member still leads in its epoch."""
         term = self._term
         return term if term is not None and self.consensus.leading_epoch() == term.epoch else None
 
     @Service.task
-    async def _lead(self) -> None:
-        """Begins and ends terms, and writes what has changed."""
+    async def _run_terms(self) -> None:
+        """Start and end terms, and write changes."""
         while not self.should_stop:
             epoch, term = self.consensus.leading_epoch(), self._term
             if term is not None and (term.scheduler.deposed or not await self._resume(term)):
@@ -132,15 +136,15 @@
                 await asyncio.sleep(IDLE_PAUSE_S)
 
     async def _begin_term(self, epoch: int) -> None:
-        """Stores a new term, then takes up what the last one has stored."""
+        """Store a new term number, then load the jobs that the previous term stored."""
         data = await self.consensus.confirm(CONFIRM_TIMEOUT)
-        # Without the control state, a task might be started in a zone that is evacuated.
+        # Without the control state, the scheduler might start a task in an evacuated zone.
         if data is None or self.consensus.leading_epoch() != epoch or self.evacuated_zones() is None:
             await asyncio.sleep(IDLE_PAUSE_S)
             return
         store = JobStore.load(data.blob)
         store.term += 1
-        # The fence must be on the disks before a runner sees it: the next primary goes above it.
+        # The term is the fencing token. It must be durable before a runner sees it, so that the next term is higher.
         written = await self.consensus.write(0, store.blob(), WRITE_TIMEOUT)
         if written is None or self.consensus.leading_epoch() != epoch:
             await asyncio.sleep(IDLE_PAUSE_S)
@@ -153,26 +157,26 @@
         self._term = JobTerm(epoch, store, scheduler, calls, ended=dict(store.ended))
         for job in store.jobs():
             scheduler.add(job)
-        logging.info("jobs: term began term=%d active=%d ended=%d", store.term, len(store.active), len(store.ended))
+        logging.info("jobs: term started term=%d active=%d ended=%d", store.term, len(store.active), len(store.ended))
 
     async def _resume(self, term: JobTerm) -> bool:
-        """Returns whether a term goes on: at once while this member leads, else once it leads again.
+        """Return whether a term continues: immediately while this member leads, otherwise once it leads again.
 
-        A member leads again in a new epoch when the group's view changes. Had another one ordered
-        runners meanwhile, it would have stored a term of its own before.
+        After a view change, a member may lead again in a new epoch. If another member had sent orders to runners
+        in between, it would have stored its own term first.
         """
         if self.consensus.leading_epoch() == term.epoch:
             return True
-        gives_up_at = monotonic() + RESUME_TIMEOUT
-        while monotonic() < gives_up_at and not self.should_stop:
+        resume_deadline = monotonic() + RESUME_TIMEOUT
+        while monotonic() < resume_deadline and not self.should_stop:
             epoch = self.consensus.leading_epoch()
             data = await self.consensus.confirm(CONFIRM_TIMEOUT) if epoch is not None else None
             if epoch is None or data is None or self.consensus.leading_epoch() != epoch:
-                await asyncio.sleep(TICK_S)
+                await asyncio.sleep(TICK_INTERVAL_S)
                 continue
             if JobStore.load(data.blob).term != term.store.term:
                 return False
-            logging.info("jobs: term goes on term=%d", term.store.term)
+            logging.info("jobs: term continues term=%d", term.store.term)
             term.epoch = epoch
             deferred, term.deferred = term.deferred, []
             for event in deferred:
@@ -192,44 +196,46 @@
 
     # -- storing ------------------------------------------------------------------
     async def _write_changes(self, term: JobTerm) -> None:
-        """Stores what has changed since the last write, all of it in one."""
+        """Store all changes since the last write in one write."""
         changes = term.scheduler.take_changes()
-        if changes is None and not term.unstored and not term.awaited:
+        if changes is None and not term.unstored and not term.write_requested:
             self._wake.clear()
             try:
-                async with asyncio.timeout(TICK_S):
+                async with asyncio.timeout(TICK_INTERVAL_S):
                     await self._wake.wait()
             except TimeoutError:
                 pass
             return
-        arrived, term.unstored = term.unstored, {}
+        new_jobs, term.unstored = term.unstored, {}
         changed = {job.id: job for job in changes.jobs} if changes else {}
         write, term.next_write = term.next_write, asyncio.get_running_loop().create_future()
-        term.awaited = False
+        term.write_requested = False
         term.current_write = write
-        if arrived or changed:
+        if new_jobs or changed:
             now_ms = wall_clock_ms()
-            for job in (arrived | changed).values():
+            for job in (new_jobs | changed).values():
                 term.store.put(job, now_ms)
-            term.store.forget(now_ms - int((self.settings.jobs.status + KEPT_MARGIN).total_seconds() * 1000))
+            term.store.forget(
+                now_ms - int((self.settings.jobs.status + ENDED_JOB_RETENTION_MARGIN).total_seconds() * 1000)
+            )
             if not await self._write(term):
                 return
-        self._on_stored(term, arrived, changes)
+        self._on_stored(term, new_jobs, changes)
         if not write.done():
             write.set_result(True)
 
     async def _write(self, term: JobTerm) -> bool:
-        """Writes the store, again and again while the term goes on; returns whether it is stored."""
+        """Write the store, with retries while the term continues; return whether it was committed."""
         blob = term.store.blob()
         while self._term is term and not term.scheduler.deposed and await self._resume(term):
-            if await self.consensus.write(0, blob, WRITE_TIMEOUT) is not None and self._active() is term:
+            if await self.consensus.write(0, blob, WRITE_TIMEOUT) is not None and self._active_term() is term:
                 return True
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
         return False
 
     @staticmethod
     def _log_failures(term: JobTerm, changes: Changes) -> None:
-        """Tells of each attempt that was counted: the only way to a job that is shown as failed."""
+        """Log each counted failure of an attempt; only these failures can fail a job."""
         for failure in changes.failures:
             logging.info(
                 "jobs: attempt failed task=%s run=%d runner=%s term=%d count=%d of=%d",
@@ -243,7 +249,7 @@
 
     @staticmethod
     def _log_dropped_runs(term: JobTerm) -> None:
-        """Tells of each run that was given up without an end, and what was known of it."""
+        """Log each run that was dropped before it ended, with its last known state."""
         for run in term.scheduler.take_dropped_runs():
             logging.info(
                 "jobs: run dropped reason=%s task=%s run=%d runner=%s phase=%s unanswered=%s ordered_s=%.3f"
@@ -259,9 +265,9 @@
                 run.hold_left_s,
             )
 
-    def _on_stored(self, term: JobTerm, arrived: dict[int, Job], changes: Changes | None) -> None:
-        for job in arrived.values():
-            if term.arriving.pop(job.id, None) is not None:
+    def _on_stored(self, term: JobTerm, new_jobs: dict[int, Job], changes: Changes | None) -> None:
+        for job in new_jobs.values():
+            if term.pending.pop(job.id, None) is not None:
                 term.scheduler.add(job)
         if changes is not None:
             self._log_failures(term, changes)
@@ -271,9 +277,9 @@
         if len(term.ended) > len(term.store.ended):
             term.ended = {job_id: ended for job_id, ended in term.ended.items() if job_id in term.store.ended}
 
-    # -- the scheduler --------------------------------------------------------------
+    # -- the scheduler ------------------------------------------------------------
     def _on_event(self, event: Event) -> None:
-        term = self._active()
+        term = self._active_term()
         if term is None:
             if self._term is not None:
                 self._term.deferred.append(event)
@@ -286,8 +292,8 @@
     @Service.task
     async def _tick(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(TICK_S)
-            term = self._active()
+            await asyncio.sleep(TICK_INTERVAL_S)
+            term = self._active_term()
             if term is None:
                 continue
             zones = self.evacuated_zones()
@@ -301,12 +307,12 @@
     @Service.task
     async def _log_stalled_tasks(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(STALLED_INTERVAL_S)
-            term = self._active()
+            await asyncio.sleep(STALLED_LOG_INTERVAL_S)
+            term = self._active_term()
             if term is None:
                 continue
             stalled = stalled_tasks(term.scheduler.jobs.values(), monotonic().total_seconds())
-            for task in itertools.islice(stalled, LOGGED_STALLED_TASKS):
+            for task in itertools.islice(stalled, MAX_LOGGED_STALLED_TASKS):
                 logging.warning(
                     "scheduler: task is stalled task=%s state=%s runner=%s for_ms=%d",
                     task.name,
@@ -317,30 +323,30 @@
 
     @Service.task
     async def _list_runners(self) -> None:
-        """Reads the platform's list while this member is the job primary."""
+        """Read the platform's list of runners while this member is the job primary."""
         platform = self.settings.cloud
         if platform is None:
             return
         async with open_session(Connector(), timeout=aiohttp.ClientTimeout(total=LIST_TIMEOUT_S)) as session:
             while not self.should_stop:
-                term = self._active()
+                term = self._active_term()
                 if term is None:
                     await asyncio.sleep(IDLE_PAUSE_S)
                     continue
                 runners = await read_all_pages(session, f"http://{platform.address}/instances")
-                if runners is not None and self._active() is term:
+                if runners is not None and self._active_term() is term:
                     self._on_event(RunnersListed(tuple(runners)))
                 await asyncio.sleep(LIST_INTERVAL_S if runners is not None else IDLE_PAUSE_S * 4)
 
-    # -- routers' calls ---------------------------------------------------------------
+    # -- routers' calls -----------------------------------------------------------
     async def _serve(self, frames: Frames, first: Record) -> None:
         await serve_job_calls(frames, first, self.answer, STALL_TIMEOUT)
 
     async def answer(self, call: JobCall) -> JobReply:
-        """Answers one call; only the job primary does, and any other member names it."""
+        """Answer one call; a member that is not the job primary replies with the primary's address."""
         if self.settings.orders != ORDERS_BY_CALL:
             return JobReply(call.number, JobOutcome.REJECTED, 0, 0, "")
-        term = self._active()
+        term = self._active_term()
         if term is None:
             return self._not_primary(call)
         return await answer_call(term, call, self._wake)
@@ -348,6 +354,6 @@
     def _not_primary(self, call: JobCall) -> JobReply:
         member = self.consensus.member
         primary = member.primary()
-        known = primary is not None and primary.id != member.member.id
-        address = f"{primary.host}:{primary.port}" if primary is not None and known else ""
+        is_other = primary is not None and primary.id != member.member.id
+        address = f"{primary.host}:{primary.port}" if primary is not None and is_other else ""
         return JobReply(call.number, JobOutcome.NOT_PRIMARY, 0, 0, address)
--- a/sparloom/controller/job_term.py
+++ b/sparloom/controller/job_term.py
@@ -1,4 +1,4 @@
-"""The state of one term of a job primary, and the time of day that goes into what it stores."""
+"""``JobTerm``: the state of one term of a job primary; and the wall clock used in stored jobs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def wall_clock_ms() -> int:
-    """Return the time of day, in milliseconds since 1970.
+    """Return the wall-clock time in milliseconds since the Unix epoch.
 
     >>> wall_clock_ms() > 1_600_000_000_000
     True
@@ -28,38 +28,38 @@
 
 @define(slots=True, eq=False)
 class JobTerm:
-    """What lives as long as a member is the job primary without a break.
+    """The state of one uninterrupted term of a member as the job primary.
 
     Attributes
     ----------
     epoch
-        The epoch of the consensus group; it may change while this member goes on to lead.
+        The epoch of the consensus group; it may change while this member remains the primary.
     store
-        The bytes of all jobs, those that are not stored yet included.
+        All jobs to store, including those that are not committed yet.
     scheduler, calls
-        Decide where tasks run, and carry it out.
-    arriving
-        Jobs that are not stored yet, by id.
+        The scheduler decides where tasks run; the calls carry out its instructions.
+    pending
+        Submitted jobs that are not stored yet, by id.
     ended
-        Jobs whose end is stored, by id: what clients are shown.
+        Jobs whose end is stored, by id; clients see these as ended.
     unstored
-        Jobs that the next write takes.
+        Submitted jobs that the next write includes, by id.
     deferred
-        Events that came while this member did not lead.
+        Events that were received while this member did not lead.
     next_write, current_write
-        Resolved with whether the next write, or the one under way, has been stored.
-    awaited
-        Whether somebody waits for the next write, even if it has nothing to store.
+        Futures that resolve to whether the next write, or the one in progress, was stored.
+    write_requested
+        Whether a caller waits for the next write, even if there is nothing to store.
     """
 
     epoch: int
     store: JobStore
     scheduler: Scheduler
     calls: RunnerCalls
-    arriving: dict[int, Job] = field(factory=dict)
+    pending: dict[int, Job] = field(factory=dict)
     ended: dict[int, EndedJob] = field(factory=dict)
     unstored: dict[int, Job] = field(factory=dict)
     deferred: list[Event] = field(factory=list)
     next_write: asyncio.Future[bool] = field(factory=lambda: asyncio.get_running_loop().create_future())
-    awaited: bool = False
+    write_requested: bool = False
     current_write: asyncio.Future[bool] | None = None
--- a/sparloom/controller/runner_calls.py
+++ b/sparloom/controller/runner_calls.py
@@ -1,4 +1,4 @@
-"""Carries the scheduler's instructions to the runners, and brings their answers back as events."""
+"""``RunnerCalls``: sends the scheduler's instructions to the runners and returns the answers as events."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
 START_PATH = "/-/run-start"
 STOP_PATH = "/-/run-stop"
 HOLD_PATH = "/-/hold"
-EXPECTED_INSTANCE = "X-Sparloom-Expected-Instance"
-# An order that is not answered within so many seconds counts as unanswered.
+EXPECTED_INSTANCE_HEADER = "X-Sparloom-Expected-Instance"
+# Timeout of an order to start or stop a run; after it the order counts as unanswered.
 ORDER_TIMEOUT_S = 0.5
-# Beyond the time that a runner may wait for an end.
-HOLD_TIMEOUT_S = 0.5
-# A connection that rests longer than this is not used again: runners close theirs after a while.
-IDLE_CONNECTION_S = 1.5
-# Ends beyond these come with the next list.
-ENDS_AT_ONCE = 500
+# Timeout of a hold call, in addition to the time that the runner may wait for a run to end.
+HOLD_TIMEOUT_MARGIN_S = 0.5
+# Idle connections are not reused after this time, because runners close idle connections.
+IDLE_CONNECTION_TIMEOUT_S = 1.5
+# Maximum number of ended runs in one answer; the next answer contains further ones.
+MAX_ENDS_PER_ANSWER = 500
 NO_ANSWER = 0
 
 CALL_ERRORS = (aiohttp.ClientError, OSError, TimeoutError, ValueError)
@@ -61,24 +61,24 @@
 
 
 class RunnerCalls:
-    """The calls to runners of one term.
+    """The calls to runners in one term.
 
     Parameters
     ----------
     term
-        The fence of every call.
+        The fencing token of every call.
     on_event
-        Is given each answer.
+        Called with the event for each answer or failure.
     """
 
     def __init__(self, term: int, on_event: Callable[[Event], None]) -> None:
         self.term, self.on_event = term, on_event
-        connector = Connector(limit=0, keepalive_timeout=IDLE_CONNECTION_S)
+        connector = Connector(limit=0, keepalive_timeout=IDLE_CONNECTION_TIMEOUT_S)
         self.session = open_session(connector, timeout=aiohttp.ClientTimeout(total=None))
         self._tasks: set[asyncio.Task[None]] = set()
 
     def carry_out(self, instruction: Instruction) -> None:
-        """Begin a call; its answer comes as an event."""
+        """Start the call for an instruction; its answer is passed to ``on_event``."""
         if isinstance(instruction, StartRun):
             call = self._start(instruction)
         elif isinstance(instruction, StopRun):
@@ -90,7 +90,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """End all calls under way, and close the connections."""
+        """Cancel all calls in progress, and close the connections."""
         for task in list(self._tasks):
             task.cancel()
         await self.session.close()
@@ -98,14 +98,14 @@
     async def _post(
         self, address: str, path: str, runner: str, body: dict[str, Any], timeout_s: float
     ) -> tuple[int, dict[str, Any]]:
-        """Return the status and the JSON object of an answer; an empty object where there is none.
+        """Return the status and the JSON object of the answer; an empty object if the body has none.
 
         Raises
         ------
         aiohttp.ClientError, OSError, TimeoutError, ValueError
-            No answer came, or none that can be read.
+            There was no answer, or it could not be parsed.
         """
-        headers = {"Content-Type": "application/json", EXPECTED_INSTANCE: runner}
+        headers = {"Content-Type": "application/json", EXPECTED_INSTANCE_HEADER: runner}
         raw = json.dumps(body, separators=(",", ":")).encode()
         async with (
             asyncio.timeout(timeout_s),
@@ -157,7 +157,7 @@
             body["deadlineMs"] = order.deadline_ms
         if order.wait_ms:
             body["waitMs"] = order.wait_ms
-        timeout_s = order.wait_ms / 1000 + HOLD_TIMEOUT_S
+        timeout_s = order.wait_ms / 1000 + HOLD_TIMEOUT_MARGIN_S
         try:
             status, document = await self._post(order.address, HOLD_PATH, order.runner, body, timeout_s)
             self.on_event(self._hold_event(order.runner, status, document))
@@ -176,4 +176,4 @@
         ends = tuple(
             TaskEnd(item[0], item[1], item[2], item[3], item[4] or "") for item in document.get("endTime") or ()
         )
-        return HoldAnswered(runner, float(document["clockMs"]), running, ends, complete=len(ends) < ENDS_AT_ONCE)
+        return HoldAnswered(runner, float(document["clockMs"]), running, ends, complete=len(ends) < MAX_ENDS_PER_ANSWER)
--- a/sparloom/controller/runner_list.py
+++ b/sparloom/controller/runner_list.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of runners as the scheduler needs it."""
+"""Reads the platform's list of runners for the scheduler."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def read_all_pages(session: aiohttp.ClientSession, url: str) -> list[RunnerListing] | None:
-    """Read all pages of the list; None where one can't be had."""
+    """Return the runners of all pages of the list; None if a page can't be read."""
     runners: list[RunnerListing] = []
     token: str | None = None
     try:
@@ -30,5 +30,5 @@
             if token is None:
                 return runners
     except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
-        logging.debug("jobs: the list of runners failed error=%s", type(error).__name__)
+        logging.debug("jobs: reading the list of runners failed error=%s", type(error).__name__)
         return None
--- a/tests/jobs/__init__.py
+++ b/tests/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of jobs over the whole way: router, controller, runners."""
+"""End-to-end tests of jobs: router, controller and runners."""
--- a/tests/jobs/test_jobs_on_loopback.py
+++ b/tests/jobs/test_jobs_on_loopback.py
@@ -1,7 +1,7 @@
-"""Regression: a deployment for jobs accepts a job, keeps it, runs each task once and shows it as completed.
+"""Regression: a job deployment accepts a job, stores it, runs each task once and shows it as completed.
 
-Symptom, sequence and cause: see ``test_unknown_deployment``. A router, a controller, a platform and runners
-on loopback, without simulated time; the runners' own log tells what ran where.
+``test_unknown_deployment`` describes the fault. The test runs a router, a controller, a platform and runners on
+loopback in real time; the runners' log shows which tasks ran where.
 """
 
 import asyncio
@@ -21,41 +21,45 @@
 
 QUEUE = route("queue", "/q/", routeKind="unsafe", maxAttempts=3)
 POLICY = {"revision": 1, "routes": [QUEUE], "services": [{"name": "s", "rejectsOverload": True}]}
-STATES_WITHOUT_MORE = ("completed", "failed", "cancelled")
+FINAL_STATES = ("completed", "failed", "cancelled")
 
 
 class Deployment:
-    """One controller, one router and some runners, on loopback."""
+    """One controller, one router, a platform and some runners, on loopback."""
 
     def __init__(self, runners=2, work=lambda _task: Work()):
         self.log = RunLog()
-        self.runners = [TaskRunner(f"i-{i}", "s", self.log, work=work) for i in range(runners)]
+        self.runners = [TaskRunner(f"i-{number}", "s", self.log, work=work) for number in range(runners)]
         self.folder = tempfile.TemporaryDirectory()
 
     async def __aenter__(self):
         for runner in self.runners:
             await runner.start()
         self.platform = await Platform([runner.entry() for runner in self.runners]).start()
-        inner, control, front, ready = free_ports(4)
+        internal, control, front, readiness = free_ports(4)
         base = {
             **STARTUP,
             "deployment": "sched",
             "orders": "call",
-            "internalPortRange": [inner, inner + 9],
+            "internalPortRange": [internal, internal + 9],
             "seedNodes": [f"127.0.0.1:{control}"],
             "bounds": {"contactMs": 600, "holdLimitMs": 1500, "stop_ms": 200, "gang_ms": 1000, "status_s": 120},
             "cloudApi": {"address": f"127.0.0.1:{self.platform.port}", "ratePerS": 100},
         }
-        core = {"nodeName": "core-1", "firstStart": True, "dataDirectory": self.folder.name}
-        listen = {"listenAddresses": {"control": f"127.0.0.1:{control}"}}
-        self.core_settings = from_dict({**base, **core, **listen}).unwrap()
-        edge = {"listenAddresses": {"front": f"127.0.0.1:{front}", "readiness": f"127.0.0.1:{ready}"}}
-        self.router = Router(from_dict({**base, **edge}).unwrap(), "/nowhere")
+        controller_identity = {
+            "nodeName": "core-1",
+            "firstStart": True,
+            "dataDirectory": self.folder.name,
+        }
+        controller_addresses = {"listenAddresses": {"control": f"127.0.0.1:{control}"}}
+        self.controller_settings = from_dict({**base, **controller_identity, **controller_addresses}).unwrap()
+        router_addresses = {"listenAddresses": {"front": f"127.0.0.1:{front}", "readiness": f"127.0.0.1:{readiness}"}}
+        self.router = Router(from_dict({**base, **router_addresses}).unwrap(), "/nowhere")
         self.url, self.control = f"http://127.0.0.1:{front}", f"http://127.0.0.1:{control}/-/configuration"
         self.http = aiohttp.ClientSession()
         await self.start_controller()
         await self.router.start()
-        await self.until_configured()
+        await self.wait_until_configured()
         return self
 
     async def __aexit__(self, *exc):
@@ -68,10 +72,10 @@
         self.folder.cleanup()
 
     async def start_controller(self):
-        self.controller = Controller(self.core_settings, "/nowhere")
+        self.controller = Controller(self.controller_settings, "/nowhere")
         await self.controller.start()
 
-    async def until_configured(self):
+    async def wait_until_configured(self):
         async with asyncio.timeout(10):
             while True:
                 async with self.http.put(self.control, json=POLICY, headers={"If-Match": "0"}) as response:
@@ -88,9 +92,9 @@
             raw = await response.read()
             return response.status, json.loads(raw) if raw[:1] == b"{" else {}
 
-    async def submit(self, job, steps, spec="(text)"):
+    async def submit(self, job, steps, task_spec="(text)"):
         async with asyncio.timeout(10):
-            while (status := (await self.call("POST", f"/q/{job}", {"taskSpec": spec, "steps": steps}))[0]) == 503:
+            while (status := (await self.call("POST", f"/q/{job}", {"taskSpec": task_spec, "steps": steps}))[0]) == 503:
                 await asyncio.sleep(0.05)
         return status
 
@@ -98,7 +102,7 @@
         async with asyncio.timeout(10):
             while True:
                 _, body = await self.call("GET", f"/q/{job}")
-                if body.get("state") in STATES_WITHOUT_MORE:
+                if body.get("state") in FINAL_STATES:
                     return body["state"]
                 await asyncio.sleep(0.02)
 
