--- a/tests/duties/test_duties_on_loopback.py
+++ b/tests/duties/test_duties_on_loopback.py
@@ -33,7 +33,7 @@
             while not condition():
                 await asyncio.sleep(0.01)
 
-    async def until_answered(self, call, status):
+    async def retry_while_unavailable(self, call, status):
         """Repeat a call while its status is 503, which means that it had no effect; then expect ``status``."""
         async with asyncio.timeout(30):
             while (answer := await call()) == HTTPStatus.SERVICE_UNAVAILABLE:
@@ -53,13 +53,13 @@
 
     async def test_api_keys_usage_reports_and_scale_orders(self):
         # A controller that was paused for a moment answers 503; operators then send the request again.
-        await self.until_answered(lambda: self.put(), HTTPStatus.OK)
+        await self.retry_while_unavailable(lambda: self.put(), HTTPStatus.OK)
         await self.wait_until(self.router.node.ready)
         for _ in range(5):
-            await self.until_answered(lambda: self.send(KEY), HTTPStatus.OK)
+            await self.retry_while_unavailable(lambda: self.send(KEY), HTTPStatus.OK)
         await self.wait_until(lambda: self.router.node.snapshots.configuration_confirmed_at is not None)
         for key in ("no-key", None):
-            await self.until_answered(lambda key=key: self.send(key), HTTPStatus.UNAUTHORIZED)
+            await self.retry_while_unavailable(lambda key=key: self.send(key), HTTPStatus.UNAUTHORIZED)
         self.assertEqual({request.head("X-Sparloom-Tenant") for request in self.runner.got}, {"first"})
         self.assertEqual({request.head("Authorization") for request in self.runner.got}, {None})
         log = self.platform.duties
--- a/tests/duties/test_scaling.py
+++ b/tests/duties/test_scaling.py
@@ -15,7 +15,7 @@
 
 
 class ScalePolicyTest(unittest.TestCase):
-    def play(self, demands, initial=3):
+    def simulate(self, demands, initial=3):
         """Return the number ordered for zone a after each second; an order takes effect immediately."""
         policy, ordered, ordered_counts = ScalePolicy(), {"a": initial, "b": initial}, []
         for second, demand in enumerate(demands):
@@ -24,19 +24,19 @@
         return ordered_counts
 
     def test_scales_down_after_the_stabilisation_period(self):
-        self.assertEqual(self.play([1] * 32), [3] * 30 + [2] * 2)
+        self.assertEqual(self.simulate([1] * 32), [3] * 30 + [2] * 2)
 
     def test_scales_down_sooner_without_requests(self):
-        self.assertEqual(self.play([0] * 8), [3] * 6 + [2] * 2)
+        self.assertEqual(self.simulate([0] * 8), [3] * 6 + [2] * 2)
 
     def test_a_short_burst_does_not_scale_up(self):
-        self.assertEqual(self.play([18, 18, 80, 80, 18, 18, 18, 18]), [3] * 8)
+        self.assertEqual(self.simulate([18, 18, 80, 80, 18, 18, 18, 18]), [3] * 8)
 
     def test_sustained_demand_scales_up_to_the_lowest_recent_requirement(self):
-        self.assertEqual(self.play([50, 60, 70, 55])[-1], 6)
+        self.assertEqual(self.simulate([50, 60, 70, 55])[-1], 6)
 
     def test_sustained_demand_after_low_demand_scales_up(self):
-        self.assertEqual(self.play([1] * 10 + [50] * 5), [3] * 13 + [6] * 2)
+        self.assertEqual(self.simulate([1] * 10 + [50] * 5), [3] * 13 + [6] * 2)
 
     def test_observations_older_than_the_stabilisation_period_are_dropped(self):
         policy = ScalePolicy()
@@ -45,11 +45,11 @@
         self.assertEqual(len(policy._observations), SCALE_DOWN_STABILISATION // SECOND + 1)
 
     def test_demand_that_returns_within_the_stabilisation_period_prevents_scaling_down(self):
-        self.assertEqual(self.play([27, 0, 0, 0, 27, 0, 0, 0, 27]), [3] * 9)
-        self.assertEqual(self.play([27] + [9] * 20 + [27] + [9] * 20), [3] * 42)
+        self.assertEqual(self.simulate([27, 0, 0, 0, 27, 0, 0, 0, 27]), [3] * 9)
+        self.assertEqual(self.simulate([27] + [9] * 20 + [27] + [9] * 20), [3] * 42)
 
     def test_the_number_of_runners_stays_within_the_limits(self):
-        self.assertEqual(self.play([9000] * 4)[-1], 9)
+        self.assertEqual(self.simulate([9000] * 4)[-1], 9)
         self.assertEqual(required_per_zone(service(), 0), 2)
 
     def test_a_zone_without_an_order_uses_its_listed_runners(self):
