--- a/sparloom/scheduler/__init__.py
+++ b/sparloom/scheduler/__init__.py
@@ -1,5 +1,6 @@
-"""Jobs: what clients hand in, where their tasks run, and what is kept of them.
+"""Batch jobs: parsing, scheduling of their tasks on runners, and their stored state.
 
-State machines and values without I/O. ``controller.job_service`` carries out
-what they decide, and ``router.job_requests`` hands clients' calls to it.
+State machines and values without I/O. ``controller.job_service`` executes
+the scheduler's instructions, and ``router.job_requests`` forwards clients'
+calls to it.
 """
--- a/sparloom/scheduler/events.py
+++ b/sparloom/scheduler/events.py
@@ -1,6 +1,8 @@
-"""What the scheduler is told, and what it asks for.
+"""The scheduler's input events and output instructions.
 
-Times are seconds of the monotonic clock, but for those that end in ``_ms``.
+Times are seconds of the monotonic clock, except those whose names end in ``_ms``.
+A *hold* is a lease on everything that runs on a runner: when its deadline passes on the runner's clock, the runner
+ends its runs. An *end* is a runner's record that a run has ended; the runner lists it until it is acknowledged.
 """
 
 from __future__ import annotations
@@ -14,52 +16,52 @@
     from .runners import RunnerListing
 
 
-# -- what it is told ------------------------------------------------------------
+# -- events ---------------------------------------------------------------------
 @define(frozen=True, slots=True)
 class RunnersListed:
-    """The platform's complete list has come."""
+    """The platform's complete list of runners was received."""
 
     runners: tuple[RunnerListing, ...]
 
 
 @define(frozen=True, slots=True)
 class ZonesEvacuated:
-    """The operators' orders have changed: these zones are evacuated, and no others."""
+    """The set of evacuated zones has changed; ``zones`` is the complete new set."""
 
     zones: frozenset[str]
 
 
 class StartResult(Enum):
-    """How a runner answered an order to start a run."""
+    """A runner's answer to a start request."""
 
     STARTED = auto()
-    # It has not started and never will by this order.
+    # The run has not started, and this request will never start it.
     NO_CAPACITY = auto()
     TOO_LATE = auto()
     UNHEALTHY = auto()
     UNREACHABLE = auto()
-    # The run has been there, or a later one.
+    # The runner has already had this run or a later one of the task.
     OLD = auto()
-    # A later primary orders this runner.
+    # The runner has seen the fencing token of a later primary.
     FENCED = auto()
-    # The address belongs to another instance by now.
+    # The address now belongs to another instance.
     REPLACED = auto()
-    # The order may be carried out yet.
+    # The outcome is unknown; the runner may still carry the request out.
     NO_ANSWER = auto()
 
 
 @define(frozen=True, slots=True)
 class StartAnswered:
-    """An order to start has been answered, or not.
+    """A start request was answered, or timed out.
 
     Attributes
     ----------
     runner, task, number
-        Of the order.
+        The run that was to be started.
     result
-        How it was answered.
+        The runner's answer.
     clock_ms
-        The runner's clock; 0 where it did not tell.
+        The runner's clock; 0 if the answer did not contain it.
     """
 
     runner: str
@@ -71,16 +73,16 @@
 
 @define(frozen=True, slots=True)
 class StopAnswered:
-    """An order to stop has been answered, or not.
+    """A stop request was answered, or timed out.
 
     Attributes
     ----------
     runner, task, number
-        Of the order.
+        The run that was to be stopped.
     confirmed
-        Whether the runner has taken it: the run ends, and if it isn't there, it never begins.
+        Whether the runner accepted it: the run ends, and a run that has not started never starts.
     fenced
-        Whether a later primary orders this runner.
+        Whether the runner has seen the fencing token of a later primary.
     """
 
     runner: str
@@ -92,7 +94,7 @@
 
 @define(frozen=True, slots=True)
 class RunningTask:
-    """A run that a runner lists as under way."""
+    """A run that a runner lists as running."""
 
     task: str
     number: int
@@ -101,18 +103,18 @@
 
 @define(frozen=True, slots=True)
 class TaskEnd:
-    """An end that a runner lists.
+    """The record of an ended run, as a runner lists it.
 
     Attributes
     ----------
     sequence
-        The runner's number of the end.
+        Position in the runner's sequence of ends.
     task, number
-        Which run ended.
+        The run that ended.
     how
         ``done``, ``failed``, ``stopped``, ``lapsed``, ``broken`` or ``alone``.
     checkpoint
-        What it has saved.
+        The newest checkpoint of the run, or empty.
     """
 
     sequence: int
@@ -124,18 +126,18 @@
 
 @define(frozen=True, slots=True)
 class HoldAnswered:
-    """A runner has listed what runs there and what has ended.
+    """A runner has answered a hold call with its running and ended runs.
 
     Attributes
     ----------
     runner
-        Which one.
+        Id of the runner.
     clock_ms
-        What its clock showed.
+        The runner's clock when it answered.
     running, ends
-        What it lists.
+        The listed runs and ends.
     complete
-        Whether it lists all of its ends, and not only as many as one answer holds.
+        False if the runner has more ends than one answer can contain.
     """
 
     runner: str
@@ -146,32 +148,32 @@
 
 
 class DropReason(Enum):
-    """Why a run was given up without an end."""
+    """Why a run was dropped without an end."""
 
     REJECTED = "rejected"
-    NEVER_BEGAN = "never began"
+    NEVER_STARTED = "never began"
     HOLD_LAPSED = "hold lapsed"
     REPLACED = "runner replaced"
 
 
 @define(frozen=True, slots=True)
 class DroppedRun:
-    """A run that was given up without an end, for the log.
+    """A run that was dropped without an end, for the log.
 
     Attributes
     ----------
     task, number, runner
-        The run, and where it was ordered.
+        The run and the runner that was asked to start it.
     reason
-        What is known of it.
+        Why it was dropped.
     phase
-        How far it had come, as far as was known.
+        Its last known phase.
     unanswered
-        Whether an order to start it was left without an answer.
+        Whether a start request for it timed out.
     ordered_s, listed_s
-        How long ago it was first ordered, and the newest call to hold its runner was made, in seconds.
+        Seconds since its first start request, and since the newest hold call to its runner.
     hold_left_s
-        For how much longer the runner may hold it, in seconds.
+        Seconds until the hold of its runner has certainly lapsed.
     """
 
     task: str
@@ -186,7 +188,7 @@
 
 
 class HoldFailure(Enum):
-    """Why a call to hold a runner brought no list."""
+    """Why a hold call to a runner failed."""
 
     NO_ANSWER = auto()
     FENCED = auto()
@@ -195,19 +197,19 @@
 
 @define(frozen=True, slots=True)
 class HoldFailed:
-    """A call to hold a runner brought no list."""
+    """A hold call to a runner failed."""
 
     runner: str
-    why: HoldFailure
+    reason: HoldFailure
 
 
 Event = RunnersListed | ZonesEvacuated | StartAnswered | StopAnswered | HoldAnswered | HoldFailed
 
 
-# -- what it asks for -----------------------------------------------------------
+# -- instructions ---------------------------------------------------------------
 @define(frozen=True, slots=True)
 class StartRun:
-    """Order a runner to start a run.
+    """Ask a runner to start a run.
 
     Attributes
     ----------
@@ -216,11 +218,11 @@
     task, number
         The task's name and the run's number.
     task_spec
-        The text for the task.
+        The job's ``taskSpec``, passed to the task.
     deadline_ms
-        Until when it is held, on the runner's clock.
+        Deadline of the hold, on the runner's clock.
     checkpoint
-        What to resume from, or empty.
+        The checkpoint to resume from, or empty.
     """
 
     runner: str
@@ -234,7 +236,7 @@
 
 @define(frozen=True, slots=True)
 class StopRun:
-    """Order a runner to stop a run."""
+    """Ask a runner to stop a run."""
 
     runner: str
     address: str
@@ -244,16 +246,16 @@
 
 @define(frozen=True, slots=True)
 class HoldRunner:
-    """Hold what runs on a runner, and ask what runs and what has ended.
+    """Extend the hold of a runner, and ask for its running and ended runs.
 
     Attributes
     ----------
     deadline_ms
-        Until when it is held, on the runner's clock; 0 to hold nothing.
+        Deadline of the hold, on the runner's clock; 0 to leave the hold unchanged.
     last_seen
-        The newest end that it may forget.
+        Sequence number of the newest acknowledged end; the runner may forget it and all earlier ones.
     wait_ms
-        For how long it may wait for an end before it answers.
+        How long the runner may wait for an end before it answers.
     """
 
     runner: str
--- a/sparloom/scheduler/job_queue.py
+++ b/sparloom/scheduler/job_queue.py
@@ -1,4 +1,4 @@
-"""The jobs of which something may have to be started, in the order in which they are served."""
+"""Priority queue of the jobs that may have tasks to start."""
 
 from __future__ import annotations
 
@@ -22,40 +22,43 @@
 
 @define(slots=True, eq=False)
 class JobQueue:
-    """Jobs by priority, then by acceptance; those of which nothing waits are left out until they are woken."""
+    """Jobs ordered by priority, then by acceptance time.
+
+    A job without waiting tasks is suspended: it leaves the queue until it is enqueued again or a repetition falls due.
+    """
 
     _order: list[Key] = field(factory=list)
     _queued: set[int] = field(factory=set)
-    _due: list[tuple[float, int]] = field(factory=list)
+    _due_times: list[tuple[float, int]] = field(factory=list)
 
     def __bool__(self) -> bool:
         return bool(self._order)
 
     def ids(self) -> list[int]:
-        """The ids of the queued jobs, in order."""
+        """The ids of the queued jobs, in queue order."""
         return [job_id for _, _, job_id in self._order]
 
-    def wake(self, job: Job) -> None:
-        """Queue a job, unless it is queued."""
+    def enqueue(self, job: Job) -> None:
+        """Add a job, unless it is queued already."""
         if job.id not in self._queued:
             self._queued.add(job.id)
             insort(self._order, _key(job))
 
-    def rest(self, job: Job) -> None:
-        """Leave a job out until it is woken, or until its next time falls due."""
+    def suspend(self, job: Job) -> None:
+        """Remove a job from the queue, and schedule its next repetition."""
         self.remove(job)
-        if job.end is None and job.next_time < job.specification.times:
-            heapq.heappush(self._due, (job.specification.due_ms(job.next_time) + DUE_MARGIN_MS, job.id))
+        if job.end is None and job.next_repetition < job.specification.repetition_count:
+            heapq.heappush(self._due_times, (job.specification.due_ms(job.next_repetition) + DUE_MARGIN_MS, job.id))
 
     def remove(self, job: Job) -> None:
-        """Leave a job out."""
+        """Remove a job from the queue."""
         if job.id in self._queued:
             self._queued.discard(job.id)
             del self._order[bisect_left(self._order, _key(job))]
 
-    def take_due(self, now_ms: float) -> list[int]:
-        """Return the ids of the jobs of which a time has fallen due."""
+    def pop_due(self, now_ms: float) -> list[int]:
+        """Remove and return the ids of the jobs of which a repetition has fallen due."""
         due = []
-        while self._due and self._due[0][0] <= now_ms:
-            due.append(heapq.heappop(self._due)[1])
+        while self._due_times and self._due_times[0][0] <= now_ms:
+            due.append(heapq.heappop(self._due_times)[1])
         return due
--- a/sparloom/scheduler/jobs.py
+++ b/sparloom/scheduler/jobs.py
@@ -1,4 +1,7 @@
-"""The state of jobs in the memory of the primary, and how it is stored and loaded."""
+"""The primary's in-memory state of jobs, their steps and tasks, and its conversion to and from stored form.
+
+A job runs its steps once, or once per repetition; a repetition is identified by its index.
+"""
 
 from __future__ import annotations
 
@@ -20,35 +23,35 @@
     from .runners import Run
     from .specification import JobSpecification, StepSpecification
 
-# A time is begun so much later than it falls due, since clocks differ, in milliseconds.
+# Delay between the due time of a repetition and its start, because clocks differ between machines.
 DUE_MARGIN_MS = 50
-# Run numbers of one term stay below this many; each term begins with numbers of its own.
-RUNS_PER_TERM = 1 << 20
+# Number of run numbers in one term. Each term has its own range, so that no two terms use the same number.
+RUN_NUMBERS_PER_TERM = 1 << 20
 MAXIMUM_STORED_FAILURES = 65535
 
 
 @define(slots=True, eq=False)
 class Task:
-    """One task at one time.
+    """One task of a step, in one repetition.
 
     Attributes
     ----------
     index
-        Its number within the step.
+        Its index within the step.
     done
         Whether a run of it has ended ``done``.
     failures
-        How many runs of it have ended ``failed``; of a gang, the first task counts for all.
+        Number of its runs that ended ``failed``; for a gang, the first task counts for all.
     failed_runs
-        The numbers of those runs. Of what was stored before numbers were, only ``failures`` is known.
+        Numbers of those runs. State stored before run numbers were recorded has only ``failures``.
     last_run
-        The number of its newest run; 0 before the first in this term.
+        Number of its newest run; 0 before the first in this term.
     run
-        Its run under way, or None.
+        Its active run, or None.
     checkpoint
-        What it has saved, or empty.
+        Its newest checkpoint, or empty.
     not_before
-        No start earlier than this, in seconds of the monotonic clock.
+        Earliest time of the next start, in seconds of the monotonic clock.
     """
 
     index: int
@@ -63,44 +66,44 @@
 
 @define(slots=True, eq=False)
 class Step:
-    """One step at one time.
+    """One step of a job, in one repetition.
 
     Attributes
     ----------
     job
-        The job that it belongs to.
-    time, number
-        The number of the time, and of the step within the job.
+        The job it belongs to.
+    repetition, number
+        Index of the repetition, and of the step within the job.
     specification
-        What the client said of it.
+        The step as the client specified it.
     tasks
         Its tasks, by index.
     waiting
-        Indexes of the tasks that are to be started.
+        Indexes of the tasks to start.
     done_count
-        How many tasks have ended ``done``.
+        Number of tasks that have ended ``done``.
     waiting_since
-        Since when some task waits though its turn has come, in seconds; None where none does.
-    quiet_since
-        Since when it holds others back while little of its service is in use, in seconds; None where it doesn't.
+        When a placement pass first failed to start all waiting tasks, in seconds; None if the last pass succeeded.
+    low_use_since
+        When it began to block later jobs while utilization of its service is low, in seconds; None if it doesn't.
     """
 
     job: Job
-    time: int
+    repetition: int
     number: int
     specification: StepSpecification
     tasks: list[Task]
     waiting: deque[int]
     done_count: int = 0
     waiting_since: float | None = None
-    quiet_since: float | None = None
+    low_use_since: float | None = None
 
     @classmethod
-    def of(cls, job: Job, time: int, number: int) -> Step:
-        """Return a step of which nothing has run."""
+    def create(cls, job: Job, repetition: int, number: int) -> Step:
+        """Return a step whose tasks all wait for their first start."""
         specification = job.specification.steps[number]
         tasks = [Task(index) for index in range(specification.replica_count)]
-        return cls(job, time, number, specification, tasks, deque(range(len(tasks))))
+        return cls(job, repetition, number, specification, tasks, deque(range(len(tasks))))
 
     @property
     def ended(self) -> bool:
@@ -109,29 +112,29 @@
 
     @property
     def runs(self) -> list[Run]:
-        """The runs under way."""
+        """The active runs of its tasks."""
         return [task.run for task in self.tasks if task.run is not None]
 
     def failures(self, task: Task) -> int:
-        """How many runs of a task, or of its gang, have ended ``failed``."""
-        return self._counting(task).failures
+        """Return the number of runs of a task, or of its gang, that ended ``failed``."""
+        return self._failure_counter(task).failures
 
-    def _counting(self, task: Task) -> Task:
-        """The task that counts a task's failures: of a gang, the first one does."""
+    def _failure_counter(self, task: Task) -> Task:
+        """Return the task that holds the failure count: the first one for a gang, otherwise the task itself."""
         return self.tasks[0] if self.specification.gang else task
 
     def count_failure(self, task: Task, run: int) -> bool:
-        """Count a run that has ended ``failed``; return whether it is a new attempt.
+        """Count a run that ended ``failed``; return whether it is a new attempt.
 
-        An attempt is a run and not an end: each member of a gang may list the
-        end of one run, and a runner lists an end again to the next primary. What
-        fails after the task is done counts for nothing.
+        Attempts are counted per run and not per end: each member of a gang may
+        list an end of the same run, and a runner lists its ends again to the
+        next primary. Failures after the task is done are not counted.
         """
-        counting = self._counting(task)
-        if task.done or run in counting.failed_runs:
+        counter = self._failure_counter(task)
+        if task.done or run in counter.failed_runs:
             return False
-        counting.failed_runs.add(run)
-        counting.failures += 1
+        counter.failed_runs.add(run)
+        counter.failures += 1
         return True
 
     def task_name(self, index: int) -> str:
@@ -143,10 +146,10 @@
         >>> Job(0xAB, "q", QueuePolicy(1, "s", 0, 1), spec, b"", 0).step(0, 0).task_name(0)
         '00000000000000ab.0.0.0'
         """
-        return f"{self.job.id:016x}.{self.time}.{self.number}.{index}"
+        return f"{self.job.id:016x}.{self.repetition}.{self.number}.{index}"
 
-    def set_done(self, task: Task) -> bool:
-        """Note that a task has ended ``done``; return whether that is new."""
+    def mark_done(self, task: Task) -> bool:
+        """Mark a task as done; return whether it was not done before."""
         if task.done:
             return False
         task.done, task.checkpoint = True, ""
@@ -155,14 +158,14 @@
             self.waiting.remove(task.index)
         return True
 
-    def set_waiting(self, task: Task, not_before: float = 0.0) -> None:
-        """Note that a task is to be started again."""
+    def requeue(self, task: Task, not_before: float = 0.0) -> None:
+        """Clear a task's run, and add the task to the waiting ones unless it is done."""
         task.run, task.not_before = None, not_before
         if not task.done and task.index not in self.waiting:
             self.waiting.append(task.index)
 
     def progress(self) -> StepProgress | None:
-        """What is stored of the step; None where nothing of it has ended."""
+        """Return the progress to store; None if no task has ended or saved a checkpoint."""
         done = bytes(task.done for task in self.tasks)
         failed_runs = [FailedRun(task.index, run) for task in self.tasks for run in sorted(task.failed_runs)]
         failures = [min(task.failures, MAXIMUM_STORED_FAILURES) for task in self.tasks]
@@ -170,7 +173,7 @@
         if not any(done) and not any(failures) and not any(checkpoints):
             return None
         return StepProgress(
-            self.time,
+            self.repetition,
             self.number,
             done + (pack(FailedRuns(failed_runs)) if failed_runs else b""),
             failures if any(failures) else [],
@@ -178,14 +181,14 @@
         )
 
     def restore(self, progress: StepProgress) -> None:
-        """Take up what was stored."""
+        """Restore the stored progress."""
         for task, failures in zip(self.tasks, progress.failures, strict=False):
             task.failures = failures
         for task, checkpoint in zip(self.tasks, progress.checkpoints, strict=False):
             task.checkpoint = checkpoint
         for task, done in zip(self.tasks, progress.done, strict=False):
             if done:
-                self.set_done(task)
+                self.mark_done(task)
         self._restore_failed_runs(progress.done[len(self.tasks) :])
 
     def _restore_failed_runs(self, packed: bytes) -> None:
@@ -204,21 +207,21 @@
     queue
         Host and path prefix of its queue.
     policy
-        What the configuration said of the queue when the job was handed in.
+        The queue's policy when the job was submitted.
     specification, body
-        The job, parsed and as it was sent.
+        The job, parsed and as the client sent it.
     accepted_ms
         When it was accepted, in milliseconds since 1970.
     inherited
-        Whether it was accepted by an earlier primary, so that runs of it may be under way anywhere.
+        Whether it was accepted by an earlier primary, so that runs of it may be active on any runner.
     begun
-        Whether some task of it has been started.
+        Whether any of its tasks has been started.
     end, end_stored
-        How it ended, or None; and whether that is on the disks, so that clients may see it.
+        Its final state, or None; and whether that is stored. Clients see the final state only once it is stored.
     steps
-        The steps of each time that has been begun or restored.
-    next_time
-        The first time that is not in ``steps`` yet.
+        The steps of each repetition that was started or restored; an empty list for one that has ended.
+    next_repetition
+        The first repetition that has not been opened.
     """
 
     id: int
@@ -232,54 +235,61 @@
     end: JobState | None = None
     end_stored: bool = False
     steps: dict[int, list[Step]] = field(factory=dict)
-    next_time: int = 0
-    times_done: int = 0
-
-    def at_time(self, time: int) -> list[Step]:
-        """Return the steps of a time, made when they are first asked for."""
-        if time not in self.steps:
-            self.steps[time] = [Step.of(self, time, number) for number in range(len(self.specification.steps))]
-        return self.steps[time]
-
-    def step(self, time: int, number: int) -> Step:
-        """Return one step at one time."""
-        return self.at_time(time)[number]
-
-    def open_due_times(self, now_ms: float) -> None:
-        """Make the steps of all times that have fallen due."""
+    next_repetition: int = 0
+    repetitions_done: int = 0
+
+    def repetition_steps(self, repetition: int) -> list[Step]:
+        """Return the steps of a repetition; they are created on first use."""
+        if repetition not in self.steps:
+            self.steps[repetition] = [
+                Step.create(self, repetition, number) for number in range(len(self.specification.steps))
+            ]
+        return self.steps[repetition]
+
+    def step(self, repetition: int, number: int) -> Step:
+        """Return one step of a repetition."""
+        return self.repetition_steps(repetition)[number]
+
+    def open_due_repetitions(self, now_ms: float) -> None:
+        """Create the steps of all repetitions that have fallen due."""
         latest_ms = now_ms - DUE_MARGIN_MS
-        while self.next_time < self.specification.times and self.specification.due_ms(self.next_time) <= latest_ms:
-            self.at_time(self.next_time)
-            self.next_time += 1
+        while (
+            self.next_repetition < self.specification.repetition_count
+            and self.specification.due_ms(self.next_repetition) <= latest_ms
+        ):
+            self.repetition_steps(self.next_repetition)
+            self.next_repetition += 1
 
     def ready_steps(self) -> Iterator[Step]:
-        """The steps whose turn has come and of which some task waits."""
-        for time, steps in self.steps.items():
-            if time >= self.next_time:
+        """Yield the steps with waiting tasks whose dependencies have ended."""
+        for repetition, steps in self.steps.items():
+            if repetition >= self.next_repetition:
                 continue
             for step in steps:
                 if step.waiting and all(steps[number].ended for number in step.specification.depends_on):
                     yield step
 
-    def close_ended_times(self) -> bool:
-        """Count the times of which all steps have ended; return whether that were the last ones."""
-        for time in [t for t, steps in self.steps.items() if steps and all(step.ended for step in steps)]:
-            self.times_done += 1
-            # The steps of an ended time are kept as an empty list, so that they are not made again.
-            self.steps[time] = []
-        return self.times_done == self.specification.times
+    def close_ended_repetitions(self) -> bool:
+        """Count the repetitions whose steps have all ended; return whether every repetition has ended."""
+        for repetition in [
+            number for number, steps in self.steps.items() if steps and all(step.ended for step in steps)
+        ]:
+            self.repetitions_done += 1
+            # The empty list stays as a marker, so that the steps are not created again.
+            self.steps[repetition] = []
+        return self.repetitions_done == self.specification.repetition_count
 
     def runs(self) -> list[Run]:
-        """All runs under way."""
+        """Return all active runs."""
         return [run for steps in self.steps.values() for step in steps for run in step.runs]
 
     def stored(self) -> StoredJob:
-        """What is stored of a job that has not ended."""
+        """Return the stored form of a job that has not ended."""
         progress: list[StepProgress] = []
-        for time, steps in self.steps.items():
+        for repetition, steps in self.steps.items():
             if not steps:
                 progress += [
-                    StepProgress(time, number, b"\1" * step.replica_count, [], [])
+                    StepProgress(repetition, number, b"\1" * step.replica_count, [], [])
                     for number, step in enumerate(self.specification.steps)
                 ]
             progress += [found for step in steps if (found := step.progress())]
@@ -287,7 +297,7 @@
 
     @classmethod
     def restore(cls, stored: StoredJob) -> Job:
-        """Return a job that an earlier primary has stored."""
+        """Return a job that was stored by an earlier primary."""
         specification = parse_job(stored.body).unwrap()
         job = cls(
             stored.job,
@@ -300,13 +310,13 @@
             begun=bool(stored.progress),
         )
         for progress in stored.progress:
-            job.step(progress.time, progress.step).restore(progress)
-        job.close_ended_times()
+            job.step(progress.repetition, progress.step).restore(progress)
+        job.close_ended_repetitions()
         return job
 
 
 def queue_checksum(queue: str) -> int:
-    """Return what an ended job keeps of its queue's name.
+    """Return the checksum of a queue's name that is stored with an ended job.
 
     >>> queue_checksum("h /q/") == queue_checksum("h /r/")
     False
@@ -316,12 +326,12 @@
 
 @define(slots=True, eq=False)
 class JobStore:
-    """The bytes of all jobs; those of a job are made anew only when it has changed.
+    """The stored form of all jobs; a job is packed again only after it has changed.
 
     Attributes
     ----------
     term
-        The term of the primary that stores them.
+        Term of the primary that stores them.
     active
         The packed ``StoredJob`` by id.
     ended
@@ -336,7 +346,7 @@
     ended: dict[int, EndedJob] = field(factory=dict)
 
     def put(self, job: Job, now_ms: int) -> None:
-        """Take over what has become of a job."""
+        """Update the stored form of a job."""
         if job.end is None:
             self.active[job.id] = pack(job.stored())
             return
@@ -344,22 +354,22 @@
         self.ended[job.id] = EndedJob(job.id, queue_checksum(job.queue), job.end, now_ms)
 
     def forget(self, before_ms: int) -> None:
-        """Drop the jobs that ended before a moment, in milliseconds since 1970."""
+        """Delete the jobs that ended before a moment, in milliseconds since 1970."""
         for job_id in [ended.job for ended in self.ended.values() if ended.ended_ms < before_ms]:
             del self.ended[job_id]
 
     def blob(self) -> bytes:
-        """Return the bytes to store."""
+        """Return the serialized store."""
         return pack(JobTable(self.term, list(self.active.values()), list(self.ended.values())))
 
     @classmethod
     def load(cls, blob: bytes) -> JobStore:
-        """Return the store in some bytes; none are the store before the first job.
+        """Deserialize a store; empty bytes give an empty store.
 
         Raises
         ------
         DecodeError
-            The bytes are no store.
+            The bytes are not a valid store.
         """
         if not blob:
             return cls()
@@ -368,6 +378,6 @@
         return cls(table.term, active, {ended.job: ended for ended in table.ended})
 
     def jobs(self) -> list[Job]:
-        """Return the jobs that have not ended, in the order in which they were accepted."""
+        """Return the jobs that have not ended, in order of acceptance."""
         stored = sorted((unpack(raw) for raw in self.active.values()), key=lambda job: job.accepted_ms)
         return [Job.restore(job) for job in stored]
--- a/sparloom/scheduler/late_orders.py
+++ b/sparloom/scheduler/late_orders.py
@@ -1,12 +1,13 @@
-"""Orders to start a run that were left without an answer: when none of them can be carried out any more.
-
-A runner may carry such an order out seconds later. Its deadline alone is no
-bound: whether a start is late, a runner may judge by the order's own deadline
-or by the hold in force, which later calls extend. Two things are sure. A
-runner that has taken the stop of a run turns every later start of that run
-away; so a run is known never to have begun once a list that was asked for
-after that lacks the run and its end. And a start that comes when the hold has
-lapsed is late by any reckoning, as long as nobody extends the hold again.
+"""Start requests that timed out: how to make sure that none of them is carried out later.
+
+A runner may carry such a request out seconds later. Its deadline is not a
+sufficient bound: a runner may judge lateness by the request's own deadline or
+by its hold, which later calls extend. Two rules give certainty. First, a
+runner that has accepted the stop of a run rejects every later start of that
+run. So a run never started if a list that was requested after the accepted
+stop contains neither the run nor its end. Second, a start that arrives after
+the hold has lapsed is late by either rule, as long as the hold is not
+extended again.
 """
 
 from __future__ import annotations
@@ -21,69 +22,69 @@
     from .events import HoldAnswered
     from .runners import Run
 
-# An order that was given up is stopped again after so long, in seconds.
+# Interval between stop requests for an abandoned start.
 STOP_INTERVAL_S = 0.4
-# Orders are carried out within seconds or never; an order this old counts as never, in seconds.
-ORDER_LIFETIME_S = 30.0
+# A start request is carried out within seconds or never; after this time it no longer needs to be stopped.
+ABANDONED_START_LIFETIME_S = 30.0
 
 
-def never_began(run: Run, answer: HoldAnswered, asked_at: float) -> bool:
-    """Whether a list proves that a run has not begun and never will.
+def proves_never_started(run: Run, answer: HoldAnswered, list_requested_at: float) -> bool:
+    """Return whether a runner's list proves that a run has not started and never will.
 
     Parameters
     ----------
     run
-        A run that the list doesn't name, neither as running nor among the ends.
+        A run that the list contains neither as running nor as ended.
     answer
         The list.
-    asked_at
-        When the call for it was sent, in seconds.
+    list_requested_at
+        When the call that returned the list was sent, in seconds.
     """
-    return answer.complete and run.stop_confirmed_at is not None and asked_at > run.stop_confirmed_at
+    return answer.complete and run.stop_confirmed_at is not None and list_requested_at > run.stop_confirmed_at
 
 
 @define(slots=True)
-class _Order:
-    """An order to start a run that may be carried out yet."""
+class _AbandonedStart:
+    """A start request that may still be carried out although its run was dropped."""
 
     number: int
-    given_at: float
-    stopped_at: float
+    dropped_at: float
+    last_stop_at: float
 
 
 @define(slots=True)
-class UnsettledOrders:
-    """Orders to one runner that may be carried out yet, though their runs were given up.
+class AbandonedStarts:
+    """Start requests to one runner that may still be carried out although their runs were dropped.
 
-    The runs were given up because the runner's hold had surely lapsed. Until
-    each order is settled, the hold must not be extended.
+    The runs were dropped because the runner's hold had certainly lapsed. The
+    hold must not be extended until the runner has accepted the stop of each.
 
-    >>> orders = UnsettledOrders(); orders.add("a", 1, now=0.0); list(orders.due(0.0)), bool(orders)
+    >>> starts = AbandonedStarts(); starts.add("a", 1, now=0.0); list(starts.due(0.0)), bool(starts)
     ([('a', 1)], True)
-    >>> orders.settle("a", 1); bool(orders)
+    >>> starts.confirm_stopped("a", 1); bool(starts)
     False
     """
 
-    _orders: dict[str, _Order] = field(factory=dict)
+    _starts: dict[str, _AbandonedStart] = field(factory=dict)
 
     def __bool__(self) -> bool:
-        return bool(self._orders)
+        return bool(self._starts)
 
     def add(self, task: str, number: int, now: float) -> None:
-        """Note an order to start a run of a task; numbers only rise."""
-        self._orders[task] = _Order(number, now, now - STOP_INTERVAL_S)
+        """Add the start request of a run; run numbers of a task only increase."""
+        self._starts[task] = _AbandonedStart(number, now, now - STOP_INTERVAL_S)
 
     def due(self, now: float) -> Iterator[tuple[str, int]]:
-        """Yield tasks and run numbers that are to be stopped now, and forget the orders that are too old."""
-        for task, order in list(self._orders.items()):
-            if now - order.given_at > ORDER_LIFETIME_S:
-                del self._orders[task]
-            elif now - order.stopped_at >= STOP_INTERVAL_S:
-                order.stopped_at = now
-                yield task, order.number
-
-    def settle(self, task: str, number: int) -> None:
-        """Note that the runner has taken the stop of a run."""
-        order = self._orders.get(task)
-        if order is not None and order.number <= number:
-            del self._orders[task]
+        """Yield tasks and run numbers to stop now, and drop requests older than ``ABANDONED_START_LIFETIME_S``."""
+        for task, start in list(self._starts.items()):
+            if now - start.dropped_at > ABANDONED_START_LIFETIME_S:
+                del self._starts[task]
+            elif now - start.last_stop_at >= STOP_INTERVAL_S:
+                start.last_stop_at = now
+                yield task, start.number
+
+    def confirm_stopped(self, task: str, number: int) -> None:
+        """Record that the runner has accepted the stop of a run."""
+        start = self._starts.get(task)
+        if start is not None and start.number <= number:
+            del self._starts[task]
--- a/sparloom/scheduler/messages.py
+++ b/sparloom/scheduler/messages.py
@@ -1,7 +1,8 @@
-"""Records between routers and the job primary, and the form in which jobs are stored.
+"""Records exchanged between routers and the job primary, and the stored form of jobs.
 
-Tags, order and kinds of the fields are the wire format and the format on
-disk: they never change. Names of fields are not transmitted and may change.
+The tags, the order and the types of the fields define the wire format and the
+format on disk, so they never change. Field names are not transmitted and may
+change.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class JobAction(IntEnum):
-    """What a client asks for."""
+    """The operation that a client requests."""
 
     SUBMIT = 0
     SHOW = 1
@@ -21,10 +22,10 @@
 
 
 class JobOutcome(IntEnum):
-    """What became of a call.
+    """The result of a call.
 
-    ``UNKNOWN``: it may have taken effect, or may yet. ``NOT_PRIMARY``,
-    ``REJECTED`` and ``INVALID``: it did not take effect and never will.
+    ``UNKNOWN``: the call may have taken effect, or may still do so.
+    ``NOT_PRIMARY``, ``REJECTED`` and ``INVALID``: it had no effect and never will.
     """
 
     OK = 0
@@ -36,7 +37,7 @@
 
 
 class JobState(IntEnum):
-    """The state of a job, as clients see it; the values are stored."""
+    """The state of a job, as clients see it; the numeric values are stored."""
 
     QUEUED = 0
     SERVING = 1
@@ -46,7 +47,7 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing of the job is to be started any more.
+        """Whether the job has ended, so that none of its tasks is started any more.
 
         >>> JobState.SERVING.ended, JobState.FAILED.ended
         (False, True)
@@ -56,7 +57,7 @@
 
 @record(110)
 class QueuePolicy(Record):
-    """What the configuration says of a queue, as the router that took the call has it.
+    """The configuration of a queue, as known to the router that received the call.
 
     Attributes
     ----------
@@ -65,9 +66,9 @@
     service
         The service whose runners run the queue's tasks.
     priority
-        0 comes first.
+        Jobs with a lower number are served first; 0 is the highest priority.
     maximum_attempts
-        How often a task, or a gang, may fail.
+        Number of failed attempts of a task, or of a gang, after which the job fails.
     """
 
     revision: UInt64
@@ -78,12 +79,12 @@
 
 @record(111)
 class JobCall(Record):
-    """A client's call, from a router to the job primary.
+    """A client's call, sent by a router to the job primary.
 
     Attributes
     ----------
     number
-        Counts the calls on a connection; the reply repeats it.
+        Sequence number of the call on its connection; the reply repeats it.
     action
         A ``JobAction``.
     job
@@ -91,7 +92,7 @@
     queue
         Host and path prefix of the queue.
     policy
-        What the configuration says of the queue.
+        The queue's configuration.
     body
         The job, for ``SUBMIT``.
     """
@@ -115,10 +116,10 @@
     state
         A ``JobState``, for ``SHOW``.
     count
-        The jobs that wait, for ``COUNT``.
+        The number of waiting jobs, for ``COUNT``.
     text
         What is wrong (``INVALID``), or the primary's HOST:PORT if it is known (``NOT_PRIMARY``); otherwise the
-        question that is answered (``question_of``), which programs from before it leave empty.
+        summary of the call that is answered (``question_of``), which older programs leave empty.
     """
 
     number: UInt32
@@ -129,7 +130,7 @@
 
 
 def question_of(call: JobCall) -> str:
-    """Return what a call asks, for the reply to name.
+    """Return a summary of a call, which its reply repeats.
 
     >>> question_of(JobCall(1, JobAction.SHOW, 171, "h /q/", QueuePolicy(1, "s", 0, 3), b""))
     'SHOW 00000000000000ab'
@@ -138,7 +139,7 @@
 
 
 def answers(call: JobCall, reply: JobReply) -> bool:
-    """Return whether a reply with the call's number may be the answer to it.
+    """Return whether a reply matches a call: its number, its outcome and the repeated summary.
 
     >>> call = JobCall(1, JobAction.SHOW, 171, "h /q/", QueuePolicy(1, "s", 0, 3), b"")
     >>> answers(call, JobReply(1, JobOutcome.OK, 0, 0, "SHOW 00000000000000ab"))
@@ -157,12 +158,12 @@
 
 @record(117)
 class FailedRun(Record):
-    """A run that has ended ``failed`` and is counted.
+    """A run that ended ``failed`` and was counted as an attempt.
 
     Attributes
     ----------
     task
-        Index of its task; of a gang, 0.
+        Index of its task; 0 for a gang.
     run
         The run's number.
     """
@@ -173,29 +174,32 @@
 
 @record(118)
 class FailedRuns(Record):
-    """The runs of a step that have ended ``failed``: the end of each is listed until its runner may forget it."""
+    """The counted failed runs of a step.
+
+    They are stored because a runner lists an end, also to the next primary, until it is allowed to forget it.
+    """
 
     runs: list[FailedRun]
 
 
 @record(113)
 class StepProgress(Record):
-    """What has become of one step at one time.
+    """The progress of one step in one repetition.
 
     Attributes
     ----------
-    time, step
-        Number of the time and of the step.
+    repetition, step
+        Index of the repetition and of the step.
     done
-        A byte for each task, 1 for those that ended ``done``; then, if any run has ended ``failed``, a packed
-        ``FailedRuns``, which programs from before it pass over.
+        A byte for each task, 1 for those that ended ``done``. If any run has ended ``failed``, a packed ``FailedRuns``
+        follows, which older programs ignore.
     failures
-        How often each task failed; of a gang, the first element counts for all.
+        Number of failed runs of each task; for a gang, the first element counts for all.
     checkpoints
-        The newest checkpoint of each task; empty where there is none at all.
+        The newest checkpoint of each task; an empty list if no task has one.
     """
 
-    time: UInt32
+    repetition: UInt32
     step: UInt16
     done: bytes
     failures: list[UInt16]
@@ -213,7 +217,7 @@
     body
         The body as the client sent it.
     progress
-        The steps of which something has ended.
+        The progress of each step that has any.
     """
 
     job: UInt64
@@ -226,7 +230,7 @@
 
 @record(115)
 class EndedJob(Record):
-    """A job that has ended, kept for those who ask for its state.
+    """A job that has ended; it remains stored so that clients can query its state.
 
     Attributes
     ----------
@@ -246,12 +250,12 @@
 
 @record(116)
 class JobTable(Record):
-    """All that is stored of jobs.
+    """The stored form of all jobs.
 
     Attributes
     ----------
     term
-        Counts the primaries that have ordered runners; it is their fence.
+        Number of the newest term: it increases with each primary, which sends it to the runners as its fencing token.
     active
         The packed ``StoredJob`` of each job that has not ended.
     ended
--- a/sparloom/scheduler/runners.py
+++ b/sparloom/scheduler/runners.py
@@ -1,4 +1,8 @@
-"""Runners as the scheduler knows them: capacity, clock, how long they hold what runs there, and their runs."""
+"""The scheduler's state of runners and of their runs: capacity, clock, holds and health.
+
+A hold is a lease on everything that runs on a runner. The scheduler extends it with hold calls; once it has lapsed on
+the runner's clock, the runner ends all its runs.
+"""
 
 from __future__ import annotations
 
@@ -9,23 +13,25 @@
 from attrs import define, field
 from returns.result import Failure, Result, Success
 
-from .late_orders import UnsettledOrders
+from .late_orders import AbandonedStarts
 from .specification import Resources
 
 if TYPE_CHECKING:
     from .jobs import Step, Task
 
-# A runner's clock may be slow by this part; with a margin.
-SLOW_CLOCK = 0.021
-# Added to the moment at which a hold has surely lapsed, in seconds.
+# Maximum fraction by which a runner's clock may be slow, including a margin.
+MAXIMUM_CLOCK_SLOWDOWN = 0.021
+# Safety margin that is added to the computed time at which a hold lapses.
 LAPSE_MARGIN_S = 0.25
-# A runner that turns starts away, or fails what it runs, is left alone for so long, and twice as long each time.
-FIRST_AVOIDANCE_S = 0.5
-LONGEST_AVOIDANCE_S = 8.0
-# So many runs in a row must fail until a runner is avoided.
-FAILURES_UNTIL_AVOIDED = 3
-# A run that may begin yet, and whose stop is left without an answer for longer, makes the hold of its runner lapse.
-STOP_PATIENCE_S = 4.0
+# A runner that rejects starts, or whose runs fail, gets no starts for a while. The time begins at the minimum and
+# doubles with each avoidance, up to the maximum.
+MINIMUM_AVOIDANCE_S = 0.5
+MAXIMUM_AVOIDANCE_S = 8.0
+# Number of consecutive failed runs after which a runner is avoided.
+FAILURES_BEFORE_AVOIDANCE = 3
+# If a run may still start, and its stop has not been confirmed for this time, the scheduler stops extending the hold
+# of its runner and lets it lapse.
+STOP_TIMEOUT_S = 4.0
 
 
 @define(frozen=True, slots=True)
@@ -35,15 +41,15 @@
     Attributes
     ----------
     id
-        Names this instance; a restarted runner has another one.
+        Id of this instance; a restarted runner has a new one.
     service
-        The service that it belongs to.
+        The service it belongs to.
     address
         HOST:PORT.
     draining
-        Whether it takes no new runs.
+        Whether it accepts no new runs.
     capacity
-        What it has for tasks.
+        Its total resources for tasks.
     labels
         Its kind and its rack.
     zone
@@ -59,7 +65,7 @@
     zone: str = ""
 
 
-def _listing(item: dict[str, Any]) -> RunnerListing:
+def _parse_listing(item: dict[str, Any]) -> RunnerListing:
     capacity = item.get("capacity") or {}
     return RunnerListing(
         id=item["runnerId"],
@@ -75,7 +81,7 @@
 
 
 def read_listing(document: Any) -> Result[tuple[list[RunnerListing], str | None], str]:
-    """Read a page of the platform's list; a success holds the runners and the token of the next page.
+    """Parse a page of the platform's list; a success holds the runners and the token of the next page.
 
     >>> read_listing({"instances": [], "nextPageToken": None}).unwrap()
     ([], None)
@@ -83,21 +89,21 @@
     "the platform's page can't be read: 'nextPageToken'"
     """
     try:
-        return Success(([_listing(item) for item in document["instances"]], document["nextPageToken"]))
+        return Success(([_parse_listing(item) for item in document["instances"]], document["nextPageToken"]))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         return Failure(f"the platform's page can't be read: {error}")
 
 
 @define(frozen=True, slots=True)
 class HoldDeadline:
-    """Until when a runner holds what runs there.
+    """The deadline of a hold, on both clocks.
 
     Attributes
     ----------
     clock_ms
-        On the runner's clock.
+        The deadline on the runner's clock.
     lapses_at
-        When that has surely passed, in seconds of the monotonic clock here.
+        When that deadline has certainly passed, in seconds of the local monotonic clock.
     """
 
     clock_ms: int
@@ -105,7 +111,7 @@
 
 
 class RunPhase(Enum):
-    """How far a run has come, as far as is known."""
+    """The last known phase of a run."""
 
     STARTING = auto()
     RUNNING = auto()
@@ -114,37 +120,37 @@
 
 @define(slots=True, eq=False)
 class Run:
-    """One run of a task on one runner, from the order to start it until its end is known.
+    """One run of a task on one runner, from its first start request until its end is known.
 
     Attributes
     ----------
     step, task
-        What runs.
+        The task that is run, and its step.
     number
         The run's number.
     runner
-        Where it runs.
+        The runner it is assigned to.
     phase
-        How far it has come.
-    ordered_at
-        When the newest order for it was given, in seconds.
-    first_ordered_at
-        When the first one was given, in seconds.
+        Its last known phase.
+    requested_at
+        When the newest start or stop request for it was sent, in seconds.
+    first_requested_at
+        When the first start request was sent, in seconds.
     began
-        Whether it is known to have begun: from then on its runner turns further orders to start it away.
+        Whether it is known to have started: from then on its runner rejects further requests to start it.
     unanswered
-        Whether an order to start it was left without an answer.
-    in_call
-        Whether an order for it is under way.
+        Whether a start request for it timed out.
+    request_in_flight
+        Whether a request for it is in flight.
     deadline
-        Until when the order to start it is to be carried out; it is repeated with the same one.
+        Deadline of the start request; every retry carries the same one.
     rejected_at
-        When a repeated order to start it was turned away though an earlier one may have been carried out, in seconds;
-        None before that. A list tells what has become of it.
+        When a retried start request was rejected although an earlier one may have been carried out, in seconds; None
+        before that. The runner's next list shows whether the run has started.
     stopping_since
-        When it was first ordered to stop, in seconds; None before that.
+        When its stop was first requested, in seconds; None before that.
     stop_confirmed_at
-        When its runner was first known to have taken the stop, in seconds; None before that.
+        When the runner's confirmation of the stop was received, in seconds; None before that.
     """
 
     step: Step
@@ -152,11 +158,11 @@
     number: int
     runner: Runner
     phase: RunPhase
-    ordered_at: float
-    first_ordered_at: float
-    began: bool = False
+    requested_at: float
+    first_requested_at: float
+    has_started: bool = False
     unanswered: bool = False
-    in_call: bool = False
+    request_in_flight: bool = False
     deadline: HoldDeadline | None = None
     rejected_at: float | None = None
     stopping_since: float | None = None
@@ -168,63 +174,63 @@
         return self.step.task_name(self.task.index)
 
     @property
-    def may_begin(self) -> bool:
-        """Whether an order to start it may be carried out yet, or may have been unseen."""
-        if self.began or self.stop_confirmed_at is not None:
+    def may_still_start(self) -> bool:
+        """Whether a start request may still be carried out, or may have been carried out without a known answer."""
+        if self.has_started or self.stop_confirmed_at is not None:
             return False
-        return self.unanswered or (self.in_call and self.stopping_since is None)
+        return self.unanswered or (self.request_in_flight and self.stopping_since is None)
 
-    def resists_stop(self, now: float) -> bool:
-        """Whether a run that may begin yet could not be stopped for so long that only the end of the hold is sure."""
-        return self.may_begin and self.stopping_since is not None and now - self.stopping_since > STOP_PATIENCE_S
+    def stop_timed_out(self, now: float) -> bool:
+        """Whether a run that may still start could not be stopped in time, so that the hold has to lapse."""
+        return self.may_still_start and self.stopping_since is not None and now - self.stopping_since > STOP_TIMEOUT_S
 
 
 @define(slots=True, eq=False)
 class Runner:
-    """A runner, its runs, and what it has said.
+    """A runner, its runs, and the state that it has reported.
 
-    Times are seconds of the monotonic clock, but for ``clock_ms``.
+    Times are seconds of the monotonic clock, except ``clock_ms`` and ``latest_deadline_ms``.
 
     Attributes
     ----------
     listing
-        How the platform lists it; ``listed`` tells whether it still does.
+        The runner as the platform lists it; ``listed`` is False once it is no longer listed.
     evacuated
         Whether its zone is evacuated.
     used
-        What the runs under way take of it.
+        Resources that its active runs use.
     runs
-        The runs under way, by task name.
-    known
+        The active runs, by task name.
+    contacted
         Whether it has answered this primary, so that its runs are known.
     replaced
-        Whether its address belongs to another instance by now: it is gone for good.
+        Whether its address now belongs to another instance; it never returns.
     clock_ms, clock_read_at
-        What its clock showed, and when that answer came.
+        Its clock in the newest answer, and when that answer was received.
     hold_until
-        When all that runs there has surely been killed if it hears no more.
-    promised_ms
-        The latest deadline of all calls, on its clock: ``hold_until`` reckons with it.
-    unsettled_orders
-        Orders to start runs that were given up, and may be carried out yet.
-    calling, called_at, answers
-        Whether a call to hold it is under way, when the newest one began, and whether the one before was answered.
+        When all its runs have certainly ended if no further call reaches it.
+    latest_deadline_ms
+        The latest deadline of all calls, on its clock; ``hold_until`` takes it into account.
+    abandoned_starts
+        Start requests of dropped runs that may still be carried out.
+    hold_in_flight, hold_sent_at, responsive
+        Whether a hold call is in flight, when the newest one was sent, and whether the last completed one succeeded.
     next_hold_at
-        The next such call is not made earlier.
-    attend_at
-        When it is to be looked after next; infinite where nothing is due.
+        Earliest time of the next hold call.
+    check_at
+        Time of its next scheduled check; infinite if none is scheduled.
     applied_end
-        Number of its newest end that was applied here.
+        Sequence number of its newest end that was applied.
     stored_end
-        Number of its newest end of which the effect is stored.
-    told_end
-        Number of the newest end that the newest call told it to forget.
-    acknowledged_end
-        The same of the newest call that it answered: it has surely forgotten that end.
-    avoid_until, avoided_for
-        No start before that moment; and how long it was avoided the last time, in seconds.
-    failures
-        How many runs in a row have failed here.
+        Sequence number of its newest end whose effect is stored.
+    sent_ack
+        Sequence number that the newest hold call acknowledged.
+    confirmed_ack
+        Sequence number that the newest answered hold call acknowledged: the runner has certainly forgotten that end.
+    avoid_until, avoidance_s
+        Time until which it gets no starts, and the length of the last avoidance, in seconds.
+    consecutive_failures
+        Number of consecutive failed runs.
     """
 
     listing: RunnerListing
@@ -232,67 +238,67 @@
     evacuated: bool = False
     used: Resources = field(factory=Resources)
     runs: dict[str, Run] = field(factory=dict)
-    known: bool = False
+    contacted: bool = False
     replaced: bool = False
     clock_ms: float = 0.0
     clock_read_at: float = 0.0
     hold_until: float = 0.0
-    promised_ms: int = 0
-    unsettled_orders: UnsettledOrders = field(factory=UnsettledOrders)
-    calling: bool = False
-    called_at: float = 0.0
-    answers: bool = True
+    latest_deadline_ms: int = 0
+    abandoned_starts: AbandonedStarts = field(factory=AbandonedStarts)
+    hold_in_flight: bool = False
+    hold_sent_at: float = 0.0
+    responsive: bool = True
     next_hold_at: float = 0.0
-    attend_at: float = inf
+    check_at: float = inf
     applied_end: int = 0
     stored_end: int = 0
-    told_end: int = 0
-    acknowledged_end: int = 0
+    sent_ack: int = 0
+    confirmed_ack: int = 0
     avoid_until: float = 0.0
-    avoided_for: float = 0.0
-    failures: int = 0
+    avoidance_s: float = 0.0
+    consecutive_failures: int = 0
 
     @property
     def leaving(self) -> bool:
-        """Whether nothing more is to be started there."""
+        """Whether no more runs are to be started there."""
         return self.replaced or self.evacuated or self.listing.draining
 
     @property
     def serving(self) -> bool:
-        """Whether it takes starts at all."""
-        return self.known and self.listed and not self.leaving
+        """Whether it accepts starts, apart from temporary obstacles."""
+        return self.contacted and self.listed and not self.leaving
 
     @property
-    def needs_call(self) -> bool:
-        """Whether it has to be called.
+    def needs_hold_call(self) -> bool:
+        """Whether it needs a hold call.
 
-        It is not known, or its last call failed, or it runs something or may begin something, or it may not know that
-        an end is stored.
+        That is so if it has not been contacted, its last call failed, it has active runs or abandoned starts, or it may
+        not have received the acknowledgement of a stored end.
         """
         if self.replaced:
             return False
-        busy = bool(self.runs) or bool(self.unsettled_orders)
-        return busy or not self.known or not self.answers or self.stored_end > self.acknowledged_end
+        has_obligations = bool(self.runs) or bool(self.abandoned_starts)
+        return has_obligations or not self.contacted or not self.responsive or self.stored_end > self.confirmed_ack
 
     def usable(self, now: float) -> bool:
-        """Whether it may be given a start now."""
-        return self.serving and self.answers and not self.unsettled_orders and now >= self.avoid_until
+        """Whether a run can be started there now."""
+        return self.serving and self.responsive and not self.abandoned_starts and now >= self.avoid_until
 
     def next_deadline_ms(self, now: float, hold_s: float) -> int:
-        """Return the deadline of the next call to hold it, on its clock; 0 to hold nothing.
+        """Return the deadline of the next hold call, on its clock; 0 to leave the hold unchanged.
 
-        While its calls go unanswered, or a run there can't be stopped, nothing more is promised than was before: a
-        longer hold might reach it unseen, and nothing would ever lapse. The deadline of an unanswered call is promised
-        already, so it is given again.
+        The hold is not extended while calls go unanswered or a run can't be stopped. A longer hold might take effect
+        without an answer, and then it would never lapse. The deadline of an unanswered call may already be in effect,
+        so it is sent again.
         """
-        if not self.known or not self.runs or self.unsettled_orders:
+        if not self.contacted or not self.runs or self.abandoned_starts:
             return 0
-        if any(run.resists_stop(now) for run in self.runs.values()):
+        if any(run.stop_timed_out(now) for run in self.runs.values()):
             return 0
-        return self.extend_hold(now, hold_s).clock_ms if self.answers else self.promised_ms
+        return self.extend_hold(now, hold_s).clock_ms if self.responsive else self.latest_deadline_ms
 
     def fits(self, needs: Resources) -> bool:
-        """Whether it has room for a task."""
+        """Whether it has free capacity for a task."""
         capacity, used = self.listing.capacity, self.used
         return (
             used.cpu + needs.cpu <= capacity.cpu
@@ -301,48 +307,50 @@
         )
 
     def could_fit(self, needs: Resources) -> bool:
-        """Whether it would have room for a task if nothing ran there."""
+        """Whether it would have capacity for a task if it were idle."""
         return self.listing.capacity.covers(needs)
 
     def add(self, run: Run) -> None:
-        """Take up a run."""
+        """Add an active run and reserve its resources."""
         self.runs[run.name] = run
         self.used = self.used.plus(run.step.specification.needs)
 
     def remove(self, run: Run) -> None:
-        """Drop a run whose end is known."""
+        """Remove a run and release its resources."""
         if self.runs.get(run.name) is run:
             del self.runs[run.name]
             self.used = self.used.minus(run.step.specification.needs)
 
     # -- its clock --------------------------------------------------------------
-    def note_clock(self, clock_ms: float, received_at: float) -> None:
-        """Note what its clock showed in an answer that has come now."""
+    def record_clock(self, clock_ms: float, received_at: float) -> None:
+        """Record its clock from an answer that has just been received."""
         if clock_ms >= self.clock_ms:
             self.clock_ms, self.clock_read_at = clock_ms, received_at
 
     def extend_hold(self, now: float, hold_s: float) -> HoldDeadline:
-        """Return the deadline of a call that is sent now, and reckon with that it arrives.
+        """Return the deadline of a call that is sent now, and assume that the call arrives.
 
-        The clock may be slow, so the deadline passes later than this one's seconds tell.
+        The runner's clock may be slow, so ``MAXIMUM_CLOCK_SLOWDOWN`` and a margin are added to the local time.
         """
         deadline_ms = self.clock_ms + (now - self.clock_read_at + hold_s) * 1000
-        lapses_at = self.clock_read_at + (deadline_ms - self.clock_ms) / 1000 / (1 - SLOW_CLOCK) + LAPSE_MARGIN_S
+        lapses_at = (
+            self.clock_read_at + (deadline_ms - self.clock_ms) / 1000 / (1 - MAXIMUM_CLOCK_SLOWDOWN) + LAPSE_MARGIN_S
+        )
         self.hold_until = max(self.hold_until, lapses_at)
-        self.promised_ms = max(self.promised_ms, int(deadline_ms))
+        self.latest_deadline_ms = max(self.latest_deadline_ms, int(deadline_ms))
         return HoldDeadline(int(deadline_ms), lapses_at)
 
     # -- its health -------------------------------------------------------------
     def avoid(self, now: float) -> None:
-        """Give it no start for a while, longer each time."""
-        self.avoided_for = min(LONGEST_AVOIDANCE_S, max(FIRST_AVOIDANCE_S, self.avoided_for * 2))
-        self.avoid_until = max(self.avoid_until, now + self.avoided_for)
+        """Send it no starts for a while; the time doubles with each avoidance."""
+        self.avoidance_s = min(MAXIMUM_AVOIDANCE_S, max(MINIMUM_AVOIDANCE_S, self.avoidance_s * 2))
+        self.avoid_until = max(self.avoid_until, now + self.avoidance_s)
 
-    def note_end(self, succeeded: bool, now: float) -> None:
-        """Note that a run ended ``done`` or ``failed`` here."""
+    def record_end(self, succeeded: bool, now: float) -> None:
+        """Record that a run there ended ``done`` or ``failed``."""
         if succeeded:
-            self.failures, self.avoided_for = 0, 0.0
+            self.consecutive_failures, self.avoidance_s = 0, 0.0
             return
-        self.failures += 1
-        if self.failures >= FAILURES_UNTIL_AVOIDED:
+        self.consecutive_failures += 1
+        if self.consecutive_failures >= FAILURES_BEFORE_AVOIDANCE:
             self.avoid(now)
--- a/sparloom/scheduler/scheduler.py
+++ b/sparloom/scheduler/scheduler.py
@@ -1,16 +1,18 @@
-"""The scheduler: which task runs where. A state machine: events and the time in, instructions out.
-
-One scheduler lives as long as its primary's term. What it must not do, and
-why it doesn't:
-
-- *Two runs of one task at once, or a start after an end ``done``.* A task has
-  one ``Run`` at most, from the order until its end is listed, its runner's
-  hold has surely lapsed, or it is known that it never began (``late_orders``).
-  Jobs of an earlier term wait until each listed runner has told what runs
-  there, or until all holds of that term have lapsed.
-- *A start after the end was taken note of.* A runner forgets an end only once
-  what followed from it is stored (``take_changes``, ``stored``).
-- *Orders of an earlier primary.* Every order carries the term as its fence.
+"""The scheduler: a state machine that decides which task runs on which runner.
+
+Events and the current time go in, instructions come out. A scheduler exists
+for one term of the primary. It guarantees:
+
+- *At most one run of a task at a time, and no start after an end* ``done``.
+  A task has at most one ``Run``. It exists from the start request until its
+  end is listed, the runner's hold has certainly lapsed, or the run is known
+  never to have started (``late_orders``). Jobs of an earlier term wait until
+  each listed runner has reported its runs, or until all holds of that term
+  have lapsed.
+- *No start after the end was acknowledged.* A runner forgets an end only once
+  the effects of that end are stored (``take_changes``, ``stored``).
+- *No requests of an earlier primary are carried out.* Every request carries
+  the term as its fencing token.
 """
 
 from __future__ import annotations
@@ -41,33 +43,35 @@
     ZonesEvacuated,
 )
 from .job_queue import JobQueue
-from .jobs import RUNS_PER_TERM, Job, Step, Task
-from .late_orders import STOP_INTERVAL_S, never_began
+from .jobs import RUN_NUMBERS_PER_TERM, Job, Step, Task
+from .late_orders import STOP_INTERVAL_S, proves_never_started
 from .messages import JobState
 from .placement import Placement, RunnerIndex
 from .placement_pass import PlacementPass
-from .runners import SLOW_CLOCK, Run, Runner, RunPhase
+from .runners import MAXIMUM_CLOCK_SLOWDOWN, Run, Runner, RunPhase
 
-# Part of the longest hold that is asked for: an order that is late by the rest still finds its deadline ahead.
-HOLD_PART = 0.9
-# How long a call to hold may wait for an end, in milliseconds.
+# Fraction of the hold limit that a request asks for. A request that is delayed by the remaining fraction still arrives
+# before its deadline.
+HOLD_FRACTION = 0.9
+# Maximum time that a hold call waits for an end.
 HOLD_WAIT_MS = 1000
-# Ends are gathered for so long before the next call, in seconds.
-HOLD_PAUSE_S = 0.04
+# Delay before the next hold call to a runner, so that one call returns several ends.
+HOLD_BATCH_DELAY_S = 0.04
 HOLD_RETRY_S = 0.05
-ORDER_RETRY_S = 0.4
-# An end without success is followed by a new start after so long, longer with each failure, in seconds.
+REQUEST_RETRY_S = 0.4
+# Delay before a task is started again after a run ended without success. It doubles with each failure, up to the
+# maximum.
 RESTART_DELAY_S = 0.05
-LONGEST_RESTART_DELAY_S = 1.0
-# A runner without room is asked again after so long, in seconds.
-NO_CAPACITY_PAUSE_S = 0.3
-# A gang that is not together after this part of the time for it is stopped.
-GANG_PATIENCE = 0.5
-# Starts are looked for anew at least so often while something waits, in seconds: runners may be avoided no longer.
+MAXIMUM_RESTART_DELAY_S = 1.0
+# Time for which a runner that reported no capacity gets no starts.
+NO_CAPACITY_BACKOFF_S = 0.3
+# Fraction of the gang timeout after which a gang with missing members is stopped.
+GANG_TIMEOUT_FRACTION = 0.5
+# Maximum time between placement passes while jobs are queued: a runner may become usable again without an event.
 PASS_INTERVAL_S = 0.1
-# All runners are looked after at least so often, in seconds.
+# Interval at which all runners are checked.
 SWEEP_INTERVAL_S = 1.0
-# What an earlier primary has ordered may have been held for so much longer than a hold lasts, in seconds.
+# Added to the hold limit to bound the time for which runs of an earlier primary may still be held.
 ADOPTION_MARGIN_S = 1.0
 
 
@@ -78,7 +82,7 @@
     Attributes
     ----------
     hold_limit
-        The longest hold.
+        The maximum length of a hold.
     gang
         How long the tasks of a gang wait for each other.
     """
@@ -89,16 +93,16 @@
 
 @define(frozen=True, slots=True)
 class CountedFailure:
-    """A run that has ended ``failed`` and was counted as an attempt.
+    """A run that ended ``failed`` and was counted as an attempt.
 
     Attributes
     ----------
     task, run, runner
-        What failed, and where.
+        The failed run, and its runner.
     count
-        How many attempts of the task, or of its gang, have failed by now.
+        Number of failed attempts of the task, or of its gang, including this one.
     allowed
-        With so many the job is given up.
+        Number of failed attempts at which the job fails.
     """
 
     task: str
@@ -110,18 +114,18 @@
 
 @define(frozen=True, slots=True)
 class Changes:
-    """What must be stored before runners may forget the ends that led to it.
+    """State that must be stored before runners may forget the ends that caused it.
 
     Attributes
     ----------
     jobs
         The jobs that have changed.
     ended
-        Ids of those that have ended by now; others may end while these changes are being stored.
+        Ids of the changed jobs that have ended; further jobs may end while these changes are being stored.
     ends
-        The newest end that was applied, by runner.
+        Sequence number of the newest applied end, by runner.
     failures
-        The attempts that were counted.
+        The failed attempts that were counted.
     """
 
     jobs: tuple[Job, ...]
@@ -132,12 +136,12 @@
 
 @define(slots=True, eq=False)
 class Scheduler:
-    """Decides where tasks run, during one term.
+    """Decides which task runs on which runner, during one term.
 
     Attributes
     ----------
     term
-        The primary's term, which is its fence.
+        The primary's term, which is also its fencing token.
     started_at
         When the term began, in seconds.
     timing
@@ -147,9 +151,9 @@
     runners
         The runners, by id.
     deposed
-        Whether a runner has seen a higher fence: nothing more is to be ordered.
+        Whether a runner has seen a higher fencing token: no more instructions are issued.
     evacuated_zones
-        Zones in which nothing is to be started.
+        Zones in which no runs are started.
     """
 
     term: int
@@ -163,30 +167,30 @@
     now_ms: float = 0.0
     _queue: JobQueue = field(factory=JobQueue)
     _indexes: dict[str, RunnerIndex] = field(factory=dict)
-    _attention: list[tuple[float, str]] = field(factory=list)
-    _listed: bool = False
+    _scheduled_checks: list[tuple[float, str]] = field(factory=list)
+    _runners_listed: bool = False
     _changed_jobs: dict[int, Job] = field(factory=dict)
     _unstored_ends: dict[str, int] = field(factory=dict)
-    _counted: list[CountedFailure] = field(factory=list)
-    _dropped: list[DroppedRun] = field(factory=list)
-    _dirty: bool = True
+    _counted_failures: list[CountedFailure] = field(factory=list)
+    _dropped_runs: list[DroppedRun] = field(factory=list)
+    _pass_needed: bool = True
     _next_pass_at: float = 0.0
     _next_sweep_at: float = 0.0
-    _out: list[Instruction] = field(factory=list)
+    _instructions: list[Instruction] = field(factory=list)
 
     # -- jobs -------------------------------------------------------------------
     def add(self, job: Job) -> None:
-        """Take up a job that is stored."""
+        """Add a job that is stored."""
         self.jobs[job.id] = job
-        self._wake(job)
+        self._enqueue(job)
 
-    def _wake(self, job: Job) -> None:
-        """Something of a job may have to be started."""
-        self._queue.wake(job)
-        self._dirty = True
+    def _enqueue(self, job: Job) -> None:
+        """Queue a job that may have tasks to start, and request a placement pass."""
+        self._queue.enqueue(job)
+        self._pass_needed = True
 
     def cancel(self, job: Job) -> None:
-        """End a job as cancelled; the caller has it stored."""
+        """Cancel a job; the caller stores the change."""
         self._end_job(job, JobState.CANCELLED)
 
     def _end_job(self, job: Job, state: JobState) -> None:
@@ -198,59 +202,59 @@
             self._stop(run)
 
     def forget(self, job: Job) -> None:
-        """Drop a job whose end is stored and of which nothing runs."""
+        """Remove a job whose end is stored and that has no active runs."""
         self.jobs.pop(job.id, None)
         self._queue.remove(job)
 
-    # -- what is stored ---------------------------------------------------------
+    # -- stored state -----------------------------------------------------------
     def take_changes(self) -> Changes | None:
-        """Return what is to be stored next; None where nothing has changed."""
+        """Return the changes to store next; None if there are none."""
         if not self._changed_jobs and not self._unstored_ends:
             return None
         jobs = tuple(self._changed_jobs.values())
         ended = frozenset(job.id for job in jobs if job.end is not None)
-        changes = Changes(jobs, ended, self._unstored_ends, tuple(self._counted))
-        self._changed_jobs, self._unstored_ends, self._counted = {}, {}, []
+        changes = Changes(jobs, ended, self._unstored_ends, tuple(self._counted_failures))
+        self._changed_jobs, self._unstored_ends, self._counted_failures = {}, {}, []
         return changes
 
     def stored(self, changes: Changes) -> None:
-        """Note that changes are on the disks: runners may forget the ends that led to them."""
+        """Record that changes are stored: runners may forget the ends that caused them."""
         for runner_id, end in changes.ends.items():
             runner = self.runners.get(runner_id)
             if runner is not None:
                 runner.stored_end = max(runner.stored_end, end)
-                self._attend(runner, runner.next_hold_at)
+                self._schedule_check(runner, runner.next_hold_at)
         for job in changes.jobs:
             job.end_stored = job.end_stored or job.id in changes.ended
-            self._forget_if_over(job)
+            self._forget_if_finished(job)
 
     def take_dropped_runs(self) -> list[DroppedRun]:
-        """Return the runs that were given up without an end since this was last asked."""
-        dropped, self._dropped = self._dropped, []
+        """Return the runs that were dropped without an end since the last call."""
+        dropped, self._dropped_runs = self._dropped_runs, []
         return dropped
 
     # -- events -----------------------------------------------------------------
     def handle(self, event: Event, now: float, now_ms: float) -> list[Instruction]:
-        """Take an event; return the instructions that follow from it at once; starts come with the next tick."""
+        """Apply an event and return the immediate instructions; runs are started by the next tick."""
         self.now, self.now_ms = now, now_ms
         self._apply(event)
         return self._take_instructions()
 
     def tick(self, now: float, now_ms: float) -> list[Instruction]:
-        """Let time pass; ``now_ms`` is the time of day in milliseconds since 1970."""
+        """Process everything that is due; ``now_ms`` is the time of day in milliseconds since 1970."""
         self.now, self.now_ms = now, now_ms
-        for job_id in self._queue.take_due(now_ms):
+        for job_id in self._queue.pop_due(now_ms):
             if job_id in self.jobs:
-                self._wake(self.jobs[job_id])
-        self._look_after_those_due()
-        if self._dirty or (self._queue and now >= self._next_pass_at):
-            self._dirty, self._next_pass_at = False, now + PASS_INTERVAL_S
-            self._place()
+                self._enqueue(self.jobs[job_id])
+        self._check_due_runners()
+        if self._pass_needed or (self._queue and now >= self._next_pass_at):
+            self._pass_needed, self._next_pass_at = False, now + PASS_INTERVAL_S
+            self._run_placement_pass()
         return self._take_instructions()
 
     def _take_instructions(self) -> list[Instruction]:
-        out, self._out = self._out, []
-        return [] if self.deposed else out
+        instructions, self._instructions = self._instructions, []
+        return [] if self.deposed else instructions
 
     @singledispatchmethod
     def _apply(self, event: Event) -> None:
@@ -258,22 +262,22 @@
 
     @_apply.register(RunnersListed)
     def _(self, event: RunnersListed) -> None:
-        self._listed = True
+        self._runners_listed = True
         listed = {listing.id for listing in event.runners}
         for listing in event.runners:
             runner = self.runners.get(listing.id)
             if runner is None:
                 runner = self.runners[listing.id] = Runner(listing)
-                self._attend(runner, self.now)
+                self._schedule_check(runner, self.now)
             else:
                 runner.listing = listing
         for runner_id, runner in list(self.runners.items()):
             runner.listed = runner_id in listed
             runner.evacuated = runner.listing.zone in self.evacuated_zones
             self._reindex(runner)
-            if not runner.listed and not runner.runs and not runner.calling and not runner.unsettled_orders:
+            if not runner.listed and not runner.runs and not runner.hold_in_flight and not runner.abandoned_starts:
                 del self.runners[runner_id]
-        self._dirty = True
+        self._pass_needed = True
 
     @_apply.register(ZonesEvacuated)
     def _(self, event: ZonesEvacuated) -> None:
@@ -281,7 +285,7 @@
         for runner in self.runners.values():
             runner.evacuated = runner.listing.zone in event.zones
             self._reindex(runner)
-        self._dirty = True
+        self._pass_needed = True
 
     @_apply.register(StartAnswered)
     def _(self, event: StartAnswered) -> None:
@@ -289,11 +293,11 @@
         if runner is None:
             return
         if event.clock_ms:
-            runner.note_clock(event.clock_ms, self.now)
+            runner.record_clock(event.clock_ms, self.now)
         run = runner.runs.get(event.task)
         if run is None or run.number != event.number:
             return
-        run.in_call = False
+        run.request_in_flight = False
         if event.result is StartResult.STARTED:
             self._on_started(run)
         elif event.result is StartResult.FENCED:
@@ -302,30 +306,30 @@
             self._on_replaced(runner)
         elif event.result is StartResult.NO_ANSWER:
             run.unanswered = True
-            self._attend(runner, run.ordered_at + ORDER_RETRY_S)
+            self._schedule_check(runner, run.requested_at + REQUEST_RETRY_S)
         elif run.unanswered or event.result is StartResult.OLD:
-            self._on_rejected_repeat(run, event.result)
+            self._on_rejected_retry(run, event.result)
         else:
             self._on_not_started(run, event.result)
 
-    def _on_rejected_repeat(self, run: Run, result: StartResult) -> None:
-        """A start was turned away, but an earlier order for the run may have been carried out, or may be yet."""
+    def _on_rejected_retry(self, run: Run, result: StartResult) -> None:
+        """Handle a rejected start request if an earlier one for the run may have been, or may yet be, carried out."""
         if run.phase is not RunPhase.STARTING or result is StartResult.UNREACHABLE:
-            self._attend(run.runner, run.ordered_at + ORDER_RETRY_S)
+            self._schedule_check(run.runner, run.requested_at + REQUEST_RETRY_S)
         elif result in (StartResult.TOO_LATE, StartResult.OLD):
-            self._await_list(run)
+            self._await_listing(run)
         else:
             run.runner.avoid(self.now)
-            self._stop_with_gang(run)
+            self._stop_gang_of(run)
 
-    def _await_list(self, run: Run) -> None:
-        """Leave it to the next list what has become of a run that can't be started any more."""
+    def _await_listing(self, run: Run) -> None:
+        """Wait for the runner's next list to learn what became of a run that can't be started any more."""
         if run.rejected_at is None:
             run.rejected_at = self.now
             self._hold_soon(run.runner)
 
     def _on_started(self, run: Run) -> None:
-        run.began = run.step.job.begun = True
+        run.has_started = run.step.job.begun = True
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
         if run.step.job.end is not None or run.phase is RunPhase.STOPPING:
@@ -333,10 +337,10 @@
         self._hold_soon(run.runner)
 
     def _on_not_started(self, run: Run, result: StartResult) -> None:
-        """A runner has turned a start away and will not carry it out."""
+        """Handle a rejected start request that will not be carried out."""
         runner = run.runner
         if result is StartResult.NO_CAPACITY:
-            runner.avoid_until = max(runner.avoid_until, self.now + NO_CAPACITY_PAUSE_S)
+            runner.avoid_until = max(runner.avoid_until, self.now + NO_CAPACITY_BACKOFF_S)
         elif result is StartResult.TOO_LATE:
             self._hold_soon(runner)
         elif result is not StartResult.OLD:
@@ -351,14 +355,14 @@
         if runner is None:
             return
         if event.confirmed:
-            runner.unsettled_orders.settle(event.task, event.number)
+            runner.abandoned_starts.confirm_stopped(event.task, event.number)
         run = runner.runs.get(event.task)
         if run is None or run.number != event.number:
             return
-        run.in_call = False
+        run.request_in_flight = False
         if event.confirmed and run.stop_confirmed_at is None:
             run.stop_confirmed_at = self.now
-        self._attend(runner, run.ordered_at + ORDER_RETRY_S)
+        self._schedule_check(runner, run.requested_at + REQUEST_RETRY_S)
         self._hold_soon(runner)
 
     @_apply.register(HoldFailed)
@@ -366,24 +370,24 @@
         runner = self.runners.get(event.runner)
         if runner is None:
             return
-        runner.calling, runner.next_hold_at, runner.answers = False, self.now + HOLD_RETRY_S, False
-        if event.why is HoldFailure.FENCED:
+        runner.hold_in_flight, runner.next_hold_at, runner.responsive = False, self.now + HOLD_RETRY_S, False
+        if event.reason is HoldFailure.FENCED:
             self.deposed = True
-        elif event.why is HoldFailure.REPLACED:
+        elif event.reason is HoldFailure.REPLACED:
             self._on_replaced(runner)
-        self._attend(runner, runner.next_hold_at)
+        self._schedule_check(runner, runner.next_hold_at)
 
     @_apply.register(HoldAnswered)
     def _(self, event: HoldAnswered) -> None:
         runner = self.runners.get(event.runner)
         if runner is None:
             return
-        runner.calling, runner.next_hold_at, runner.answers = False, self.now + HOLD_PAUSE_S, True
-        runner.note_clock(event.clock_ms, self.now)
-        # Only an answer shows that the call came: until then the runner goes on listing its ends.
-        runner.acknowledged_end = runner.told_end
-        if not runner.known:
-            runner.known = self._dirty = True
+        runner.hold_in_flight, runner.next_hold_at, runner.responsive = False, self.now + HOLD_BATCH_DELAY_S, True
+        runner.record_clock(event.clock_ms, self.now)
+        # Only an answer proves that the call arrived; until then the runner continues to list its ends.
+        runner.confirmed_ack = runner.sent_ack
+        if not runner.contacted:
+            runner.contacted = self._pass_needed = True
             self._reindex(runner)
         for end in sorted(event.ends, key=lambda end: end.sequence):
             if end.sequence > runner.applied_end:
@@ -391,98 +395,98 @@
                 self._on_end(runner, end)
         for running in event.running:
             self._on_running(runner, running)
-        self._settle_what_is_not_listed(runner, event)
-        self._look_after(runner)
+        self._reconcile_unlisted_runs(runner, event)
+        self._check_runner(runner)
 
-    def _settle_what_is_not_listed(self, runner: Runner, answer: HoldAnswered) -> None:
-        """Drop runs that have surely not begun; stop those that can't be started any more and are not listed."""
+    def _reconcile_unlisted_runs(self, runner: Runner, answer: HoldAnswered) -> None:
+        """Drop unlisted runs that provably never started, and stop unlisted ones that can't be started any more."""
         listed = {running.task for running in answer.running}
         for run in list(runner.runs.values()):
             if run.name in listed:
                 continue
-            if never_began(run, answer, runner.called_at):
-                self._drop_run(run, DropReason.NEVER_BEGAN)
-            elif run.rejected_at is not None and runner.called_at > run.rejected_at:
-                self._stop_with_gang(run)
-
-    # -- what runs --------------------------------------------------------------
-    def _find(self, name: str) -> tuple[Step, Task] | None:
-        """The task of a name on the wire; None where no such job is active."""
+            if proves_never_started(run, answer, runner.hold_sent_at):
+                self._drop_run(run, DropReason.NEVER_STARTED)
+            elif run.rejected_at is not None and runner.hold_sent_at > run.rejected_at:
+                self._stop_gang_of(run)
+
+    # -- runs and ends ----------------------------------------------------------
+    def _find_task(self, name: str) -> tuple[Step, Task] | None:
+        """Return the step and the task with a name on the wire; None if the name matches no active job."""
         try:
-            job_id, time, step, index = name.split(".")
+            job_id, repetition, step, index = name.split(".")
             job = self.jobs.get(int(job_id, 16))
-            if job is None or int(time) >= job.specification.times:
+            if job is None or int(repetition) >= job.specification.repetition_count:
                 return None
-            found = job.step(int(time), int(step))
+            found = job.step(int(repetition), int(step))
             return found, found.tasks[int(index)]
         except (ValueError, IndexError):
             return None
 
     def _on_running(self, runner: Runner, running: RunningTask) -> None:
-        """A runner lists a run: one that was ordered, one of an earlier term, or one that must not be."""
+        """Handle a listed run: a tracked one, one of an earlier term to adopt, or an unwanted one to stop."""
         run = runner.runs.get(running.task)
         if run is not None and run.number == running.number:
             run.task.checkpoint = running.checkpoint or run.task.checkpoint
-            run.began = True
+            run.has_started = True
             if run.phase is RunPhase.STARTING:
                 self._on_started(run)
             return
-        found = self._find(running.task)
+        found = self._find_task(running.task)
         if found is None or not self._may_adopt(*found):
-            self._out.append(StopRun(runner.listing.id, runner.listing.address, running.task, running.number))
+            self._instructions.append(StopRun(runner.listing.id, runner.listing.address, running.task, running.number))
             return
         step, task = found
         task.checkpoint = running.checkpoint or task.checkpoint
-        run = Run(step, task, running.number, runner, RunPhase.RUNNING, self.now, self.now, began=True)
-        # The earlier primary may have asked for the longest hold there is just now.
-        runner.hold_until = max(runner.hold_until, self.now + self._longest_hold_s())
-        self._take_run(run)
+        run = Run(step, task, running.number, runner, RunPhase.RUNNING, self.now, self.now, has_started=True)
+        # The earlier primary may have requested the maximum hold just before.
+        runner.hold_until = max(runner.hold_until, self.now + self._maximum_hold_s())
+        self._track_run(run)
         step.job.begun = True
 
     @staticmethod
     def _may_adopt(step: Step, task: Task) -> bool:
-        """Whether a run of an earlier term may go on: no other one is under way or needed."""
+        """Whether to adopt a run of an earlier term: its task is needed and has no other run."""
         return step.job.inherited and step.job.end is None and not task.done and task.run is None
 
-    def _take_run(self, run: Run) -> None:
+    def _track_run(self, run: Run) -> None:
         run.task.run, run.task.last_run = run, run.number
         if run.task.index in run.step.waiting:
             run.step.waiting.remove(run.task.index)
         run.runner.add(run)
         self._reindex(run.runner)
 
-    def _remove_run(self, run: Run) -> None:
+    def _untrack_run(self, run: Run) -> None:
         run.runner.remove(run)
         self._reindex(run.runner)
 
     def _on_end(self, runner: Runner, end: TaskEnd) -> None:
-        """A runner lists an end for the first time."""
+        """Handle an end that a runner lists for the first time."""
         run = runner.runs.get(end.task)
         if run is None or run.number != end.number:
-            self._on_other_end(runner, end)
+            self._on_untracked_end(runner, end)
             return
-        self._remove_run(run)
+        self._untrack_run(run)
         job, step, task = run.step.job, run.step, run.task
-        job.begun = self._dirty = True
+        job.begun = self._pass_needed = True
         if end.checkpoint and step.specification.checkpoints:
             task.checkpoint = end.checkpoint
-            # Its runner may forget the end once this is stored, and the checkpoint with it.
+            # The runner may forget the end and its checkpoint once this is stored.
             self._changed_jobs[job.id] = job
         if end.how in ("done", "failed"):
-            runner.note_end(end.how == "done", self.now)
+            runner.record_end(end.how == "done", self.now)
         if end.how == "done" and not step.specification.long_running:
             task.run = None
             self._on_done(step, task)
         elif end.how == "failed" and not step.specification.long_running:
             self._count_failure(step, task, runner, end)
-            self._restart(step, task, slowly=True)
+            self._restart(step, task, with_backoff=True)
         else:
-            self._restart(step, task, slowly=end.how in ("done", "failed"))
-        self._forget_if_over(job)
+            self._restart(step, task, with_backoff=end.how in ("done", "failed"))
+        self._forget_if_finished(job)
 
-    def _on_other_end(self, runner: Runner, end: TaskEnd) -> None:
-        """An end of a run that is not followed here: of an earlier term, or one that was given up."""
-        found = self._find(end.task)
+    def _on_untracked_end(self, runner: Runner, end: TaskEnd) -> None:
+        """Handle the end of a run that is not tracked: one of an earlier term, or a dropped one."""
+        found = self._find_task(end.task)
         if found is None:
             return
         step, task = found
@@ -495,42 +499,44 @@
 
     def _on_done(self, step: Step, task: Task) -> None:
         members = step.tasks if step.specification.gang else [task]
-        newly_done = [step.set_done(member) for member in members]
+        newly_done = [step.mark_done(member) for member in members]
         if not any(newly_done):
             return
         if task.run is not None:
             self._stop(task.run)
         job = step.job
         self._changed_jobs[job.id] = job
-        self._wake(job)
-        if job.close_ended_times() and job.end is None:
+        self._enqueue(job)
+        if job.close_ended_repetitions() and job.end is None:
             self._end_job(job, JobState.COMPLETED)
 
     def _count_failure(self, step: Step, task: Task, runner: Runner, end: TaskEnd) -> None:
-        """Count an attempt, unless its run is counted; give the job up after the last one that is allowed."""
+        """Count a failed attempt, unless its run was counted before; fail the job after the last allowed attempt."""
         if not step.count_failure(task, end.number):
             return
         job, failures = step.job, step.failures(task)
         self._changed_jobs[job.id] = job
-        self._counted.append(
+        self._counted_failures.append(
             CountedFailure(end.task, end.number, runner.listing.id, failures, job.policy.maximum_attempts)
         )
         if failures >= job.policy.maximum_attempts:
             self._end_job(job, JobState.FAILED)
 
-    def _restart(self, step: Step, task: Task, slowly: bool) -> None:
-        """Put a task whose run has ended among those that wait."""
-        delay = min(LONGEST_RESTART_DELAY_S, RESTART_DELAY_S * 2 ** min(step.failures(task), 8)) if slowly else 0.0
-        step.set_waiting(task, self.now + delay)
+    def _restart(self, step: Step, task: Task, with_backoff: bool) -> None:
+        """Make a task wait for its next start after its run has ended; a gang stops its other runs."""
+        delay = (
+            min(MAXIMUM_RESTART_DELAY_S, RESTART_DELAY_S * 2 ** min(step.failures(task), 8)) if with_backoff else 0.0
+        )
+        step.requeue(task, self.now + delay)
         if step.specification.gang:
             for run in step.runs:
                 self._stop(run)
-        self._wake(step.job)
+        self._enqueue(step.job)
 
     def _drop_run(self, run: Run, reason: DropReason) -> None:
-        """A run has surely not begun, or is surely gone: its task waits again."""
+        """Drop a run that certainly never started or is certainly gone; its task waits again."""
         runner = run.runner
-        self._dropped.append(
+        self._dropped_runs.append(
             DroppedRun(
                 run.name,
                 run.number,
@@ -538,66 +544,66 @@
                 reason,
                 run.phase.name,
                 run.unanswered,
-                self.now - run.first_ordered_at,
-                self.now - runner.called_at,
+                self.now - run.first_requested_at,
+                self.now - runner.hold_sent_at,
                 runner.hold_until - self.now,
             )
         )
-        self._remove_run(run)
+        self._untrack_run(run)
         if run.task.run is run:
-            self._restart(run.step, run.task, slowly=False)
-        self._forget_if_over(run.step.job)
+            self._restart(run.step, run.task, with_backoff=False)
+        self._forget_if_finished(run.step.job)
 
     def _on_replaced(self, runner: Runner) -> None:
-        """Another instance has a runner's address: that one is gone, even if the platform lists it for a while."""
-        runner.replaced = runner.known = True
+        """Handle a runner whose address belongs to another instance; the platform may list it for some time yet."""
+        runner.replaced = runner.contacted = True
         self._reindex(runner)
-        self._lose(runner)
+        self._drop_all_runs(runner)
 
-    def _lose(self, runner: Runner) -> None:
-        """All that ran on a runner is gone."""
+    def _drop_all_runs(self, runner: Runner) -> None:
+        """Drop all runs of a runner that is gone or whose hold has lapsed."""
         reason = DropReason.REPLACED if runner.replaced else DropReason.HOLD_LAPSED
         for run in list(runner.runs.values()):
-            if run.may_begin and not runner.replaced:
-                runner.unsettled_orders.add(run.name, run.number, self.now)
+            if run.may_still_start and not runner.replaced:
+                runner.abandoned_starts.add(run.name, run.number, self.now)
             self._drop_run(run, reason)
 
-    def _forget_if_over(self, job: Job) -> None:
+    def _forget_if_finished(self, job: Job) -> None:
         if job.end_stored and not job.runs():
             self.forget(job)
 
-    # -- looking after runners --------------------------------------------------
+    # -- runner checks ----------------------------------------------------------
     def _hold_s(self) -> float:
-        return self.timing.hold_limit * HOLD_PART
+        return self.timing.hold_limit * HOLD_FRACTION
 
-    def _longest_hold_s(self) -> float:
-        """How long anything may run on without a call, whoever held it last."""
-        return self.timing.hold_limit / (1 - SLOW_CLOCK) + ADOPTION_MARGIN_S
+    def _maximum_hold_s(self) -> float:
+        """Return the maximum time for which a run continues without a call from any primary."""
+        return self.timing.hold_limit / (1 - MAXIMUM_CLOCK_SLOWDOWN) + ADOPTION_MARGIN_S
 
     def _hold_soon(self, runner: Runner) -> None:
-        runner.next_hold_at = min(runner.next_hold_at, self.now + HOLD_PAUSE_S)
-        self._attend(runner, runner.next_hold_at)
+        runner.next_hold_at = min(runner.next_hold_at, self.now + HOLD_BATCH_DELAY_S)
+        self._schedule_check(runner, runner.next_hold_at)
 
-    def _attend(self, runner: Runner, at: float) -> None:
-        """Look after a runner at a moment, or earlier."""
-        if at < runner.attend_at:
-            runner.attend_at = at
-            heapq.heappush(self._attention, (at, runner.listing.id))
+    def _schedule_check(self, runner: Runner, at: float) -> None:
+        """Schedule a check of a runner, unless an earlier one is scheduled."""
+        if at < runner.check_at:
+            runner.check_at = at
+            heapq.heappush(self._scheduled_checks, (at, runner.listing.id))
 
-    def _look_after_those_due(self) -> None:
+    def _check_due_runners(self) -> None:
         if self.now >= self._next_sweep_at:
             self._next_sweep_at = self.now + SWEEP_INTERVAL_S
             for runner in list(self.runners.values()):
-                self._look_after(runner)
-        while self._attention and self._attention[0][0] <= self.now:
-            at, runner_id = heapq.heappop(self._attention)
-            due = self.runners.get(runner_id)
-            if due is not None and due.attend_at == at:
-                due.attend_at = inf
-                self._look_after(due)
+                self._check_runner(runner)
+        while self._scheduled_checks and self._scheduled_checks[0][0] <= self.now:
+            at, runner_id = heapq.heappop(self._scheduled_checks)
+            due_runner = self.runners.get(runner_id)
+            if due_runner is not None and due_runner.check_at == at:
+                due_runner.check_at = inf
+                self._check_runner(due_runner)
 
     def _reindex(self, runner: Runner) -> None:
-        """Note a runner's room and whether it takes starts."""
+        """Update the placement index after a runner's capacity or its acceptance of starts has changed."""
         service = runner.listing.service
         index = self._indexes.get(service)
         if index is None:
@@ -607,133 +613,133 @@
         else:
             index.remove(runner.listing.id)
 
-    def _look_after(self, runner: Runner) -> None:
-        """Hold a runner whose runs, ends or clock matter; repeat orders; give up what has lapsed."""
-        if runner.runs and runner.known and self.now > runner.hold_until:
-            self._lose(runner)
+    def _check_runner(self, runner: Runner) -> None:
+        """Drop lapsed runs of a runner, retry its requests, and send a hold call if one is due."""
+        if runner.runs and runner.contacted and self.now > runner.hold_until:
+            self._drop_all_runs(runner)
         for run in list(runner.runs.values()):
-            self._repeat_order(run)
+            self._retry_request(run)
             self._check_gang(run)
-        for task, number in runner.unsettled_orders.due(self.now):
-            self._out.append(StopRun(runner.listing.id, runner.listing.address, task, number))
-            self._attend(runner, self.now + STOP_INTERVAL_S)
+        for task, number in runner.abandoned_starts.due(self.now):
+            self._instructions.append(StopRun(runner.listing.id, runner.listing.address, task, number))
+            self._schedule_check(runner, self.now + STOP_INTERVAL_S)
         if runner.runs:
-            self._attend(runner, max(self.now, runner.hold_until) + HOLD_PAUSE_S)
-        if runner.calling or not runner.needs_call:
+            self._schedule_check(runner, max(self.now, runner.hold_until) + HOLD_BATCH_DELAY_S)
+        if runner.hold_in_flight or not runner.needs_hold_call:
             return
         if self.now < runner.next_hold_at:
-            self._attend(runner, runner.next_hold_at)
+            self._schedule_check(runner, runner.next_hold_at)
             return
-        self._hold(runner)
+        self._send_hold(runner)
 
-    def _hold(self, runner: Runner) -> None:
-        runner.calling, runner.called_at = True, self.now
-        runner.told_end = runner.stored_end
+    def _send_hold(self, runner: Runner) -> None:
+        runner.hold_in_flight, runner.hold_sent_at = True, self.now
+        runner.sent_ack = runner.stored_end
         deadline_ms = runner.next_deadline_ms(self.now, self._hold_s())
-        wait_ms = HOLD_WAIT_MS if runner.runs and runner.answers else 0
+        wait_ms = HOLD_WAIT_MS if runner.runs and runner.responsive else 0
         listing = runner.listing
-        self._out.append(HoldRunner(listing.id, listing.address, deadline_ms, runner.told_end, wait_ms))
+        self._instructions.append(HoldRunner(listing.id, listing.address, deadline_ms, runner.sent_ack, wait_ms))
 
-    def _repeat_order(self, run: Run) -> None:
-        if run.in_call or self.now - run.ordered_at < ORDER_RETRY_S:
+    def _retry_request(self, run: Run) -> None:
+        if run.request_in_flight or self.now - run.requested_at < REQUEST_RETRY_S:
             return
         if run.phase is RunPhase.STOPPING:
-            self._order_stop(run)
+            self._send_stop(run)
         elif run.phase is RunPhase.STARTING and run.runner.leaving:
-            # The order may have been carried out, or may be yet; it is not given once more.
-            self._stop_with_gang(run)
+            # The request may have been, or may still be, carried out; it is not sent again.
+            self._stop_gang_of(run)
         elif run.phase is RunPhase.STARTING and run.rejected_at is None:
-            self._repeat_start(run)
+            self._retry_start(run)
 
-    def _repeat_start(self, run: Run) -> None:
-        """Give an order to start once more, unless its deadline has surely passed."""
+    def _retry_start(self, run: Run) -> None:
+        """Send a start request again, unless its deadline has certainly passed."""
         if run.deadline is not None and self.now > run.deadline.lapses_at:
-            self._await_list(run)
+            self._await_listing(run)
         else:
-            self._order_start(run)
+            self._send_start(run)
 
-    def _stop_with_gang(self, run: Run) -> None:
-        """Stop a run, and with it the others of its gang, which can't work without it."""
+    def _stop_gang_of(self, run: Run) -> None:
+        """Stop a run and the other runs of its gang, which can't work without it."""
         for member in run.step.runs if run.step.specification.gang else [run]:
             self._stop(member)
 
     def _check_gang(self, run: Run) -> None:
-        """Stop a gang that does not come together in time, before its runs give each other up."""
+        """Stop a gang with missing members before its runs time out waiting for each other."""
         step = run.step
         if run.phase is RunPhase.STOPPING or not step.specification.gang:
             return
-        if self.now - run.first_ordered_at < self.timing.gang * GANG_PATIENCE:
+        if self.now - run.first_requested_at < self.timing.gang * GANG_TIMEOUT_FRACTION:
             return
         missing = sum(member.run is None or member.run.phase is RunPhase.STARTING for member in step.tasks)
         if missing and not step.ended:
             for member in step.runs:
                 self._stop(member)
 
-    # -- orders -----------------------------------------------------------------
-    def _order_start(self, run: Run) -> None:
-        run.ordered_at, run.in_call = self.now, True
+    # -- requests ---------------------------------------------------------------
+    def _send_start(self, run: Run) -> None:
+        run.requested_at, run.request_in_flight = self.now, True
         listing = run.runner.listing
-        # A later deadline would let an order that is on its way be carried out later still.
+        # A later deadline would allow a request that is still in transit to be carried out later.
         deadline = run.deadline = run.deadline or run.runner.extend_hold(self.now, self._hold_s())
         spec = run.step.job.specification.task_spec
         checkpoint = run.task.checkpoint if run.step.specification.checkpoints else ""
-        self._out.append(
+        self._instructions.append(
             StartRun(listing.id, listing.address, run.name, run.number, spec, deadline.clock_ms, checkpoint)
         )
 
-    def _order_stop(self, run: Run) -> None:
-        run.ordered_at, run.in_call = self.now, True
+    def _send_stop(self, run: Run) -> None:
+        run.requested_at, run.request_in_flight = self.now, True
         listing = run.runner.listing
-        self._out.append(StopRun(listing.id, listing.address, run.name, run.number))
+        self._instructions.append(StopRun(listing.id, listing.address, run.name, run.number))
 
     def _stop(self, run: Run, again: bool = False) -> None:
-        """Order a run to be stopped; one whose start is under way is stopped once that is answered."""
+        """Stop a run; if its start request is in flight, the stop is sent after the answer."""
         if run.phase is RunPhase.STOPPING and not again:
             return
         starting = run.phase is RunPhase.STARTING
         run.phase = RunPhase.STOPPING
         run.stopping_since = self.now if run.stopping_since is None else run.stopping_since
-        if not (starting and run.in_call):
-            self._order_stop(run)
+        if not (starting and run.request_in_flight):
+            self._send_stop(run)
 
     # -- placement --------------------------------------------------------------
-    def _adopted(self) -> bool:
-        """Whether it is known what runs of earlier terms are under way."""
-        if not self._listed:
+    def _adoption_complete(self) -> bool:
+        """Whether all active runs of earlier terms are known."""
+        if not self._runners_listed:
             return False
-        if all(runner.known for runner in self.runners.values()):
+        if all(runner.contacted for runner in self.runners.values()):
             return True
-        return self.now - self.started_at > self._longest_hold_s()
+        return self.now - self.started_at > self._maximum_hold_s()
 
-    def _place(self) -> None:
-        """Start what may start."""
+    def _run_placement_pass(self) -> None:
+        """Start the waiting tasks that can run now."""
         placement_pass = PlacementPass(
             now=self.now,
             now_ms=self.now_ms,
-            adopted=self._adopted(),
+            adoption_complete=self._adoption_complete(),
             jobs=self.jobs,
             runners=self.runners,
             indexes=self._indexes,
-            start=self._start,
+            start=self._start_tasks,
         )
         placement_pass.run(self._queue)
 
-    def _start(self, step: Step, placements: list[Placement]) -> None:
-        """Order the starts of some tasks of a step; those of a gang share a number."""
-        numbers = [self._next_number(step.tasks[placement.index]) for placement in placements]
+    def _start_tasks(self, step: Step, placements: list[Placement]) -> None:
+        """Start some tasks of a step; the runs of a gang share one number."""
+        numbers = [self._next_run_number(step.tasks[placement.index]) for placement in placements]
         for placement, number in zip(placements, numbers, strict=True):
             task = step.tasks[placement.index]
             self._start_task(step, task, placement.runner, max(numbers) if step.specification.gang else number)
 
-    def _next_number(self, task: Task) -> int:
-        """The number of a task's next run: above all of this term, and of earlier ones."""
-        first = (self.term - 1) * RUNS_PER_TERM
+    def _next_run_number(self, task: Task) -> int:
+        """Return the number of a task's next run: above all numbers of this and of earlier terms."""
+        first = (self.term - 1) * RUN_NUMBERS_PER_TERM
         return max(task.last_run, first) + 1
 
     def _start_task(self, step: Step, task: Task, runner: Runner, number: int) -> None:
         run = Run(step, task, number, runner, RunPhase.STARTING, self.now, self.now)
-        self._take_run(run)
-        self._order_start(run)
+        self._track_run(run)
+        self._send_start(run)
         self._hold_soon(runner)
         if step.specification.gang:
-            self._attend(runner, self.now + self.timing.gang * GANG_PATIENCE)
+            self._schedule_check(runner, self.now + self.timing.gang * GANG_TIMEOUT_FRACTION)
--- a/sparloom/scheduler/specification.py
+++ b/sparloom/scheduler/specification.py
@@ -1,4 +1,4 @@
-"""The body of a job as clients hand it in, checked; what is wrong with it is said in one sentence."""
+"""Parses and validates the body of a job as submitted by a client; the first error is reported in one sentence."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class JobBodyError(SparloomError):
-    """A body that is no job; the text is the sentence for the client."""
+    """An invalid job body; the message is the sentence for the client."""
 
 
 @define(frozen=True, slots=True)
 class Resources:
-    """What a task takes of a runner, or what a runner has.
+    """The resources that a task needs, or that a runner has.
 
     Attributes
     ----------
@@ -33,7 +33,7 @@
     memory_mb
         Memory in MB.
     gpus
-        Whole accelerators.
+        Number of accelerators.
     """
 
     cpu: int = 0
@@ -57,7 +57,7 @@
         return Resources(self.cpu - other.cpu, self.memory_mb - other.memory_mb, self.gpus - other.gpus)
 
     def covers(self, other: Resources) -> bool:
-        """Whether the other is no greater in any part.
+        """Whether the other needs no more of any resource.
 
         >>> Resources(2, 2).covers(Resources(1, 2)), Resources(2, 2).covers(Resources(1, 3))
         (True, False)
@@ -67,30 +67,30 @@
 
 @define(frozen=True, slots=True)
 class StepSpecification:
-    """One step of a job: tasks that are alike.
+    """One step of a job: a number of identical tasks.
 
     Attributes
     ----------
     replica_count
-        How many tasks the step has.
+        Number of tasks.
     needs
-        What each task takes.
+        Resources that each task needs.
     estimated_ms
-        The client's guess of a task's time, in milliseconds; 0 without one.
+        The client's estimate of a task's run time, in milliseconds; 0 if there is none.
     depends_on
-        Numbers of the steps that must have ended first.
+        Indexes of the steps that must end first.
     checkpoints
-        Whether a task's progress can be taken up again.
+        Whether a task can resume from a checkpoint.
     gang
-        Whether the tasks work only together.
+        Whether the tasks work only when all of them run at the same time.
     same_rack
-        Whether the tasks are slow on more than one rack.
+        Whether the tasks run slowly if they are spread over several racks.
     requirement
         A label that the runner must have, or empty.
     affinity
-        The rack where the data lies, or empty.
+        The rack that stores the data, or empty.
     anti_affinity
-        How many tasks of the step one runner may hold at most; 0 for any number.
+        Maximum number of the step's tasks on one runner; 0 for no limit.
     long_running
         Whether the tasks run until the job is cancelled.
     """
@@ -110,18 +110,18 @@
 
 @define(frozen=True, slots=True)
 class JobSpecification:
-    """A job as its client described it.
+    """A job as specified by its client.
 
     Attributes
     ----------
     task_spec
-        The text that each start of a task carries.
+        The text that each start request of a task contains.
     steps
-        The steps, by number.
+        The steps, by index.
     repetitions
-        How often the steps run; 0 for once, at once.
+        Number of repetitions as sent by the client; 0 for a single, immediate execution.
     initial_delay_ms, interval_ms
-        Time K falls due at ``initial_delay_ms`` + K x ``interval_ms``, in milliseconds since 1970.
+        Repetition K falls due at ``initial_delay_ms`` + K x ``interval_ms``, in milliseconds since 1970.
     """
 
     task_spec: str
@@ -131,22 +131,22 @@
     interval_ms: int = 0
 
     @property
-    def times(self) -> int:
-        """How often the steps run."""
+    def repetition_count(self) -> int:
+        """How many times the steps are executed; at least 1."""
         return max(1, self.repetitions)
 
     @property
     def long_running(self) -> bool:
-        """Whether some task runs until the job is cancelled."""
+        """Whether any task runs until the job is cancelled."""
         return any(step.long_running for step in self.steps)
 
-    def due_ms(self, time: int) -> int:
-        """When a time falls due, in milliseconds since 1970; 0 for a job without times.
+    def due_ms(self, repetition: int) -> int:
+        """Return when a repetition falls due, in milliseconds since 1970; 0 for a job without repetitions.
 
         >>> JobSpecification("", (), 3, 1000, 500).due_ms(2), JobSpecification("", ()).due_ms(0)
         (2000, 0)
         """
-        return self.initial_delay_ms + time * self.interval_ms if self.repetitions else 0
+        return self.initial_delay_ms + repetition * self.interval_ms if self.repetitions else 0
 
 
 def _number(item: dict[str, Any], key: str, where: str, maximum: int = MAXIMUM_NUMBER) -> int:
@@ -165,7 +165,7 @@
     return value
 
 
-def _text(item: dict[str, Any], key: str, where: str) -> str:
+def _string(item: dict[str, Any], key: str, where: str) -> str:
     value = item.get(key, "")
     if isinstance(value, list) and len(value) == 1:
         value = value[0]
@@ -181,7 +181,7 @@
     return tuple(value)
 
 
-def _step(item: Any, number: int, whole: dict[str, Any]) -> StepSpecification:
+def _step(item: Any, number: int, document: dict[str, Any]) -> StepSpecification:
     where = f"steps.{number}."
     if not isinstance(item, dict):
         raise JobBodyError(f"steps.{number} must be an object")
@@ -199,23 +199,23 @@
         checkpoints=_flag(item, "checkpoints", where),
         gang=_flag(item, "gangScheduled", where),
         same_rack=_flag(item, "sameRack", where),
-        requirement=_text(item, "requirements", where),
-        affinity=_text(item, "affinity", where),
+        requirement=_string(item, "requirements", where),
+        affinity=_string(item, "affinity", where),
         anti_affinity=_number(item, "antiAffinity", where),
-        long_running=_flag(item, "longRunning", where) or _flag(whole, "longRunning", ""),
+        long_running=_flag(item, "longRunning", where) or _flag(document, "longRunning", ""),
     )
 
 
 def _job(document: Any) -> JobSpecification:
     if not isinstance(document, dict):
         raise JobBodyError("the body must be an object")
-    task_spec = _text(document, "taskSpec", "")
+    task_spec = _string(document, "taskSpec", "")
     if len(task_spec.encode()) > MAXIMUM_TASK_SPEC_BYTES:
         raise JobBodyError(f"taskSpec must not be longer than {MAXIMUM_TASK_SPEC_BYTES} bytes")
-    given = document.get("steps")
-    if not isinstance(given, list) or not 0 < len(given) <= MAXIMUM_STEPS:
+    raw_steps = document.get("steps")
+    if not isinstance(raw_steps, list) or not 0 < len(raw_steps) <= MAXIMUM_STEPS:
         raise JobBodyError(f"steps must be a list of 1 to {MAXIMUM_STEPS} steps")
-    steps = tuple(_step(item, number, document) for number, item in enumerate(given))
+    steps = tuple(_step(item, number, document) for number, item in enumerate(raw_steps))
     if sum(step.replica_count for step in steps) > MAXIMUM_TASKS_OF_JOB:
         raise JobBodyError(f"a job must not have more than {MAXIMUM_TASKS_OF_JOB} tasks")
     return JobSpecification(
@@ -228,7 +228,7 @@
 
 
 def parse_job(body: bytes) -> Result[JobSpecification, str]:
-    """Check a job's body; a failure holds the sentence about its first fault.
+    """Parse and validate a job's body; a failure holds a sentence about the first error.
 
     >>> parse_job(b"[]").failure()
     'the body must be an object'
--- a/sparloom/scheduler/stalled.py
+++ b/sparloom/scheduler/stalled.py
@@ -1,4 +1,4 @@
-"""Tasks that should have been started or stopped long ago: what an operator is told of them."""
+"""Finds tasks that have been waiting, starting or stopping for too long, to report them to operators."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
     from .jobs import Job, Step
 
-# A start or a stop that takes longer than this is told of, and so is a task that has waited for longer.
+# A task that has been waiting, starting or stopping for longer than this is reported.
 STALLED_AFTER_S = 10.0
 
 
 @define(frozen=True, slots=True)
 class StalledTask:
-    """One task.
+    """A task that has been in a transitional state for too long.
 
     Attributes
     ----------
@@ -28,9 +28,9 @@
     state
         ``waiting``, ``starting`` or ``stopping``.
     runner
-        Where it is to be started or stopped; empty while it waits.
+        The runner that should start or stop it; empty for a waiting task.
     for_s
-        For how long, in seconds.
+        Time in this state, in seconds.
     """
 
     name: str
@@ -41,10 +41,10 @@
 
 def _stalled_runs(step: Step, now: float) -> Iterator[StalledTask]:
     for run in step.runs:
-        for_s = now - run.first_ordered_at
+        for_s = now - run.first_requested_at
         if run.phase is RunPhase.STARTING and for_s > STALLED_AFTER_S:
             yield StalledTask(run.name, "starting", run.runner.listing.id, for_s)
-        stopping_for_s = now - run.ordered_at
+        stopping_for_s = now - run.requested_at
         if run.phase is RunPhase.STOPPING and stopping_for_s > STALLED_AFTER_S:
             yield StalledTask(run.name, "stopping", run.runner.listing.id, stopping_for_s)
 
@@ -55,7 +55,7 @@
 
 
 def stalled_tasks(jobs: Iterable[Job], now: float) -> Iterator[StalledTask]:
-    """The tasks of some jobs that have been starting, stopping or waiting for too long; of a step that waits, one."""
+    """Yield the stalled tasks of some jobs; of a waiting step, only the first task."""
     for job in jobs:
         for steps in job.steps.values():
             for step in steps:
--- a/tests/scheduler/test_attempts.py
+++ b/tests/scheduler/test_attempts.py
@@ -8,7 +8,7 @@
 """
 
 from sparloom.scheduler.events import HoldAnswered, StartAnswered, StartResult, StartRun, TaskEnd
-from sparloom.scheduler.jobs import RUNS_PER_TERM, JobStore
+from sparloom.scheduler.jobs import RUN_NUMBERS_PER_TERM, JobStore
 from sparloom.scheduler.messages import JobState
 from sparloom.scheduler.scheduler import JobTiming, Scheduler
 from tests.scheduler.test_scheduler import TASK, MachineCase
@@ -84,7 +84,7 @@
             self.assertIsNone(job.end)
         # The second run that fails is the second attempt, whichever primary is told of it.
         number = self.run_of_all([*orders, *self.tick(2.0)])
-        self.assertGreater(number, 2 * RUNS_PER_TERM)
+        self.assertGreater(number, 2 * RUN_NUMBERS_PER_TERM)
         self.ends((TASK, number, "failed"))
         self.assertIs(job.end, JobState.FAILED)
 
--- a/tests/scheduler/test_jobs.py
+++ b/tests/scheduler/test_jobs.py
@@ -25,9 +25,9 @@
 
     def test_progress_is_loaded_as_it_was(self):
         one = job()
-        one.open_due_times(1000)
+        one.open_due_repetitions(1000)
         step = one.step(0, 0)
-        step.set_done(step.tasks[1])
+        step.mark_done(step.tasks[1])
         step.tasks[2].failures, step.tasks[2].checkpoint = 2, "saved"
         store = self.loaded(one)
         (again,) = store.jobs()
@@ -55,7 +55,7 @@
             store = JobStore.load(bytes.fromhex(json.load(file)["jobs stored by e80f797"]))
         (one,) = store.jobs()
         self.assertEqual((store.term, one.id, list(store.ended)), (4, 0xAB, [0xAC]))
-        step, gang = one.at_time(0)
+        step, gang = one.repetition_steps(0)
         self.assertEqual([task.done for task in step.tasks], [True, False, False])
         self.assertEqual([step.failures(task) for task in step.tasks], [0, 2, 0])
         self.assertEqual(step.tasks[2].checkpoint, "00000bb87a21d94b")
@@ -65,21 +65,21 @@
     def test_a_time_that_has_ended_is_not_run_again(self):
         body = b'{"steps":[{"replicaCount":1}],"repetitions":2,"initialDelayMs":1000,"intervalMs":1000}'
         one = job(body=body)
-        one.open_due_times(1500)
-        one.step(0, 0).set_done(one.step(0, 0).tasks[0])
-        self.assertFalse(one.close_ended_times())
+        one.open_due_repetitions(1500)
+        one.step(0, 0).mark_done(one.step(0, 0).tasks[0])
+        self.assertFalse(one.close_ended_repetitions())
         (again,) = self.loaded(one).jobs()
-        again.open_due_times(9000)
-        self.assertEqual([(step.time, step.number) for step in again.ready_steps()], [(1, 0)])
-        again.step(1, 0).set_done(again.step(1, 0).tasks[0])
-        self.assertTrue(again.close_ended_times())
+        again.open_due_repetitions(9000)
+        self.assertEqual([(step.repetition, step.number) for step in again.ready_steps()], [(1, 0)])
+        again.step(1, 0).mark_done(again.step(1, 0).tasks[0])
+        self.assertTrue(again.close_ended_repetitions())
 
     def test_a_step_waits_for_those_that_it_depends_on(self):
         one = job()
-        one.open_due_times(1000)
+        one.open_due_repetitions(1000)
         self.assertEqual([step.number for step in one.ready_steps()], [0])
         for task in one.step(0, 0).tasks:
-            one.step(0, 0).set_done(task)
+            one.step(0, 0).mark_done(task)
         self.assertEqual([step.number for step in one.ready_steps()], [1])
 
     def test_jobs_are_loaded_in_the_order_in_which_they_were_accepted(self):
--- a/tests/scheduler/test_late_orders.py
+++ b/tests/scheduler/test_late_orders.py
@@ -19,7 +19,7 @@
     StopRun,
     TaskEnd,
 )
-from sparloom.scheduler.late_orders import ORDER_LIFETIME_S, UnsettledOrders
+from sparloom.scheduler.late_orders import ABANDONED_START_LIFETIME_S, AbandonedStarts
 from sparloom.scheduler.messages import JobState
 from sparloom.scheduler.runners import RunPhase
 from tests.scheduler.test_scheduler import TASK, MachineCase
@@ -43,7 +43,7 @@
 
     def list_runs(self, runner, running=(), ends=(), complete=True):
         """Answers the call to hold that is under way, or else the next one, with a list."""
-        if not self.scheduler.runners[runner].calling:
+        if not self.scheduler.runners[runner].hold_in_flight:
             self.next_call(HoldRunner, runner)
         return self.tell(HoldAnswered(runner, self.now * 1000, running, ends, complete))
 
@@ -65,14 +65,14 @@
                 self.setUp()
                 runner = self.unanswered_start()
                 self.started(runner, result=result)
-                out = self.list_runs(runner) if self.scheduler.runners[runner].calling else []
+                out = self.list_runs(runner) if self.scheduler.runners[runner].hold_in_flight else []
                 out += self.list_runs(runner, running=(RunningTask(TASK, 1),))
                 self.assertEqual([type(order) for order in out if not isinstance(order, HoldRunner)], [])
                 self.assertIs(self.scheduler.runners[runner].runs[TASK].phase, RunPhase.RUNNING)
 
     def test_a_run_that_is_listed_is_not_stopped_by_an_answer_that_was_passed(self):
         runner = self.unanswered_start()
-        if self.scheduler.runners[runner].calling:
+        if self.scheduler.runners[runner].hold_in_flight:
             self.list_runs(runner)
         self.next_call(StartRun, runner)
         self.list_runs(runner, running=(RunningTask(TASK, 1),))
@@ -92,7 +92,7 @@
                     out = self.list_runs(runner)
                 self.assertEqual(self.starts(self.tell(StopAnswered(runner, TASK, 1))), [])
                 self.assertEqual(self.next_call(StopRun, runner).number, 1)
-                self.next_call(HoldRunner, runner) if not self.scheduler.runners[runner].calling else None
+                self.next_call(HoldRunner, runner) if not self.scheduler.runners[runner].hold_in_flight else None
                 self.assertEqual(self.starts(self.tell(StopAnswered(runner, TASK, 1, confirmed=True))), [])
                 # This list may have been made before the stop was taken.
                 self.assertEqual(self.starts(self.list_runs(runner)), [])
@@ -104,7 +104,7 @@
         runner = self.unanswered_start()
         self.started(runner, result=StartResult.UNHEALTHY)
         self.tell(StopAnswered(runner, TASK, 1, confirmed=True))
-        if self.scheduler.runners[runner].calling:
+        if self.scheduler.runners[runner].hold_in_flight:
             self.list_runs(runner)
         self.assertEqual(self.starts(self.list_runs(runner, ends=(TaskEnd(1, TASK, 1, "done"),))), [])
         self.assertIs(self.job.end, JobState.COMPLETED)
@@ -133,26 +133,26 @@
     """Orders whose runs were given up with the hold of their runner."""
 
     def test_each_is_stopped_again_after_a_while_and_not_before(self):
-        orders = UnsettledOrders()
+        orders = AbandonedStarts()
         orders.add("a", 1, now=10.0)
         times = [10.0 + step / 10 for step in range(10)]
         stops = [time for time in times if list(orders.due(time))]
         self.assertEqual(stops, [10.0, 10.4, 10.8])
 
     def test_one_is_settled_by_a_stop_of_its_run_or_a_later_one_only(self):
-        orders = UnsettledOrders()
+        orders = AbandonedStarts()
         orders.add("a", 2, now=0.0)
-        orders.settle("a", 1)
-        orders.settle("b", 2)
+        orders.confirm_stopped("a", 1)
+        orders.confirm_stopped("b", 2)
         self.assertTrue(orders)
-        orders.settle("a", 3)
+        orders.confirm_stopped("a", 3)
         self.assertFalse(orders)
 
     def test_one_that_is_older_than_any_order_lives_is_forgotten(self):
-        orders = UnsettledOrders()
+        orders = AbandonedStarts()
         orders.add("a", 1, now=0.0)
-        self.assertEqual(list(orders.due(ORDER_LIFETIME_S)), [("a", 1)])
-        self.assertEqual(list(orders.due(ORDER_LIFETIME_S + 0.1)), [])
+        self.assertEqual(list(orders.due(ABANDONED_START_LIFETIME_S)), [("a", 1)])
+        self.assertEqual(list(orders.due(ABANDONED_START_LIFETIME_S + 0.1)), [])
         self.assertFalse(orders)
 
 
@@ -191,9 +191,9 @@
         self.assertEqual(self.scheduler.runners[runner].runs, {})
         self.assertEqual(self.next_call(HoldRunner, runner).deadline_ms, 0)
         self.tell(HoldAnswered(runner, self.now * 1000, (), ()))
-        self.assertTrue(self.scheduler.runners[runner].unsettled_orders)
+        self.assertTrue(self.scheduler.runners[runner].abandoned_starts)
         self.tell(StopAnswered(runner, TASK, 1, confirmed=True))
-        self.assertFalse(self.scheduler.runners[runner].unsettled_orders)
+        self.assertFalse(self.scheduler.runners[runner].abandoned_starts)
         self.assertTrue(self.scheduler.runners[runner].usable(self.now))
 
     def test_ends_that_are_listed_in_any_order_all_count(self):
--- a/tests/scheduler/test_scheduler.py
+++ b/tests/scheduler/test_scheduler.py
@@ -16,7 +16,7 @@
     StopRun,
     TaskEnd,
 )
-from sparloom.scheduler.jobs import RUNS_PER_TERM, Job
+from sparloom.scheduler.jobs import RUN_NUMBERS_PER_TERM, Job
 from sparloom.scheduler.messages import JobState, QueuePolicy
 from sparloom.scheduler.runners import RunnerListing
 from sparloom.scheduler.scheduler import JobTiming, Scheduler
@@ -196,7 +196,7 @@
         self.scheduler = Scheduler(3, self.now, JobTiming())
         self.add()
         ((_, _, number),) = self.starts(self.contact("i-1"))
-        self.assertEqual(number, 2 * RUNS_PER_TERM + 1)
+        self.assertEqual(number, 2 * RUN_NUMBERS_PER_TERM + 1)
 
     def test_a_higher_fence_ends_all_orders(self):
         self.add()
--- a/tests/scheduler/test_simulated_cluster.py
+++ b/tests/scheduler/test_simulated_cluster.py
@@ -233,7 +233,7 @@
         return [wrong for seed in range(seeds) for wrong in Faults().play(seed).wrong]
 
     def test_jobs_of_an_earlier_term_that_do_not_wait_for_the_runners(self):
-        with mock.patch.object(Scheduler, "_adopted", lambda self: self._listed):
+        with mock.patch.object(Scheduler, "_adoption_complete", lambda self: self._runners_listed):
             self.assertTrue(any("TWICE" in wrong and "beside" in wrong for wrong in self.faults()))
 
     def test_runners_that_forget_ends_before_they_are_stored(self):
@@ -266,7 +266,9 @@
             self.assertTrue(any("is shown as failed" in wrong for wrong in self.failing_work(24)))
 
     def test_a_task_that_is_dropped_and_not_put_back(self):
-        with mock.patch.object(Scheduler, "_restart", lambda _self, step, task, slowly: setattr(task, "run", None)):
+        with mock.patch.object(
+            Scheduler, "_restart", lambda _self, step, task, with_backoff: setattr(task, "run", None)
+        ):
             self.assertTrue(any("neither runs nor waits" in wrong for wrong in self.failing_work(2)))
 
     def test_a_start_that_is_repeated_in_an_evacuated_zone(self):
@@ -274,7 +276,10 @@
             self.assertTrue(any("EVAC" in wrong for wrong in self.failing_work(2)))
 
     def test_a_hold_that_is_given_up_too_early(self):
-        with mock.patch.object(runners, "SLOW_CLOCK", -0.5), mock.patch.object(runners, "LAPSE_MARGIN_S", 0.0):
+        with (
+            mock.patch.object(runners, "MAXIMUM_CLOCK_SLOWDOWN", -0.5),
+            mock.patch.object(runners, "LAPSE_MARGIN_S", 0.0),
+        ):
             self.assertTrue(any("TWICE" in wrong and "beside" in wrong for wrong in self.faults()))
 
     def test_steps_that_do_not_wait_for_earlier_ones(self):
--- a/tests/scheduler/test_specification.py
+++ b/tests/scheduler/test_specification.py
@@ -26,7 +26,7 @@
         self.assertEqual(job.steps[0].needs.cpu, 500)
         self.assertEqual(job.steps[0].affinity, "r1-3")
         self.assertEqual((job.steps[1].depends_on, job.steps[1].gang, job.steps[1].checkpoints), ((0,), True, True))
-        self.assertEqual([job.due_ms(time) for time in range(job.times)], [1000, 1500])
+        self.assertEqual([job.due_ms(repetition) for repetition in range(job.repetition_count)], [1000, 1500])
 
     def test_each_fault_has_its_sentence(self):
         step = {"replicaCount": 1}
--- a/tests/scheduler/unattended.py
+++ b/tests/scheduler/unattended.py
@@ -14,7 +14,7 @@
         return "its runner doesn't have its run"
     if runner.hold_until == inf:
         return "its hold never lapses"
-    if run.phase is RunPhase.STARTING and not run.in_call and not run.unanswered:
+    if run.phase is RunPhase.STARTING and not run.request_in_flight and not run.unanswered:
         return "its start is neither under way nor answered"
     return None
 
@@ -48,7 +48,7 @@
 def _steps_whose_turn_has_come(scheduler):
     for job in scheduler.jobs.values():
         for time, steps in job.steps.items():
-            if job.end is None and time < job.next_time:
+            if job.end is None and time < job.next_repetition:
                 yield from (
                     step for step in steps if all(steps[number].ended for number in step.specification.depends_on)
                 )
