--- a/sparloom/scheduler/events.py
+++ b/sparloom/scheduler/events.py
@@ -111,7 +111,7 @@
         Position in the runner's sequence of ends.
     task, number
         The run that ended.
-    how
+    outcome
         ``done``, ``failed``, ``stopped``, ``lapsed``, ``broken`` or ``alone``.
     checkpoint
         The newest checkpoint of the run, or empty.
@@ -120,7 +120,7 @@
     sequence: int
     task: str
     number: int
-    how: str
+    outcome: str
     checkpoint: str = ""
 
 
--- a/sparloom/scheduler/placement_pass.py
+++ b/sparloom/scheduler/placement_pass.py
@@ -24,8 +24,8 @@
 BLOCKING_PERIOD_S = 8.0
 # Maximum fraction of the total CPU of suitable runners that a gang may need in order to block later jobs.
 MAXIMUM_GANG_CAPACITY_FRACTION = 0.6
-# Below this CPU utilization of a service, other jobs may be delayed by about 3 s only. The rules set the limit at half
-# of the CPU; the difference is a margin.
+# Below this CPU utilization of a service, other jobs may be delayed by about 3 s only. The rules set this limit at half
+# of the CPU.
 BUSY_UTILIZATION = 0.55
 # Maximum time per period for which a step blocks later jobs while utilization is below ``BUSY_UTILIZATION``.
 LOW_USE_BLOCKING_S = 2.0
--- a/sparloom/scheduler/runners.py
+++ b/sparloom/scheduler/runners.py
@@ -136,7 +136,7 @@
         When the newest start or stop request for it was sent, in seconds.
     first_requested_at
         When the first start request was sent, in seconds.
-    began
+    has_started
         Whether it is known to have started: from then on its runner rejects further requests to start it.
     unanswered
         Whether a start request for it timed out.
--- a/sparloom/scheduler/scheduler.py
+++ b/sparloom/scheduler/scheduler.py
@@ -472,16 +472,16 @@
             task.checkpoint = end.checkpoint
             # The runner may forget the end and its checkpoint once this is stored.
             self._changed_jobs[job.id] = job
-        if end.how in ("done", "failed"):
-            runner.record_end(end.how == "done", self.now)
-        if end.how == "done" and not step.specification.long_running:
+        if end.outcome in ("done", "failed"):
+            runner.record_end(end.outcome == "done", self.now)
+        if end.outcome == "done" and not step.specification.long_running:
             task.run = None
             self._on_done(step, task)
-        elif end.how == "failed" and not step.specification.long_running:
+        elif end.outcome == "failed" and not step.specification.long_running:
             self._count_failure(step, task, runner, end)
             self._restart(step, task, with_backoff=True)
         else:
-            self._restart(step, task, with_backoff=end.how in ("done", "failed"))
+            self._restart(step, task, with_backoff=end.outcome in ("done", "failed"))
         self._forget_if_finished(job)
 
     def _on_untracked_end(self, runner: Runner, end: TaskEnd) -> None:
@@ -492,9 +492,9 @@
         step, task = found
         if step.specification.long_running or step.job.end is not None:
             return
-        if end.how == "done":
+        if end.outcome == "done":
             self._on_done(step, task)
-        elif end.how == "failed":
+        elif end.outcome == "failed":
             self._count_failure(step, task, runner, end)
 
     def _on_done(self, step: Step, task: Task) -> None:
--- a/tests/scheduler/test_jobs.py
+++ b/tests/scheduler/test_jobs.py
@@ -1,4 +1,4 @@
-"""What is stored of jobs: it is loaded as it was, and ended jobs are kept for as long as they are shown."""
+"""Stored jobs: state survives a store and load, and ended jobs remain until they are deleted."""
 
 import json
 import os
@@ -12,24 +12,24 @@
 POLICY = QueuePolicy(7, "s", 1, 3)
 
 
-def job(id=0xAB, body=BODY, accepted_ms=1000):
+def make_job(id=0xAB, body=BODY, accepted_ms=1000):
     return Job(id, "h /q/", POLICY, parse_job(body).unwrap(), body, accepted_ms)
 
 
-class Store(unittest.TestCase):
-    def loaded(self, *jobs):
+class StoreTest(unittest.TestCase):
+    def store_and_load(self, *jobs):
         store = JobStore(4)
-        for one in jobs:
-            store.put(one, 5000)
+        for job in jobs:
+            store.put(job, 5000)
         return JobStore.load(store.blob())
 
-    def test_progress_is_loaded_as_it_was(self):
-        one = job()
-        one.open_due_repetitions(1000)
-        step = one.step(0, 0)
+    def test_progress_survives_store_and_load(self):
+        job = make_job()
+        job.open_due_repetitions(1000)
+        step = job.step(0, 0)
         step.mark_done(step.tasks[1])
         step.tasks[2].failures, step.tasks[2].checkpoint = 2, "saved"
-        store = self.loaded(one)
+        store = self.store_and_load(job)
         (again,) = store.jobs()
         self.assertEqual((store.term, again.inherited, again.begun), (4, True, True))
         step = again.step(0, 0)
@@ -37,59 +37,61 @@
         self.assertEqual((step.tasks[2].failures, step.tasks[2].checkpoint), (2, "saved"))
         self.assertEqual(sorted(step.waiting), [0, 2])
 
-    def test_the_runs_that_have_failed_are_loaded_with_their_numbers(self):
-        one = job()
-        step = one.step(0, 0)
+    def test_failed_runs_are_loaded_with_their_numbers(self):
+        job = make_job()
+        step = job.step(0, 0)
         self.assertTrue(step.count_failure(step.tasks[2], 1 << 40))
         self.assertFalse(step.count_failure(step.tasks[2], 1 << 40))
-        step = self.loaded(one).jobs()[0].step(0, 0)
+        step = self.store_and_load(job).jobs()[0].step(0, 0)
         self.assertEqual([step.failures(task) for task in step.tasks], [0, 0, 1])
         self.assertFalse(step.count_failure(step.tasks[2], 1 << 40))
         self.assertTrue(step.count_failure(step.tasks[2], 7))
         self.assertTrue(step.count_failure(step.tasks[0], 7))
 
-    def test_what_an_earlier_program_stored_is_loaded(self):
-        """Bytes that e80f797 wrote: failures were stored without the numbers of their runs."""
+    def test_data_stored_by_an_older_version_is_loaded(self):
+        """Load bytes written by e80f797, which stored failures without the numbers of their runs."""
         path = os.path.join(os.path.dirname(os.path.dirname(__file__)), "golden", "golden.json")
         with open(path, encoding="utf-8") as file:
             store = JobStore.load(bytes.fromhex(json.load(file)["jobs stored by e80f797"]))
-        (one,) = store.jobs()
-        self.assertEqual((store.term, one.id, list(store.ended)), (4, 0xAB, [0xAC]))
-        step, gang = one.repetition_steps(0)
+        (job,) = store.jobs()
+        self.assertEqual((store.term, job.id, list(store.ended)), (4, 0xAB, [0xAC]))
+        step, gang = job.repetition_steps(0)
         self.assertEqual([task.done for task in step.tasks], [True, False, False])
         self.assertEqual([step.failures(task) for task in step.tasks], [0, 2, 0])
         self.assertEqual(step.tasks[2].checkpoint, "00000bb87a21d94b")
         self.assertEqual([gang.failures(task) for task in gang.tasks], [1, 1])
         self.assertTrue(gang.count_failure(gang.tasks[1], 3))
 
-    def test_a_time_that_has_ended_is_not_run_again(self):
+    def test_ended_repetition_is_not_run_again(self):
         body = b'{"steps":[{"replicaCount":1}],"repetitions":2,"initialDelayMs":1000,"intervalMs":1000}'
-        one = job(body=body)
-        one.open_due_repetitions(1500)
-        one.step(0, 0).mark_done(one.step(0, 0).tasks[0])
-        self.assertFalse(one.close_ended_repetitions())
-        (again,) = self.loaded(one).jobs()
+        job = make_job(body=body)
+        job.open_due_repetitions(1500)
+        job.step(0, 0).mark_done(job.step(0, 0).tasks[0])
+        self.assertFalse(job.close_ended_repetitions())
+        (again,) = self.store_and_load(job).jobs()
         again.open_due_repetitions(9000)
         self.assertEqual([(step.repetition, step.number) for step in again.ready_steps()], [(1, 0)])
         again.step(1, 0).mark_done(again.step(1, 0).tasks[0])
         self.assertTrue(again.close_ended_repetitions())
 
-    def test_a_step_waits_for_those_that_it_depends_on(self):
-        one = job()
-        one.open_due_repetitions(1000)
-        self.assertEqual([step.number for step in one.ready_steps()], [0])
-        for task in one.step(0, 0).tasks:
-            one.step(0, 0).mark_done(task)
-        self.assertEqual([step.number for step in one.ready_steps()], [1])
-
-    def test_jobs_are_loaded_in_the_order_in_which_they_were_accepted(self):
-        store = self.loaded(job(1, accepted_ms=30), job(2, accepted_ms=10), job(3, accepted_ms=20))
-        self.assertEqual([one.id for one in store.jobs()], [2, 3, 1])
-
-    def test_an_ended_job_is_kept_until_it_is_forgotten(self):
-        one = job()
-        one.end = JobState.FAILED
-        store = self.loaded(one)
+    def test_step_waits_for_its_dependencies(self):
+        job = make_job()
+        job.open_due_repetitions(1000)
+        self.assertEqual([step.number for step in job.ready_steps()], [0])
+        for task in job.step(0, 0).tasks:
+            job.step(0, 0).mark_done(task)
+        self.assertEqual([step.number for step in job.ready_steps()], [1])
+
+    def test_jobs_are_loaded_in_order_of_acceptance(self):
+        store = self.store_and_load(
+            make_job(1, accepted_ms=30), make_job(2, accepted_ms=10), make_job(3, accepted_ms=20)
+        )
+        self.assertEqual([job.id for job in store.jobs()], [2, 3, 1])
+
+    def test_ended_job_remains_until_it_is_deleted(self):
+        job = make_job()
+        job.end = JobState.FAILED
+        store = self.store_and_load(job)
         self.assertEqual((store.active, store.ended[0xAB].state), ({}, JobState.FAILED))
         store.forget(5000)
         self.assertEqual(list(store.ended), [0xAB])
--- a/tests/scheduler/test_specification.py
+++ b/tests/scheduler/test_specification.py
@@ -1,4 +1,4 @@
-"""The body of a job: what is taken, and the sentence for each fault."""
+"""Job bodies: parsing of valid ones, and the error message of each invalid one."""
 
 import json
 import unittest
@@ -6,12 +6,12 @@
 from sparloom.scheduler.specification import MAXIMUM_TASK_SPEC_BYTES, parse_job
 
 
-def fault(**body):
+def error_message(**body):
     return parse_job(json.dumps(body).encode()).failure()
 
 
-class Bodies(unittest.TestCase):
-    def test_a_whole_body(self):
+class JobBodies(unittest.TestCase):
+    def test_complete_body(self):
         body = {
             "taskSpec": "x",
             "steps": [
@@ -28,7 +28,7 @@
         self.assertEqual((job.steps[1].depends_on, job.steps[1].gang, job.steps[1].checkpoints), ((0,), True, True))
         self.assertEqual([job.due_ms(repetition) for repetition in range(job.repetition_count)], [1000, 1500])
 
-    def test_each_fault_has_its_sentence(self):
+    def test_error_messages(self):
         step = {"replicaCount": 1}
         cases = (
             ({"steps": []}, "steps must be a list of 1 to 64 steps"),
@@ -47,7 +47,7 @@
         )
         for body, sentence in cases:
             with self.subTest(sentence):
-                self.assertEqual(fault(**body), sentence)
+                self.assertEqual(error_message(**body), sentence)
         self.assertEqual(parse_job(b"{").failure()[:23], "the body is not JSON: E")
 
 
--- a/tests/scheduler/unattended.py
+++ b/tests/scheduler/unattended.py
@@ -1,30 +1,30 @@
-"""What a scheduler must hold true of each task at each moment, so that none is forgotten."""
+"""Invariant of the scheduler's state: each task that is ready is either tracked by a run or queued for a start."""
 
 from math import inf
 
 from sparloom.scheduler.runners import RunPhase
 
 
-def _fault_of_run(scheduler, run):
-    """Why a run will not be looked after; None where it will be."""
+def _run_violation(scheduler, run):
+    """Return why the scheduler will not follow up on a run; None if it will."""
     runner = run.runner
     if scheduler.runners.get(runner.listing.id) is not runner:
-        return "its runner is forgotten"
+        return "its runner is no longer tracked"
     if runner.runs.get(run.name) is not run:
-        return "its runner doesn't have its run"
+        return "its runner does not track the run"
     if runner.hold_until == inf:
         return "its hold never lapses"
     if run.phase is RunPhase.STARTING and not run.request_in_flight and not run.unanswered:
-        return "its start is neither under way nor answered"
+        return "its start request is neither in flight nor unanswered"
     return None
 
 
-def _fault_of_task(scheduler, step, task):
-    """Why a task whose turn has come will not be looked after; None where it will be."""
+def _task_violation(scheduler, step, task):
+    """Return why the scheduler will not follow up on a ready task; None if it will."""
     if task.run is not None:
         if task.index in step.waiting:
-            return "it runs and waits"
-        return _fault_of_run(scheduler, task.run)
+            return "it is both running and waiting"
+        return _run_violation(scheduler, task.run)
     if task.index not in step.waiting:
         return "it neither runs nor waits"
     if step.job.id not in scheduler._queue.ids():
@@ -32,20 +32,20 @@
     return None
 
 
-def _forgotten_jobs(scheduler):
+def _missing_jobs(scheduler):
     for job_id in scheduler._queue.ids():
         if job_id not in scheduler.jobs:
-            yield f"{job_id:016x}", "it is queued, and forgotten"
+            yield f"{job_id:016x}", "it is queued but not tracked"
 
 
-def _strange_runs(scheduler):
+def _mismatched_runs(scheduler):
     for runner in scheduler.runners.values():
         for run in runner.runs.values():
             if run.task.run is not run and not run.task.done and run.step.job.end is None:
-                yield run.name, f"{runner.listing.id} has a run of it that is not its own"
+                yield run.name, f"{runner.listing.id} has a run that is not the task's current run"
 
 
-def _steps_whose_turn_has_come(scheduler):
+def _ready_steps(scheduler):
     for job in scheduler.jobs.values():
         for time, steps in job.steps.items():
             if job.end is None and time < job.next_repetition:
@@ -54,12 +54,12 @@
                 )
 
 
-def unattended(scheduler):
-    """Name each task that is forgotten, and why."""
-    yield from _forgotten_jobs(scheduler)
-    yield from _strange_runs(scheduler)
-    for step in _steps_whose_turn_has_come(scheduler):
+def unhandled_tasks(scheduler):
+    """Yield each task or job that violates the invariant, and the reason."""
+    yield from _missing_jobs(scheduler)
+    yield from _mismatched_runs(scheduler)
+    for step in _ready_steps(scheduler):
         for task in step.tasks:
-            why = None if task.done else _fault_of_task(scheduler, step, task)
+            why = None if task.done else _task_violation(scheduler, step, task)
             if why is not None:
                 yield step.task_name(task.index), why
