--- a/tests/scheduler/simulated_cluster.py
+++ b/tests/scheduler/simulated_cluster.py
@@ -181,7 +181,7 @@
 
     def _tick(self):
         self._send(self.scheduler.tick(self.now, self.wall_ms()))
-        self.violations += [f"{self.now:.3f} LOST {name}: {why}" for name, why in unhandled_tasks(self.scheduler)]
+        self.violations += [f"{self.now:.3f} LOST {name}: {reason}" for name, reason in unhandled_tasks(self.scheduler)]
         if not self.writing and (changes := self.scheduler.take_changes()) is not None:
             self.writing = True
             for job in changes.jobs:
@@ -491,10 +491,10 @@
                 )
         if self._attempt_unit(request.task) in self.acknowledged:
             self.violations.append(f"{self.now:.3f} TWICE {request.task} after its end was acknowledged")
-        job, time, step, _ = request.task.split(".")
+        job, repetition, step, _ = request.task.split(".")
         for earlier in self._step(request.task).depends_on:
             count_needed = self.specifications[int(job, 16)].steps[earlier].replica_count
-            if any(f"{job}.{time}.{earlier}.{index}" not in self.done for index in range(count_needed)):
+            if any(f"{job}.{repetition}.{earlier}.{index}" not in self.done for index in range(count_needed)):
                 self.violations.append(f"{self.now:.3f} ORDER {request.task}")
         state = self.shown.get(int(job, 16))
         # A runner may carry out an earlier request seconds later.
--- a/tests/scheduler/test_simulated_cluster.py
+++ b/tests/scheduler/test_simulated_cluster.py
@@ -244,14 +244,14 @@
     def test_ends_acknowledged_before_they_are_stored(self):
         take_instructions = Scheduler._take_instructions
 
-        def forget_at_once(scheduler):
+        def acknowledge_at_once(scheduler):
             for runner in scheduler.runners.values():
                 runner.stored_end = runner.applied_end
             return take_instructions(scheduler)
 
         # A slow disk: many seeds hit the time between an end and its storing, instead of one in a hundred.
         slow_disk = mock.patch.object(simulated_cluster, "STORE_LATENCY_S", 0.3)
-        with slow_disk, mock.patch.object(Scheduler, "_take_instructions", forget_at_once):
+        with slow_disk, mock.patch.object(Scheduler, "_take_instructions", acknowledge_at_once):
             self.assertTrue(
                 any("after its end was acknowledged" in violation for violation in self.violations_with_faults())
             )
--- a/tests/scheduler/unattended.py
+++ b/tests/scheduler/unattended.py
@@ -47,8 +47,8 @@
 
 def _ready_steps(scheduler):
     for job in scheduler.jobs.values():
-        for time, steps in job.steps.items():
-            if job.end is None and time < job.next_repetition:
+        for repetition, steps in job.steps.items():
+            if job.end is None and repetition < job.next_repetition:
                 yield from (
                     step for step in steps if all(steps[number].ended for number in step.specification.depends_on)
                 )
@@ -60,6 +60,6 @@
     yield from _mismatched_runs(scheduler)
     for step in _ready_steps(scheduler):
         for task in step.tasks:
-            why = None if task.done else _task_violation(scheduler, step, task)
-            if why is not None:
-                yield step.task_name(task.index), why
+            reason = None if task.done else _task_violation(scheduler, step, task)
+            if reason is not None:
+                yield step.task_name(task.index), reason
