--- a/tests/golden_calls.py
+++ b/tests/golden_calls.py
@@ -178,9 +178,9 @@
     for number in (0xAB, 0xAC):
         policy = QueuePolicy(3, "s", 2, 4)
         job = Job(number, "h /q/", policy, parse_job(JOB_BODY).unwrap(), JOB_BODY, 1_700_000_000_000 + number)
-        job.open_due_times(1_700_000_000_000 + number + 7)
+        job.open_due_repetitions(1_700_000_000_000 + number + 7)
         step = job.step(0, 0)
-        step.set_done(step.tasks[0])
+        step.mark_done(step.tasks[0])
         step.count_failure(step.tasks[1], 1 << 40)
         if number == 0xAC:
             job.end = JobState.FAILED
