--- a/sparloom/controller/change_requests.py
+++ b/sparloom/controller/change_requests.py
@@ -1,4 +1,8 @@
-"""The operator's changes: parsed from a request, and judged against a committed state. No I/O."""
+"""Parses the operators' changes and evaluates them against a committed state, without I/O.
+
+``ChangeRequest`` is a change of the configuration, ``StateUpdate`` one of
+another part of the control state. ``Judgement`` is the result of an evaluation.
+"""
 
 from __future__ import annotations
 
@@ -31,11 +35,11 @@
     method : str
         ``PUT`` for a complete configuration, ``PATCH`` for an edit.
     base : int
-        The revision that the change builds on; 0 for none.
+        The revision that the change is based on; 0 for none.
     change : dict
-        The request's JSON body.
+        The JSON body of the request.
     fingerprint : bytes
-        What tells this change from another of the same revision.
+        A digest that distinguishes changes of the same revision.
     """
 
     method: str
@@ -45,7 +49,7 @@
 
     @property
     def revision(self) -> int:
-        """The number that the operator gave the change.
+        """The revision that the operator assigned to the change.
 
         >>> parse_change_request("PATCH", "1", b'{"revision": 4}').unwrap().revision
         4
@@ -54,39 +58,39 @@
         return revision
 
     def is_retry_of(self, other: object) -> bool:
-        """Whether this is the other change, sent again.
+        """Whether this is a retry of the other change.
 
-        >>> a, b = (parse_change_request("PATCH", base, b'{"revision": 4}').unwrap() for base in "12")
-        >>> a.is_retry_of(a), a.is_retry_of(b)
+        >>> first, second = (parse_change_request("PATCH", base, b'{"revision": 4}').unwrap() for base in "12")
+        >>> first.is_retry_of(first), first.is_retry_of(second)
         (True, False)
         """
         return isinstance(other, ChangeRequest) and self.fingerprint == other.fingerprint
 
 
 class Verdict(Enum):
-    """What becomes of a change, as far as one committed state tells."""
+    """The result of evaluating a change against one committed state."""
 
-    NEW = "it may be written"
-    ALREADY_COMMITTED = "it was committed before"
-    FORGOTTEN = "it may have been committed before"
-    STALE = "another revision than its base is current"
-    INVALID = "it is invalid on its base"
-    CONFLICT = "another one is under way"
-    UNKNOWN_NAME = "it names something that is not there"
+    NEW = "the change is valid and not committed yet"
+    ALREADY_COMMITTED = "the change was committed before"
+    FORGOTTEN = "the change may have been committed before"
+    STALE = "the base of the change is not the current revision"
+    INVALID = "the change is invalid on its base"
+    CONFLICT = "a conflicting change is in progress"
+    UNKNOWN_NAME = "the change names something that does not exist"
 
 
 @define(frozen=True, slots=True)
 class Judgement:
-    """The verdict on a change.
+    """The evaluation of a change against a committed state.
 
     Attributes
     ----------
     verdict : Verdict
-        What becomes of the change.
+        The result.
     state : State or None
         The state to write, for a new change.
     fault : str
-        What is wrong, for a change that can't be made.
+        The error message, for a rejected change.
     """
 
     verdict: Verdict
@@ -95,54 +99,54 @@
 
 
 class Update(Protocol):
-    """A change of a part of the control state that a controller makes, or takes from an operator."""
+    """A change of one part of the control state, created by a controller or requested by an operator."""
 
     def is_retry_of(self, other: object) -> bool:
-        """Whether this is the other update, sent again."""
+        """Whether this is a retry of the other update."""
 
 
 @define(frozen=True, slots=True)
 class StateUpdate(Generic[AnyUpdate]):
-    """An update, and what judges it: each part of the control state has a judge of its own.
+    """An update of one part of the control state, with the function that evaluates it.
 
     Attributes
     ----------
     content
         The update.
     judge_content
-        Gives what becomes of it upon a committed state.
+        Evaluates the update against a committed state.
     """
 
     content: AnyUpdate
     judge_content: Callable[[State, AnyUpdate], Judgement]
 
     def is_retry_of(self, other: object) -> bool:
-        """Whether this is the other update, sent again."""
+        """Whether this is a retry of the other update."""
         return isinstance(other, StateUpdate) and self.content.is_retry_of(other.content)
 
     def judge(self, state: State) -> Judgement:
-        """What becomes of the update upon a committed state."""
+        """Evaluates the update against a committed state."""
         return self.judge_content(state, self.content)
 
 
 def _parse_base(if_match: str) -> int | None:
-    """The revision that ``If-Match`` names, or None."""
+    """The revision in ``If-Match``, or None if it is invalid."""
     digits = if_match.strip().strip('"')
-    # Longer digits name no revision, and int() is slow on a very long text.
+    # Longer numbers exceed every valid revision, and int() is slow on a very long text.
     return int(digits) if digits.isascii() and digits.isdigit() and len(digits) <= MAXIMUM_DIGITS else None
 
 
 def parse_change_request(method: str, if_match: str, body: bytes) -> Result[ChangeRequest, str]:
-    """Parses a change. A failure names a fault that lies in the request alone, whatever the state.
+    """Parses a change; a failure describes an error that does not depend on the current state.
 
     >>> parse_change_request("PUT", "0", b'{"revision": 1}').unwrap().base
     0
     >>> parse_change_request("PUT", "", b"{}").failure()
-    'If-Match must name the revision that this builds on'
+    'If-Match must contain the base revision of the change'
     """
     base = _parse_base(if_match)
     if base is None:
-        return Failure("If-Match must name the revision that this builds on")
+        return Failure("If-Match must contain the base revision of the change")
     parsed = parse(body)
     if not is_successful(parsed):
         return Failure(parsed.failure())
@@ -150,7 +154,7 @@
     if not isinstance(change, dict):
         return Failure("the body must be an object")
     revision = change.get("revision")
-    # A bool is an int too, so its exact type is compared.
+    # The exact type is compared because bool is a subclass of int.
     if type(revision) is not int or not 0 < revision <= MAXIMUM_REVISION:
         return Failure(f"revision must be a whole number from 1 to {MAXIMUM_REVISION}")
     if method == "PUT":
@@ -169,7 +173,7 @@
     return state.history.fingerprint_of(request.revision) == request.fingerprint
 
 
-def _new_configuration(state: State, request: ChangeRequest) -> Result[ConfigurationDict, str]:
+def _changed_configuration(state: State, request: ChangeRequest) -> Result[ConfigurationDict, str]:
     if request.method == "PUT":
         return Success(request.change)
     edited: Result[ConfigurationDict, str] = apply_patch(state.configuration, request.change).bind(check)
@@ -177,12 +181,12 @@
 
 
 def judge(state: State, request: ChangeRequest, router_count: int = 0) -> Judgement:
-    """What becomes of a change upon a committed state.
+    """Evaluates a change against a committed state.
 
     Parameters
     ----------
     router_count
-        The number of routers that are known now; it is stored with the configuration.
+        The number of routers known now; it is stored with the configuration.
 
     >>> request = parse_change_request("PUT", "0", b'{"revision": 3}').unwrap()
     >>> first = judge(State({}), request)
@@ -193,14 +197,14 @@
     """
     if _was_committed(state, request):
         return Judgement(Verdict.ALREADY_COMMITTED)
-    if state.history.forgot(request.revision, request.base):
+    if state.history.may_have_dropped(request.revision, request.base):
         return Judgement(Verdict.FORGOTTEN)
     if request.base != state.revision:
         return Judgement(Verdict.STALE)
     if request.revision <= state.revision:
         fault = f"revision {request.revision} is not above the current {state.revision}"
         return Judgement(Verdict.INVALID, fault=fault)
-    made = _new_configuration(state, request)
-    if not is_successful(made):
-        return Judgement(Verdict.INVALID, fault=made.failure())
-    return Judgement(Verdict.NEW, state.then(made.unwrap(), request.fingerprint, router_count))
+    created = _changed_configuration(state, request)
+    if not is_successful(created):
+        return Judgement(Verdict.INVALID, fault=created.failure())
+    return Judgement(Verdict.NEW, state.then(created.unwrap(), request.fingerprint, router_count))
--- a/sparloom/controller/configuration_writer.py
+++ b/sparloom/controller/configuration_writer.py
@@ -1,9 +1,10 @@
-"""Reads and changes the control state: one write at a time, and what became of it.
+"""Reads and changes the replicated control state, with one write in flight at a time.
 
-Every answer rests on committed state that a majority confirmed after the
-request came. That assumes what the consensus assumes: a primary serves only
-while it is in contact with a majority of its roster, and a disk keeps what it
-has acknowledged. Whatever can't be confirmed is left open and never a refusal.
+``ConfigurationWriter`` answers every request from committed state that a
+majority confirmed after the request arrived. This relies on the assumptions of
+the consensus: a primary serves only while it is in contact with a majority of
+its roster, and a disk retains what it has acknowledged. Without confirmation
+the outcome is reported as unknown, never as a rejection.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from .change_requests import ChangeRequest, StateUpdate, Verdict, judge
 from .control_state import State
 from .evacuation_orders import EvacuationOrder, judge_evacuation
-from .offload import is_large, run
+from .offload import is_large, run_offloaded
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -36,49 +37,49 @@
     from .feed_server import FeedServer
 
     Version = tuple[int, int]
-    Order = ChangeRequest | EvacuationOrder | StateUpdate[Any]
+    AnyChange = ChangeRequest | EvacuationOrder | StateUpdate[Any]
 
-# Callers move on after a second of silence; a large body is given more.
-ANSWER_WITHIN = timedelta(milliseconds=800)
-ANSWER_WITHIN_PER_MIB = timedelta(seconds=1)
+# Clients give up after one second without a response. A large body extends the limit in proportion to its length.
+RESPONSE_TIMEOUT = timedelta(milliseconds=800)
+RESPONSE_TIMEOUT_PER_MIB = timedelta(seconds=1)
 MIB = 1 << 20
 
 
 @define(frozen=True, slots=True)
 class Deadline:
-    """The moment by which a request is answered.
+    """The time by which a request must be answered.
 
     Attributes
     ----------
     at : timedelta
-        On the clock of ``sparloom.transport.monotonic``.
+        The deadline on the clock of ``sparloom.transport.monotonic``.
     """
 
     at: timedelta
 
     @classmethod
     def after_body(cls, length: int) -> Deadline:
-        """The deadline of a request whose body of that many bytes was just read."""
-        return cls(monotonic() + ANSWER_WITHIN + ANSWER_WITHIN_PER_MIB * (length / MIB))
+        """The deadline of a request whose body, ``length`` bytes long, was read just now."""
+        return cls(monotonic() + RESPONSE_TIMEOUT + RESPONSE_TIMEOUT_PER_MIB * (length / MIB))
 
-    def left(self) -> timedelta:
-        """How much time is left; never less than none."""
-        remaining: timedelta = self.at - monotonic()
-        return max(timedelta(0), remaining)
+    def remaining(self) -> timedelta:
+        """The time until the deadline, or zero after it."""
+        difference: timedelta = self.at - monotonic()
+        return max(timedelta(0), difference)
 
 
 @define(frozen=True, slots=True)
 class Snapshot:
-    """A state and the version of the data that it was unpacked from.
+    """A state and the version of the replicated data that contains it.
 
     Attributes
     ----------
     version : tuple of int
-        Epoch and number.
+        The epoch and number of the data.
     blob : bytes
         The packed state.
     state : State
-        The same, unpacked.
+        The unpacked state.
     """
 
     version: Version
@@ -88,7 +89,7 @@
 
 @define(frozen=True, slots=True)
 class PendingWrite:
-    """A change whose write is under way.
+    """A change whose write is in flight.
 
     Attributes
     ----------
@@ -97,12 +98,12 @@
     blob : bytes
         The packed state that is being written.
     state : State
-        The same, unpacked.
+        The unpacked state.
     committed : asyncio.Task
-        Gives whether the write is known to be committed.
+        Returns whether the write is known to be committed.
     """
 
-    request: Order
+    request: AnyChange
     blob: bytes
     state: State
     committed: asyncio.Task[bool]
@@ -110,45 +111,45 @@
 
 @define(frozen=True, slots=True)
 class Acknowledged:
-    """The change is committed; ``revision`` is that of the configuration."""
+    """The change is committed; ``revision`` is the revision of the configuration."""
 
     revision: int
 
 
 @define(frozen=True, slots=True)
 class OutcomeUnknown:
-    """The change may be committed, or may yet be; it is to be sent again."""
+    """The change may be committed now or later; the client should retry it."""
 
 
 @define(frozen=True, slots=True)
 class NotConfirmed:
-    """This controller is not known to be the primary, so it can't tell."""
+    """This controller could not confirm that it is the primary."""
 
 
 @define(frozen=True, slots=True)
 class Stale:
-    """The change builds on another revision than the current one."""
+    """The base of the change is not the current revision."""
 
     current_revision: int
 
 
 @define(frozen=True, slots=True)
 class Invalid:
-    """The change can't be made on its base."""
+    """The change is invalid on its base."""
 
     fault: str
 
 
 @define(frozen=True, slots=True)
 class Conflict:
-    """Another change of the kind is under way."""
+    """A conflicting change of the same kind is in progress."""
 
     fault: str
 
 
 @define(frozen=True, slots=True)
 class UnknownName:
-    """The change names something that is not there."""
+    """The change names something that does not exist."""
 
     fault: str
 
@@ -157,23 +158,23 @@
 
 
 class ConfigurationWriter:
-    """The committed configuration, and the one write that may be under way.
+    """The committed configuration and the write in flight, if there is one.
 
     Attributes
     ----------
     committed : Snapshot or None
-        The newest committed state that the consensus told of.
+        The newest committed state reported by the consensus.
     pending : PendingWrite or None
-        The write under way.
+        The write in flight.
 
     Parameters
     ----------
     consensus
-        Confirms reads and carries out writes.
+        Confirms reads and performs writes.
     feed_server
-        Is given each committed configuration.
+        Publishes each committed configuration.
     write_timeout
-        How long a write may take until its outcome counts as unknown.
+        Returns the time after which the outcome of a write counts as unknown.
     """
 
     def __init__(
@@ -182,20 +183,20 @@
         self.consensus, self.feed_server, self.write_timeout = consensus, feed_server, write_timeout
         self.committed: Snapshot | None = None
         self.pending: PendingWrite | None = None
-        # What was published last, and in which epoch.
+        # The epoch and document of the last publication.
         self._published: tuple[int, ConfigurationDict] | None = None
 
     def cancel(self) -> None:
-        """Waits no longer for the write under way, whose outcome stays unknown."""
+        """Stops waiting for the write in flight; its outcome stays unknown."""
         if self.pending is not None:
             self.pending.committed.cancel()
 
-    # -- what the consensus tells -----------------------------------------------
+    # -- committed data -----------------------------------------------------------
     def on_committed(self, data: Data) -> None:
-        """Takes committed data, and publishes the configuration in it.
+        """Stores committed data and publishes its configuration.
 
-        What routers are told nothing of, as the state of the duties, gives the
-        configuration no new version within an epoch.
+        Within an epoch, a change that does not affect the published document,
+        such as one of the duties, publishes no new version.
         """
         self.committed = self._snapshot(data)
         state, (epoch, _) = self.committed.state, data.version
@@ -207,7 +208,7 @@
             self.feed_server.publish(CONFIGURATION, data.version, document)
 
     def _snapshot(self, data: Data) -> Snapshot:
-        """The state in some data; the same bytes are unpacked once only."""
+        """The unpacked state of some data; known bytes are not unpacked again."""
         known = self.committed
         if known is not None and known.blob == data.blob:
             return known if known.version == data.version else Snapshot(data.version, data.blob, known.state)
@@ -217,46 +218,46 @@
 
     # -- the number of routers ----------------------------------------------------
     def _visible_routers(self) -> int:
-        """Routers in the membership's table, those that died of late included."""
+        """The number of routers in the membership table, including those that died recently."""
         return sum(entry.peer.role == ROUTER for entry in self.consensus.swim.table.values())
 
     def router_count(self) -> int:
-        """The number of routers that share the endpoints: as committed, or as visible if that is more."""
+        """The number of routers that share the endpoints: the larger of the committed and the visible count."""
         committed = self.committed.state.router_count if self.committed else 0
         return max(committed, self._visible_routers())
 
     # -- reading --------------------------------------------------------------------
     async def confirmed(self, deadline: Deadline) -> Snapshot | None:
-        """Returns committed state that a majority confirmed after this call began, or None."""
+        """Returns committed state that a majority confirmed during this call, or None."""
         if not self.consensus.member.leading():
             return None
-        data = await self.consensus.confirm(deadline.left())
-        # Data newer than any that was reported as committed may still be lost with this primary.
+        data = await self.consensus.confirm(deadline.remaining())
+        # Data newer than the last reported commit may still be lost if this primary fails.
         if data is None or self.committed is None or data.version > self.committed.version:
             return None
         return self._snapshot(data)
 
     def _is_newest(self, snapshot: Snapshot) -> bool:
-        """Whether a confirmed state is still what a write would build on."""
+        """Whether this is still the primary and a confirmed state is still the newest committed one."""
         if not self.consensus.member.leading():
             return False
         return self.committed is not None and self.committed.version == snapshot.version
 
     # -- changing -------------------------------------------------------------------
     async def change(
-        self, request: Order, deadline: Deadline, is_wanted: Callable[[], bool] = lambda: True
+        self, request: AnyChange, deadline: Deadline, is_client_waiting: Callable[[], bool] = lambda: True
     ) -> ChangeOutcome:
-        """Carries out a change, and returns its outcome by the deadline.
+        """Performs a change and returns its outcome by the deadline.
 
-        A change is never refused while a write is under way, and never without
-        confirmed state: the write could make the reason for the refusal untrue.
+        A change is rejected only on confirmed state and while no write is in flight,
+        because a pending write could invalidate the reason for the rejection.
 
         Parameters
         ----------
-        is_wanted
-            Tells whether somebody still waits for the answer; if not, no write begins.
+        is_client_waiting
+            Returns whether the client still waits for the answer; if not, no write is started.
         """
-        while deadline.left() and is_wanted():
+        while deadline.remaining() and is_client_waiting():
             if self.pending is not None:
                 pending = self.pending
                 committed = await self._committed_in_time(pending, deadline)
@@ -266,10 +267,10 @@
             snapshot = await self.confirmed(deadline)
             if snapshot is None:
                 return NotConfirmed()
-            # Another write may have begun, or ended, while the state was being confirmed.
-            if self.pending is not None or not self._is_newest(snapshot) or not is_wanted():
+            # Another write may have started or ended during the confirmation.
+            if self.pending is not None or not self._is_newest(snapshot) or not is_client_waiting():
                 continue
-            outcome = await self._judge(request, snapshot)
+            outcome = await self._reject_or_write(request, snapshot)
             if outcome is not None:
                 return outcome
         return OutcomeUnknown()
@@ -278,20 +279,20 @@
     async def _committed_in_time(pending: PendingWrite, deadline: Deadline) -> bool:
         """Whether a write is known to be committed by the deadline."""
         task = pending.committed
-        done, _ = await asyncio.wait({task}, timeout=deadline.left().total_seconds())
+        done, _ = await asyncio.wait({task}, timeout=deadline.remaining().total_seconds())
         return bool(done) and not task.cancelled() and task.result()
 
-    async def _judgement(self, request: Order, state: State) -> Judgement:
+    async def _evaluate(self, request: AnyChange, state: State) -> Judgement:
         if isinstance(request, EvacuationOrder):
             return judge_evacuation(state, request)
         if isinstance(request, StateUpdate):
             return request.judge(state)
-        is_long = is_large(state.configuration) or is_large(request.change)
-        return await run(is_long, judge, state, request, self._visible_routers())
+        is_slow = is_large(state.configuration) or is_large(request.change)
+        return await run_offloaded(is_slow, judge, state, request, self._visible_routers())
 
-    async def _judge(self, request: Order, snapshot: Snapshot) -> ChangeOutcome | None:
-        """The outcome of a change; None when its write has begun, or the state has changed meanwhile."""
-        judgement = await self._judgement(request, snapshot.state)
+    async def _reject_or_write(self, request: AnyChange, snapshot: Snapshot) -> ChangeOutcome | None:
+        """Rejects a change or starts its write; None if a write is in flight or the state has changed meanwhile."""
+        judgement = await self._evaluate(request, snapshot.state)
         if judgement.verdict is Verdict.ALREADY_COMMITTED:
             return Acknowledged(request.revision if isinstance(request, ChangeRequest) else snapshot.state.revision)
         if judgement.verdict is Verdict.FORGOTTEN:
@@ -304,18 +305,18 @@
             return UnknownName(judgement.fault)
         if judgement.state is None:
             return Invalid(judgement.fault)
-        blob = await run(is_large(judgement.state.configuration), judgement.state.pack)
-        # The loop ran on while threads judged and packed.
+        blob = await run_offloaded(is_large(judgement.state.configuration), judgement.state.pack)
+        # The event loop kept running while worker threads evaluated and packed the change.
         if self.pending is None and self._is_newest(snapshot):
             write = self._write(request, snapshot, judgement.state, blob)
             task = asyncio.get_running_loop().create_task(write)
             self.pending = PendingWrite(request, blob, judgement.state, task)
         return None
 
-    async def _write(self, request: Order, snapshot: Snapshot, state: State, blob: bytes) -> bool:
-        """Writes a state over the one that it was made from; returns whether it is known to be committed."""
+    async def _write(self, request: AnyChange, snapshot: Snapshot, state: State, blob: bytes) -> bool:
+        """Replaces the state of a snapshot with a new one; returns whether the write is known to be committed."""
         try:
-            # The task starts a turn of the event loop after the last check.
+            # The task starts one event loop iteration after the previous check.
             if not self._is_newest(snapshot):
                 return False
             data = await self.consensus.write(state.revision, blob, self.write_timeout())
@@ -328,19 +329,19 @@
 
 
 def published_document(state: State) -> ConfigurationDict:
-    """What routers are told: the operators' configuration, evacuated zones, roll-outs, and who shares rates.
+    """The document for routers: the operators' configuration, evacuated zones, roll-outs and rate holders.
 
     >>> published_document(State({"revision": 1})), published_document(State({"revision": 1}).evacuate("z"))
     ({'revision': 1}, {'revision': 1, 'evacuatedZones': ['z']})
     """
     additions = evacuated_zones_addition(state.evacuated)
     if state.rollouts is not None:
-        # Deployments without roll-outs don't spend time and memory of a start on it.
+        # Imported here to save startup time and memory on deployments without roll-outs.
         from .rollout_updates import rollouts_addition
 
         additions[ROLLOUTS] = rollouts_addition(state.rollouts)
     if state.rate_holders is not None:
-        # Nor do those without cold rates.
+        # Imported here to save startup time and memory on deployments without cold rates.
         from sparloom.configuration.rate_holders import rate_holders_addition
 
         additions |= rate_holders_addition(state.rate_holders)
@@ -348,7 +349,7 @@
     return document
 
 
-def _log_committed(request: Order, state: State) -> None:
+def _log_committed(request: AnyChange, state: State) -> None:
     if isinstance(request, ChangeRequest):
         logging.info("control: revision committed revision=%d", state.revision)
     elif isinstance(request, EvacuationOrder):
--- a/sparloom/controller/consensus_service.py
+++ b/sparloom/controller/consensus_service.py
@@ -1,8 +1,8 @@
-"""The service around one consensus member: sockets, disk and time.
+"""Runs one consensus member: its sockets, disk and timer.
 
-Every decision is the member's (``sparloom.consensus``) or the membership's
-(``sparloom.membership``). This service passes messages and ticks in, and
-carries out the actions that come back.
+The state machines of ``sparloom.consensus`` and ``sparloom.membership`` make
+every decision. ``ConsensusService`` passes messages and ticks to them and
+executes the actions that they return.
 """
 
 from __future__ import annotations
@@ -50,15 +50,16 @@
     Action = Save | Send | Committed | ReadConfirmed | Aborted | LeaveCompleted
     HostPort = tuple[str, int]
 
-TICK = timedelta(milliseconds=40)
+TICK_INTERVAL = timedelta(milliseconds=40)
+# Limits the queue of each connection; a further copy replaces the oldest one.
 QUEUED_COPIES_PER_MEMBER = 4
 RANDOM_ID_BYTES = 7
-# A connection without a copy to send is closed after this many times the bound for a dead member.
+# An idle connection is closed after this multiple of the removal timeout of a dead member.
 IDLE_CONNECTION_FACTOR = 4
 
 
 class ConsensusService(Service):
-    """One controller's member of the consensus, and its place in the membership.
+    """The consensus member and the membership instance of one controller.
 
     Attributes
     ----------
@@ -67,29 +68,30 @@
     key : str
         This controller's internal address, HOST:PORT.
     member : ConsensusMember
-        The state machine; there is one once the service has started.
+        The consensus state machine; set by ``on_start``.
     swim : Swim
-        The membership; there is one once the service has started.
+        The membership state machine; set by ``on_start``.
     pending_calls : dict
-        The futures of reads and writes in flight, by call id.
+        The futures of the reads and writes in flight, by call id.
     connections : dict
-        The sending task and the queue of copies of each member, by (host, port).
-    left : asyncio.Event
-        Set once a planned leave is complete.
+        The sending task and the queue of copies for each member, by (host, port).
+    leave_completed : asyncio.Event
+        Set when a planned leave has completed.
 
     Parameters
     ----------
     settings
-        The settings at the start.
+        The initial settings.
     serve_connection
-        Serves a connection that does not begin with a copy; it is given the first record.
+        Serves a connection whose first record is not a copy; called with the connection and that record.
     on_committed
-        Called with data that every holder has on disk.
-    receive_other
-        Given the sender and the record of each datagram that is none of the membership; tells whether it took it.
+        Called with data that every replica has on disk.
+    handle_other_record
+        Called with the sender and the record of each datagram that does not belong to the membership protocol.
+        Returns whether it handled the record.
     """
 
-    # Made by on_start, since a member begins with what its disk holds.
+    # Set by on_start, because the initial state of a member is loaded from disk.
     member: ConsensusMember
     swim: Swim
     disk: DurableWriter
@@ -102,63 +104,63 @@
         settings: Settings,
         serve_connection: Callable[[Frames, Record], Awaitable[None]],
         on_committed: Callable[[Data], None],
-        receive_other: Callable[[str, Record], bool] = lambda sender, record: False,
+        handle_other_record: Callable[[str, Record], bool] = lambda sender, record: False,
     ) -> None:
         super().__init__()
-        self.receive_other = receive_other
+        self.handle_other_record = handle_other_record
         self.settings, self.serve_connection, self.on_committed = settings, serve_connection, on_committed
         self.port = settings.controller_port
         self.key = f"{settings.ip}:{self.port}"
         self.pending_calls: dict[int, asyncio.Future[Data | None]] = {}
         self.last_call_id = 0
         self.connections: dict[HostPort, tuple[asyncio.Task[None], asyncio.Queue[Copy]]] = {}
-        self.left = asyncio.Event()
+        self.leave_completed = asyncio.Event()
         self._membership_started = False
 
     @property
     def seeds(self) -> tuple[str, ...]:
-        """The seeds' internal addresses, HOST:PORT."""
+        """The internal addresses of the seeds, HOST:PORT."""
         return tuple(f"{seed.host}:{self.port}" for seed in self.settings.seeds)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Goes by other checked settings from now on."""
+        """Replaces the settings; the new ones must have been validated."""
         self.settings = settings
         if self._membership_started:
             self.swim.seeds = self.seeds
 
     @property
     def _data_directory(self) -> str:
-        assert self.settings.data is not None, "the command line refuses to serve without dataDirectory"
+        assert self.settings.data is not None, "the command line requires dataDirectory"
         return self.settings.data
 
     def leading_epoch(self) -> int | None:
-        """The epoch in which this member is the primary at this moment, or None."""
+        """The epoch in which this member is currently the primary, or None."""
         leadership = self.member.leadership if self.member.leading() else None
         return leadership.epoch if leadership else None
 
     def backup_keys(self) -> list[str]:
-        """The internal addresses, HOST:PORT, of the other members that hold the data, while this one leads."""
+        """The internal addresses of the backups, HOST:PORT; empty unless this member is the primary."""
         leadership = self.member.leadership
         if leadership is None:
             return []
-        holders = (member for member in leadership.view.roster if member.id in leadership.view.backups)
-        return [f"{member.host}:{member.port}" for member in holders]
+        backups = (member for member in leadership.view.roster if member.id in leadership.view.backups)
+        return [f"{member.host}:{member.port}" for member in backups]
 
     # -- start and stop -----------------------------------------------------
     async def on_start(self) -> None:
-        """Loads the disk and joins the others; raises OSError if the internal address can't be bound."""
+        """Loads the stored state and joins the cluster; raises OSError if the internal address can't be bound."""
         settings, loop, rng = self.settings, asyncio.get_running_loop(), random.Random()
-        self.disk = DurableWriter(self._data_directory, loop, self._saved, self._save_failed)
+        self.disk = DurableWriter(self._data_directory, loop, self._on_saved, self._on_save_failed)
         stored = await self.disk.load()
         genesis = {(seed.host, self.port) for seed in settings.seeds}
-        # A disk that held something unreadable may have promised something: its machine is no founder.
+        # An unreadable file may have recorded a promise, so a member that set one aside must not act as a founder.
         first_start = settings.first_start and not self.disk.set_aside
         member_id = stored[0].id if stored else self._new_member_id(genesis if first_start else set())
         control = str(settings.listen.control or "")
-        me = Member(member_id, settings.ip, self.port, settings.zone, control)
+        own_member = Member(member_id, settings.ip, self.port, settings.zone, control)
         timing = ConsensusTiming.of(settings.bounds.contact)
-        copies = settings.tolerated.backups
-        self.member = ConsensusMember.start(me, stored, first_start, timing, rng, copies, genesis, monotonic())
+        backups = settings.tolerated.backups
+        self.member = ConsensusMember.start(own_member, stored, first_start, timing, rng, backups, genesis, monotonic())
         instance_id = int.from_bytes(os.urandom(RANDOM_ID_BYTES))
         peer = Peer(self.key, CONTROLLER, settings.zone, control, instance_id, 0, 0)
         self.swim = Swim(peer, self.seeds, SwimTiming.of(settings.bounds.contact), rng)
@@ -166,7 +168,7 @@
         await self._open_sockets()
         self.disk.start()
         if stored is None:
-            # The new id must be on disk before this member promises anything under it.
+            # The new id must be on disk before this member makes a promise under it.
             self._carry_out([self.member.save()])
         logging.info("consensus: member started id=%x disk=%s", member_id, "loaded" if stored else "empty")
 
@@ -181,18 +183,18 @@
         self.server = await asyncio.start_server(self._serve_connection, sock=bind(address))
 
     def send_datagram(self, to: str, record: Record) -> None:
-        """Sends a record to an internal address, HOST:PORT, without knowing whether it arrives."""
+        """Sends a record by datagram to an internal address, HOST:PORT; delivery is not guaranteed."""
         self.datagrams.send(to, record)
 
     def _new_member_id(self, genesis: set[HostPort]) -> int:
-        """The id of a member with an empty disk: a founder's own, or a random odd one."""
+        """The id of a member with an empty disk: derived from the address for a founder, else a random odd number."""
         if (self.settings.ip, self.port) in genesis:
             own_id: int = founder_id(genesis, self.settings.ip, self.port)
             return own_id
         return int.from_bytes(os.urandom(RANDOM_ID_BYTES)) | 1
 
     async def on_stop(self) -> None:
-        """Tells the others that this process ends, and writes pending saves."""
+        """Announces the departure to the membership and flushes pending saves."""
         for message in self.swim.leave():
             self.datagrams.send(message.to, message.record)
         self.server.close()
@@ -200,14 +202,14 @@
         self.datagrams.close()
 
     async def leave(self, timeout: timedelta) -> None:
-        """Moves this member's replica and vote to others; returns once that is done, or at the time-out."""
+        """Hands this member's replica and vote over to other members; returns when done or at the timeout."""
         self._carry_out(self.member.leave(monotonic()))
         try:
             async with asyncio.timeout(timeout.total_seconds()):
-                await self.left.wait()
+                await self.leave_completed.wait()
             logging.info("consensus: leave completed")
         except TimeoutError:
-            # The replica or the vote may still be needed here.
+            # The cluster may still depend on the replica or the vote of this member.
             logging.warning("consensus: leave timed out timeout_ms=%d", timeout / timedelta(milliseconds=1))
 
     @Service.task
@@ -217,21 +219,21 @@
             self._carry_out(self.member.tick(now))
             for message in self.swim.tick(now):
                 self.datagrams.send(message.to, message.record)
-            await asyncio.sleep(TICK.total_seconds())
+            await asyncio.sleep(TICK_INTERVAL.total_seconds())
 
     # -- messages in --------------------------------------------------------
     def _receive(self, sender: str, record: Record) -> None:
-        """Takes a record that came by datagram."""
+        """Handles a record received by datagram."""
         if isinstance(record, (Ping, Ack, PingRequest, TableComparison)):
             for message in self.swim.receive(monotonic(), sender, record):
                 self.datagrams.send(message.to, message.record)
-        elif self.receive_other(sender, record) or self.prefixes.receive(sender, record):
+        elif self.handle_other_record(sender, record) or self.prefixes.receive(sender, record):
             return
         elif not isinstance(record, Copy):
             self._carry_out(self.member.receive(monotonic(), record))
 
     async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves a connection that another process opened; its first record tells for what."""
+        """Serves an incoming connection; its first record determines the protocol."""
         frames = Frames(reader, writer)
         try:
             async with asyncio.timeout(self.settings.bounds.contact.total_seconds()):
@@ -253,34 +255,34 @@
     # -- actions out --------------------------------------------------------
     def _carry_out(self, actions: Iterable[Action] | None) -> None:
         for action in actions or ():
-            self._perform(action)
+            self._execute(action)
 
     @singledispatchmethod
-    def _perform(self, action: Action) -> None:
-        raise TypeError(f"expected an action of the consensus member, found {action!r}")
+    def _execute(self, action: Action) -> None:
+        raise TypeError(f"unknown action of the consensus member: {action!r}")
 
-    @_perform.register(Save)
+    @_execute.register(Save)
     def _(self, action: Save) -> None:
         self.disk.put(action)
 
-    @_perform.register(Committed)
+    @_execute.register(Committed)
     def _(self, action: Committed) -> None:
         self.on_committed(action.data)
         self._finish_call(action.id, action.data)
 
-    @_perform.register(ReadConfirmed)
+    @_execute.register(ReadConfirmed)
     def _(self, action: ReadConfirmed) -> None:
         self._finish_call(action.id, action.data)
 
-    @_perform.register(Aborted)
+    @_execute.register(Aborted)
     def _(self, action: Aborted) -> None:
         self._finish_call(action.id, None)
 
-    @_perform.register(LeaveCompleted)
+    @_execute.register(LeaveCompleted)
     def _(self, action: LeaveCompleted) -> None:
-        self.left.set()
+        self.leave_completed.set()
 
-    @_perform.register(Send)
+    @_execute.register(Send)
     def _(self, action: Send) -> None:
         if action.destination is SEEDS:
             for seed in self.seeds:
@@ -295,7 +297,7 @@
             self._send_to(f"{action.destination.host}:{action.destination.port}", action.record)
 
     def _send_to(self, key: str, record: Record) -> None:
-        """Sends by datagram; what a member sends to itself is received in the next turn of the event loop."""
+        """Sends a record by datagram; one to this member itself is delivered in the next event loop iteration."""
         if key != self.key:
             self.datagrams.send(key, record)
             return
@@ -305,7 +307,7 @@
         self._carry_out(self.member.receive(monotonic(), record))
 
     def _send_copy(self, to: Member, copy: Copy) -> None:
-        """Queues a copy for a member's connection; the newest few are kept."""
+        """Queues a copy for a member's connection; a full queue drops its oldest copy."""
         address = (to.host, to.port)
         connection = self.connections.get(address)
         if connection is None or connection[0].done():
@@ -318,7 +320,7 @@
         copies.put_nowait(copy)
 
     async def _send_copies(self, address: HostPort, copies: asyncio.Queue[Copy]) -> None:
-        """Sends queued copies over one connection; a copy may take as long as its bytes make progress."""
+        """Sends queued copies over one connection; a copy times out only when no bytes make progress."""
         timing, frames = self.member.timing, None
         try:
             frames = await dial(*address, timing.election_timeout)
@@ -332,11 +334,11 @@
             if frames:
                 frames.close()
 
-    def _saved(self, saves: list[Save]) -> None:
+    def _on_saved(self, saves: list[Save]) -> None:
         for save in saves:
             self._carry_out(self.member.saved(monotonic(), save))
 
-    def _save_failed(self) -> None:
+    def _on_save_failed(self) -> None:
         self._carry_out(self.member.save_failed(monotonic()))
 
     # -- reads and writes ---------------------------------------------------
@@ -346,7 +348,7 @@
             future.set_result(data)
 
     async def _call(self, start: Callable[[int], Iterable[Action] | None], timeout: timedelta) -> Data | None:
-        """Starts a read or a write; its data, or None when it can't start or does not end in time."""
+        """Performs a read or write; returns its data, or None if it can't start or times out."""
         self.last_call_id += 1
         call_id = self.last_call_id
         future: asyncio.Future[Data | None] = asyncio.get_running_loop().create_future()
@@ -361,13 +363,13 @@
         except TimeoutError:
             return None
         finally:
-            # A caller that was cancelled leaves nothing behind either.
+            # Also removes the call when the caller is cancelled.
             self.pending_calls.pop(call_id, None)
 
     async def confirm(self, timeout: timedelta) -> Data | None:
-        """Returns the committed data if a majority confirmed, after the call began, that this is the primary."""
+        """Returns the committed data if a majority confirms, during this call, that this member is the primary."""
         return await self._call(lambda call_id: self.member.read(monotonic(), call_id), timeout)
 
     async def write(self, revision: int, blob: bytes, timeout: timedelta) -> Data | None:
-        """Returns the data once every holder has it on disk; None when that isn't known by the time-out."""
+        """Returns the data once every replica has it on disk; None if that is not known by the timeout."""
         return await self._call(lambda call_id: self.member.write(monotonic(), call_id, revision, blob), timeout)
--- a/sparloom/controller/control_api.py
+++ b/sparloom/controller/control_api.py
@@ -1,11 +1,11 @@
-"""What operators call over HTTP: the configuration, evacuations, roll-outs, and the controller's beliefs.
-
-Any controller answers 400, 408 and 413 for faults of the request alone, and
-the beliefs. Whatever depends on the control state is answered by the primary
-alone: 200 to a change once every holder has it on disk, a read or a refusal
-from state that a majority confirmed after the request came. Otherwise the
-answer is a 503 or a redirect. What a change leads to is decided in
-``configuration_writer``.
+"""The operators' HTTP API: the configuration, evacuations, roll-outs, and the controller's beliefs.
+
+Every controller serves its beliefs (its local view of the cluster) and answers
+400, 408 and 413 to invalid requests. Only the primary answers what depends on
+the control state: it acknowledges a change with 200 once every replica has it
+on disk, and it answers reads and rejections from state that a majority
+confirmed after the request arrived. All other answers are 503 or a redirect.
+``configuration_writer`` decides the outcome of a change.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 )
 from .control_state import json_text
 from .evacuation_orders import EvacuationOrder, zone_fault
-from .offload import LARGE_BYTES, is_large, run
+from .offload import LARGE_BYTES, is_large, run_offloaded
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Mapping
@@ -61,11 +61,11 @@
 EVACUATIONS_PATH = "/-/evacuation"
 EVACUATION_PREFIX = EVACUATIONS_PATH + "/"
 MAXIMUM_BODY_BYTES = 16 << 20
-# A body of which nothing more comes for so long is given up.
-BODY_TIMEOUT = timedelta(seconds=5)
+# A request fails with 408 when no further part of its body arrives within this time.
+BODY_READ_TIMEOUT = timedelta(seconds=5)
 RETRY_AFTER = {"Retry-After": "0.2"}
 MEMBER_STATES = ("alive", "suspect", "dead")
-# Operators are redirected only to a primary that was confirmed within this part of the contact bound.
+# Clients are redirected only to a primary that was confirmed within the contact bound divided by this number.
 REDIRECT_AGES_PER_CONTACT_BOUND = 3
 
 
@@ -85,7 +85,7 @@
 
 
 def error(status: int, text: str, **headers: str) -> web.Response:
-    """A response that names a fault.
+    """A JSON response with an error message.
 
     >>> error(400, "no").body
     b'{"error":"no"}'
@@ -94,7 +94,7 @@
 
 
 def outcome_unknown() -> web.Response:
-    """The response to a change that may be committed, or may yet be; it is to be sent again.
+    """The response to a change that may be committed now or later; the client should retry it.
 
     >>> outcome_unknown().status
     503
@@ -103,7 +103,7 @@
 
 
 def acknowledged(revision: int, warning: str = "") -> web.Response:
-    """The response that acknowledges a change, with a sentence about what the caller may not have meant.
+    """The response that acknowledges a change, with an optional warning about an unintended effect.
 
     >>> acknowledged(7).body, acknowledged(7, "look").body
     (b'{"revision":7}', b'{"revision":7,"warning":"look"}')
@@ -113,47 +113,47 @@
 
 
 # -- requests -------------------------------------------------------------------
-def client_left(request: web.BaseRequest) -> bool:
-    """Whether nobody waits for the response any more."""
+def client_disconnected(request: web.BaseRequest) -> bool:
+    """Whether the client has closed its connection."""
     return request.transport is None or request.transport.is_closing()
 
 
 async def read_body(request: web.BaseRequest) -> Result[bytes, web.Response]:
-    """Reads a request's body; a failure is the response that says why there is none."""
-    too_long = error(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"the body is longer than {MAXIMUM_BODY_BYTES} bytes")
+    """Reads the body of a request; a failure is the error response."""
+    too_large = error(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"the body is larger than {MAXIMUM_BODY_BYTES} bytes")
     if (request.content_length or 0) > MAXIMUM_BODY_BYTES:
-        return Failure(too_long)
+        return Failure(too_large)
     body = bytearray()
     while True:
         try:
-            async with asyncio.timeout(BODY_TIMEOUT.total_seconds()):
+            async with asyncio.timeout(BODY_READ_TIMEOUT.total_seconds()):
                 chunk = await request.content.readany()
         except TimeoutError:
-            return Failure(error(HTTPStatus.REQUEST_TIMEOUT, "the body did not come"))
+            return Failure(error(HTTPStatus.REQUEST_TIMEOUT, "timed out while reading the body"))
         if not chunk:
             return Success(bytes(body))
         body += chunk
         if len(body) > MAXIMUM_BODY_BYTES:
-            return Failure(too_long)
+            return Failure(too_large)
 
 
 @define(frozen=True, slots=True)
 class RoutingTable:
-    """The handlers by path, then by method.
+    """The request handlers, by path and method.
 
     Attributes
     ----------
     paths : dict
-        Of whole paths.
+        The handlers of exact paths.
     prefixes : dict
-        Of paths that begin so and go on.
+        The handlers of path prefixes.
     """
 
     paths: Mapping[str, Mapping[str, Handler]]
     prefixes: Mapping[str, Mapping[str, Handler]] = field(factory=dict)
 
     def find(self, method: str, path: str) -> Handler | int:
-        """The handler, or the status that says why there is none.
+        """The handler of a request, or the error status if there is none.
 
         >>> RoutingTable({"/a": {"GET": print}}).find("GET", "/a") is print
         True
@@ -164,7 +164,7 @@
         """
         methods = self.paths.get(path)
         if methods is None:
-            methods = next((found for prefix, found in self.prefixes.items() if path.startswith(prefix)), None)
+            methods = next((handlers for prefix, handlers in self.prefixes.items() if path.startswith(prefix)), None)
         if methods is None:
             return HTTPStatus.NOT_FOUND
         return methods.get(method, HTTPStatus.METHOD_NOT_ALLOWED)
@@ -172,7 +172,7 @@
     def extended(
         self, paths: Mapping[str, Mapping[str, Handler]], prefixes: Mapping[str, Mapping[str, Handler]]
     ) -> RoutingTable:
-        """The table with further paths and prefixes.
+        """The table with additional paths and prefixes.
 
         >>> RoutingTable({}).extended({"/a": {"GET": print}}, {}).find("GET", "/a") is print
         True
@@ -188,7 +188,7 @@
     writer : ConfigurationWriter
         Reads and changes the configuration.
     routes : RoutingTable
-        The handlers of the paths that are served.
+        The request handlers.
     """
 
     def __init__(self, settings: Settings, consensus: ConsensusService, feed_server: FeedServer) -> None:
@@ -207,12 +207,12 @@
         self._rollout_votes: Callable[[], dict[str, Any]] = dict
 
     def serve_rollouts(self, votes: Callable[[], dict[str, Any]]) -> None:
-        """Serves the calls about roll-outs; ``votes`` gives those that the beliefs are to show."""
-        # Deployments without roll-outs don't spend time and memory of a start on it.
+        """Adds the paths of roll-outs; ``votes`` returns the votes to include in the beliefs."""
+        # Imported here to save startup time and memory on deployments without roll-outs.
         from .rollout_api import ROLLOUT_PREFIX, ROLLOUTS_PATH
 
-        calls, of_service = {"POST": self.roll_out}, {"GET": self.rollout}
-        self.routes = self.routes.extended({ROLLOUTS_PATH: calls}, {ROLLOUT_PREFIX: of_service})
+        handlers, service_handlers = {"POST": self.roll_out}, {"GET": self.rollout}
+        self.routes = self.routes.extended({ROLLOUTS_PATH: handlers}, {ROLLOUT_PREFIX: service_handlers})
         self._rollout_votes = votes
 
     def _write_timeout(self) -> timedelta:
@@ -223,20 +223,20 @@
         address = self.settings.listen.control
         if address is None:
             raise SettingsError("listenAddresses.control is missing")
-        # A waiting request is cancelled when its client leaves; a write that has begun is not.
+        # A waiting request is cancelled when its client disconnects; a write in flight is not.
         server = web.Server(self._handle, access_log=None, handler_cancellation=True)
         self.runner = web.ServerRunner(server)
         await self.runner.setup()
         await web.SockSite(self.runner, bind(address)).start()
 
     async def on_stop(self) -> None:
-        """Closes the control address; a write under way is left to the consensus."""
+        """Closes the control address; the consensus completes a write in flight."""
         self.writer.cancel()
         if self.runner is not None:
             await self.runner.cleanup()
 
     def on_committed(self, data: Data) -> None:
-        """Takes data that the consensus committed."""
+        """Passes data committed by the consensus to the writer."""
         self.writer.on_committed(data)
 
     def router_count(self) -> int:
@@ -250,7 +250,7 @@
         return await handler(request)
 
     def redirect(self, path: str = CONFIGURATION_PATH) -> web.Response:
-        """The response to what this controller can't answer: to the primary, if that was confirmed of late."""
+        """Redirects a request to the primary if it was confirmed recently; otherwise the response is 503."""
         member = self.consensus.member
         primary = member.primary()
         if primary is None or primary.id == member.member.id or member.leading() or not primary.control:
@@ -263,76 +263,77 @@
 
     # -- the configuration ------------------------------------------------------
     async def get(self, request: web.BaseRequest) -> web.Response:
-        """Answers GET: the newest configuration."""
+        """Handles GET: returns the newest configuration."""
         snapshot = await self.writer.confirmed(Deadline.after_body(0))
         if snapshot is None:
             return self.redirect()
         configuration = snapshot.state.configuration
         if not snapshot.state.revision:
-            return error(HTTPStatus.NOT_FOUND, "no configuration was taken yet")
-        return await run(is_large(configuration), reply, HTTPStatus.OK, configuration)
+            return error(HTTPStatus.NOT_FOUND, "no configuration is committed yet")
+        return await run_offloaded(is_large(configuration), reply, HTTPStatus.OK, configuration)
 
     async def change(self, request: web.BaseRequest) -> web.Response:
-        """Answers PUT and PATCH: a change of the configuration."""
+        """Handles PUT and PATCH: changes the configuration."""
         body_read = await read_body(request)
         if not is_successful(body_read):
             return body_read.failure()
         body = body_read.unwrap()
         deadline = Deadline.after_body(len(body))
         if_match = request.headers.get("If-Match", "")
-        parsed = await run(len(body) > LARGE_BYTES, parse_change_request, request.method, if_match, body)
+        parsed = await run_offloaded(len(body) > LARGE_BYTES, parse_change_request, request.method, if_match, body)
         if not is_successful(parsed):
             return error(HTTPStatus.BAD_REQUEST, parsed.failure())
-        outcome = await self.writer.change(parsed.unwrap(), deadline, lambda: not client_left(request))
+        outcome = await self.writer.change(parsed.unwrap(), deadline, lambda: not client_disconnected(request))
         return self._response_to(outcome)
 
     # -- evacuations --------------------------------------------------------------
     async def evacuations(self, request: web.BaseRequest) -> web.Response:
-        """Answers GET: the zones that are evacuated."""
+        """Handles GET: lists the evacuated zones."""
         snapshot = await self.writer.confirmed(Deadline.after_body(0))
         if snapshot is None:
             return self.redirect(EVACUATIONS_PATH)
         return reply(HTTPStatus.OK, {"zones": sorted(snapshot.state.evacuated)})
 
     async def evacuate(self, request: web.BaseRequest) -> web.Response:
-        """Answers POST: nothing more is to be sent to the runners of a zone."""
+        """Handles POST: evacuates a zone, so that its runners receive no more requests."""
         zone = request.path.removeprefix(EVACUATION_PREFIX)
         fault = zone_fault(zone, self.settings.zones)
         if fault is not None:
             return error(HTTPStatus.NOT_FOUND, fault)
-        return await self._order(request, EvacuationOrder(zone, evacuate=True), self._warning(zone))
+        return await self._execute_order(request, EvacuationOrder(zone, evacuate=True), self._warning(zone))
 
     async def restore(self, request: web.BaseRequest) -> web.Response:
-        """Answers DELETE: a zone is taken back; also one that the startup file doesn't name any more."""
+        """Handles DELETE: puts a zone back in service, even one that the startup file no longer lists."""
         zone = request.path.removeprefix(EVACUATION_PREFIX)
         fault = zone_fault(zone, ())
         if fault is not None:
             return error(HTTPStatus.NOT_FOUND, fault)
-        return await self._order(request, EvacuationOrder(zone, evacuate=False))
+        return await self._execute_order(request, EvacuationOrder(zone, evacuate=False))
 
     def _warning(self, zone: str) -> str:
-        """A sentence that names the services that an evacuation leaves without runners; empty if there is none.
+        """A warning that lists the services that an evacuation leaves without runners; empty if there are none.
 
-        The operator decides: the order is carried out all the same, since a zone may have to be emptied whatever
-        becomes of a service.
+        The evacuation is executed regardless, because the zone may have to be emptied even at the cost of a service.
         """
         endpoint_list = self.feed_server.state_of(ENDPOINTS)
         evacuated = {*(self.feed_server.evacuated_zones() or ()), zone}
-        left = services_without_runners(endpoint_list.runners if endpoint_list else (), evacuated)
-        if not left:
+        services = services_without_runners(endpoint_list.runners if endpoint_list else (), evacuated)
+        if not services:
             return ""
-        logging.warning("control: evacuation leaves services without runners zone=%s services=%s", zone, ",".join(left))
-        return f"no runner is left of {', '.join(left)}"
+        logging.warning(
+            "control: evacuation leaves services without runners zone=%s services=%s", zone, ",".join(services)
+        )
+        return f"no runners left for {', '.join(services)}"
 
-    async def _order(self, request: web.BaseRequest, order: EvacuationOrder, warning: str = "") -> web.Response:
-        outcome = await self.writer.change(order, Deadline.after_body(0), lambda: not client_left(request))
+    async def _execute_order(self, request: web.BaseRequest, order: EvacuationOrder, warning: str = "") -> web.Response:
+        outcome = await self.writer.change(order, Deadline.after_body(0), lambda: not client_disconnected(request))
         if warning and isinstance(outcome, Acknowledged):
             return acknowledged(outcome.revision, warning)
         return self._response_to(outcome, request.raw_path)
 
     # -- roll-outs ----------------------------------------------------------------
     async def roll_out(self, request: web.BaseRequest) -> web.Response:
-        """Answers POST: the requests of a service are to move to another version."""
+        """Handles POST: starts a roll-out of another version of a service."""
         from .rollout_api import parse_order
 
         body_read = await read_body(request)
@@ -341,11 +342,13 @@
         parsed = parse_order(body_read.unwrap())
         if not is_successful(parsed):
             return error(HTTPStatus.BAD_REQUEST, parsed.failure())
-        outcome = await self.writer.change(parsed.unwrap(), Deadline.after_body(0), lambda: not client_left(request))
+        outcome = await self.writer.change(
+            parsed.unwrap(), Deadline.after_body(0), lambda: not client_disconnected(request)
+        )
         return self._response_to(outcome, request.raw_path)
 
     async def rollout(self, request: web.BaseRequest) -> web.Response:
-        """Answers GET: what has become of a service's newest roll-out."""
+        """Handles GET: describes the newest roll-out of a service."""
         from .rollout_api import NO_ROLLOUT, ROLLOUT_PREFIX, description, newest_rollout
 
         snapshot = await self.writer.confirmed(Deadline.after_body(0))
@@ -374,7 +377,7 @@
 
     # -- beliefs ------------------------------------------------------------------
     async def beliefs(self, request: web.BaseRequest) -> web.Response:
-        """Answers GET of the beliefs: what this controller holds for true, without any confirmation."""
+        """Handles GET of the beliefs: returns this controller's local view, which is not confirmed by a majority."""
         member, feed = self.consensus.member, self.feed_server
         configuration, endpoint_list = feed.state_of(CONFIGURATION), feed.state_of(ENDPOINTS)
         endpoints = endpoint_list.runners if endpoint_list else ()
@@ -402,7 +405,7 @@
         )
 
     def _rollouts(self) -> dict[str, Any]:
-        """What is committed of roll-outs, where versions are known, and the votes of those under way."""
+        """The committed state of the roll-outs, if versions are known, and the votes on roll-outs in progress."""
         committed = self.writer.committed
         state = committed.state.rollouts if committed is not None else None
         if state is None:
@@ -422,7 +425,7 @@
         }
 
     def _duties(self) -> dict[str, Any]:
-        """What is committed of the duties, where they have a holder."""
+        """The committed state of the duties, if they have a holder."""
         committed = self.writer.committed
         duties = committed.state.duties if committed is not None else None
         if duties is None:
--- a/sparloom/controller/control_state.py
+++ b/sparloom/controller/control_state.py
@@ -1,18 +1,24 @@
-"""The control state as bytes: the newest configuration, which changes led to it, evacuated zones, and duties.
-
-Layout of version 2: a header (version, newest revision that is forgotten - of
-it and all below nothing is known -, number of routers, number of records), one
-record of fixed size for each committed change, ascending by revision, then the
-configuration as compressed JSON. Version 3 has the evacuated zones besides, as
-JSON behind its length, before the configuration; it is written only while there
-are any, so that programs that know version 2 alone are not kept from what is in
-it for nothing. Version 4 has in the same place a compressed JSON object of the
-zones and the duties' state; it is written once there is a holder of duties.
-Version 5 has the roll-outs in that object besides, and the duties only where
-there are any; it is written once versions of a service are known. Version 6 has
-the routers that share rates besides, and roll-outs only where there are any; it
-is written once there is a table of them. Version 1 was one compressed JSON list,
-whose first byte is that of a zlib stream.
+"""The control state that the consensus replicates, and its stored format.
+
+``State`` holds the newest configuration, the evacuated zones, and the state of
+duties, roll-outs and rate holders. ``History`` identifies the newest committed
+changes. The first byte gives the version of the format. The oldest sufficient
+version is written, so older programs can read states without newer features.
+
+- Version 1: one compressed JSON list. Its first byte is that of a zlib stream.
+- Version 2: a header (version, newest revision dropped from the history, number
+  of routers, number of records), then one record of fixed size for each
+  committed change, ascending by revision, then the configuration as compressed
+  JSON. Nothing is known of the dropped revision and of lower ones.
+- Version 3: adds an extension, preceded by its length, before the
+  configuration. It is a JSON list of the evacuated zones. Written while any
+  zone is evacuated.
+- Version 4: the extension is a compressed JSON object with the evacuated zones
+  and the duties. Written once the duties have a holder.
+- Version 5: the object also has the roll-outs; the duties are optional. Written
+  once versions of a service are known.
+- Version 6: the object also has the rate holders; the roll-outs are optional.
+  Written once there is a table of rate holders.
 """
 
 from __future__ import annotations
@@ -38,7 +44,8 @@
 VERSION_WITH_DUTIES = 4
 VERSION_WITH_ROLLOUTS = 5
 VERSION_WITH_RATE_HOLDERS = 6
-REMEMBERED = 2048
+# The maximum number of records in the history.
+HISTORY_LIMIT = 2048
 FINGERPRINT_BYTES = 12
 _HEADER = struct.Struct(">BQII")
 _RECORD = struct.Struct(f">Q{FINGERPRINT_BYTES}s")
@@ -53,11 +60,11 @@
 
 
 class ControlStateError(SparloomError, ValueError):
-    """Stored bytes that this version can't read as a control state."""
+    """The stored control state has a format that this program does not support."""
 
 
 def json_text(value: Any, encoder: json.JSONEncoder = _COMPACT) -> str:
-    """JSON, made item by item: one call for a large configuration would keep all other threads waiting.
+    """Encodes a value as JSON, item by item: one call for a large configuration would block all other threads.
 
     >>> json_text({"b": [1, {"d": 2}], "a": None})
     '{"b":[1,{"d":2}],"a":null}'
@@ -75,35 +82,35 @@
 
 
 def fingerprint(method: str, base: int, change: ConfigurationDict) -> bytes:
-    """What tells one change from another of the same revision.
+    """A digest that distinguishes changes of the same revision.
 
-    The base is part of a PATCH: the same edit of another configuration is another
-    change. A PUT holds the complete configuration, whatever it was built on.
+    A PATCH includes its base, because the same edit of a different base is a different change.
+    A PUT contains the complete configuration, so its base is left out.
 
     >>> fingerprint("PUT", 1, {"a": 1, "b": 2}) == fingerprint("PUT", 2, {"b": 2, "a": 1})
     True
     >>> fingerprint("PATCH", 1, {"a": 1}) == fingerprint("PATCH", 2, {"a": 1})
     False
     """
-    built_on = base if method == "PATCH" else ""
-    text = f"{method} {built_on} {json_text(change, _SORTED)}"
+    patch_base = base if method == "PATCH" else ""
+    text = f"{method} {patch_base} {json_text(change, _SORTED)}"
     return hashlib.blake2b(text.encode(), digest_size=FINGERPRINT_BYTES).digest()
 
 
 @define(frozen=True, slots=True)
 class History:
-    """Which changes were committed: revision and fingerprint of each of the newest ones.
+    """The revisions and fingerprints of the newest committed changes.
 
     Attributes
     ----------
     records : bytes
         The packed records, ascending by revision.
-    forgotten_through : int
-        Of this revision and those below nothing is known any more.
+    dropped_through : int
+        The newest revision that was dropped; records up to and including it are gone.
     """
 
     records: bytes = b""
-    forgotten_through: int = 0
+    dropped_through: int = 0
 
     def __len__(self) -> int:
         return len(self.records) // _RECORD.size
@@ -113,58 +120,59 @@
         return revision, change_fingerprint
 
     def fingerprint_of(self, revision: int) -> bytes | None:
-        """The fingerprint of the change that made a revision, or None if none is remembered.
+        """The fingerprint of the change with that revision, or None if the history has no record of it.
 
         >>> History().add(7, b"123456789012").fingerprint_of(7), History().fingerprint_of(7)
         (b'123456789012', None)
         """
-        index = bisect.bisect_left(range(len(self)), revision, key=lambda i: self._record(i)[0])
+        index = bisect.bisect_left(range(len(self)), revision, key=lambda position: self._record(position)[0])
         if index == len(self):
             return None
         found, change_fingerprint = self._record(index)
         return change_fingerprint if found == revision else None
 
-    def forgot(self, revision: int, base: int) -> bool:
-        """Whether a change of that revision, built on that base, may have been committed and forgotten.
+    def may_have_dropped(self, revision: int, base: int) -> bool:
+        """Whether a change of that revision and base may have been committed and dropped from the history.
 
-        >>> History(b"", 5).forgot(5, 3), History(b"", 5).forgot(6, 3), History(b"", 5).forgot(4, 9)
+        >>> history = History(b"", 5)
+        >>> history.may_have_dropped(5, 3), history.may_have_dropped(6, 3), history.may_have_dropped(4, 9)
         (True, False, False)
         """
-        return base < revision <= self.forgotten_through
+        return base < revision <= self.dropped_through
 
     def add(self, revision: int, change_fingerprint: bytes) -> History:
-        """The history with one more change; the oldest one is dropped when it is full.
+        """The history with one more record; a full history drops its oldest record.
 
         >>> len(History().add(1, b"a").add(4, b"b"))
         2
         """
         records = self.records + _RECORD.pack(revision, change_fingerprint)
-        if len(records) <= REMEMBERED * _RECORD.size:
-            return History(records, self.forgotten_through)
+        if len(records) <= HISTORY_LIMIT * _RECORD.size:
+            return History(records, self.dropped_through)
         oldest_revision, _ = _RECORD.unpack_from(records)
         return History(records[_RECORD.size :], oldest_revision)
 
 
 @define(frozen=True, slots=True)
 class State:
-    """The newest configuration, and the history behind it.
+    """The replicated control state.
 
     Attributes
     ----------
     configuration : dict
-        The configuration as operators send it; empty before the first.
+        The newest configuration as sent by the operator; empty before the first one.
     history : History
-        The changes that led to it.
+        The changes committed so far.
     router_count : int
-        The number of routers that were known when it was committed.
+        The number of routers known when the configuration was committed.
     evacuated : frozenset of str
-        The zones whose runners are to be sent nothing.
+        The zones whose runners must not receive requests.
     duties : DutyState or None
-        What is decided about the duties at the platform; None before the first holder.
+        The state of the duties at the platform; None before the first holder.
     rollouts : RolloutsState or None
-        What is decided about versions of services; None before any is known.
+        The state of the roll-outs; None before any version of a service is known.
     rate_holders : RateHolders or None
-        Which routers share what can't be split evenly; None before the first table.
+        The routers that share rates that can't be divided evenly; None before the first table.
     """
 
     configuration: ConfigurationDict
@@ -177,7 +185,7 @@
 
     @property
     def revision(self) -> int:
-        """The newest revision; 0 before the first.
+        """The revision of the newest configuration; 0 before the first one.
 
         >>> State({}).revision, State({"revision": 4}).revision
         (0, 4)
@@ -186,7 +194,7 @@
         return revision
 
     def then(self, configuration: ConfigurationDict, change_fingerprint: bytes, router_count: int = 0) -> State:
-        """The state after a change with that fingerprint is committed.
+        """The state after a change of the configuration with that fingerprint.
 
         >>> State({}).then({"revision": 2}, b"m" * 12).history.fingerprint_of(2)
         b'mmmmmmmmmmmm'
@@ -195,7 +203,7 @@
         return evolve(self, configuration=configuration, history=history, router_count=router_count)
 
     def evacuate(self, zone: str) -> State:
-        """The state after the order to evacuate a zone.
+        """The state with a zone evacuated.
 
         >>> State({}).evacuate("z").evacuated
         frozenset({'z'})
@@ -203,7 +211,7 @@
         return evolve(self, evacuated=self.evacuated | {zone})
 
     def restore(self, zone: str) -> State:
-        """The state after the order to take a zone back.
+        """The state with a zone back in service.
 
         >>> State({}).evacuate("z").restore("z") == State({})
         True
@@ -211,7 +219,7 @@
         return evolve(self, evacuated=self.evacuated - {zone})
 
     def with_duties(self, duties: DutyState) -> State:
-        """The state with another state of the duties.
+        """The state with the duties replaced.
 
         >>> from sparloom.duties import DutyState
         >>> State({}).with_duties(DutyState("core-1")).duties.holder
@@ -220,7 +228,7 @@
         return evolve(self, duties=duties)
 
     def with_rollouts(self, rollouts: RolloutsState) -> State:
-        """The state with another state of the roll-outs.
+        """The state with the roll-outs replaced.
 
         >>> from sparloom.rollouts import RolloutsState
         >>> State({}).with_rollouts(RolloutsState(7)).rollouts.next_number
@@ -229,7 +237,7 @@
         return evolve(self, rollouts=rollouts)
 
     def with_rate_holders(self, rate_holders: RateHolders) -> State:
-        """The state with another table of the routers that share rates.
+        """The state with the table of rate holders replaced.
 
         >>> from sparloom.configuration.rate_holders import RateHolders
         >>> state = State({}).with_rate_holders(RateHolders(frozenset("a")))
@@ -239,7 +247,7 @@
         return evolve(self, rate_holders=rate_holders)
 
     def pack(self) -> bytes:
-        """The bytes to store.
+        """The stored form of the state.
 
         >>> state = State({"revision": 1}, router_count=7)
         >>> State.unpack(state.pack()) == state, State.unpack(state.evacuate("z").pack()).evacuated
@@ -247,12 +255,12 @@
         """
         text = json_text(self.configuration)
         history = self.history
-        version, section = self._section()
-        header = _HEADER.pack(version, history.forgotten_through, self.router_count, len(history))
-        return header + history.records + section + zlib.compress(text.encode(), _FASTEST)
+        version, extension = self._extension()
+        header = _HEADER.pack(version, history.dropped_through, self.router_count, len(history))
+        return header + history.records + extension + zlib.compress(text.encode(), _FASTEST)
 
-    def _section(self) -> tuple[int, bytes]:
-        """The version that the state needs, and what stands between the records and the configuration."""
+    def _extension(self) -> tuple[int, bytes]:
+        """The oldest sufficient version, and the extension between the records and the configuration."""
         zones = sorted(self.evacuated)
         duties = {} if self.duties is None else {"duties": self.duties.to_json()}
         rollouts = {} if self.rollouts is None else {"rollouts": self.rollouts.to_json()}
@@ -268,12 +276,12 @@
 
     @staticmethod
     def unpack(raw: bytes) -> State:
-        """The state in some bytes, of this version or of the first; no bytes are the state before any change.
+        """Decodes a stored state of any supported version; empty bytes are the initial state.
 
         Raises
         ------
         ControlStateError
-            The bytes are of a version that is not known here.
+            The version is not supported.
 
         >>> State.unpack(b"").revision
         0
@@ -282,34 +290,34 @@
             return State({})
         if raw[0] == _ZLIB_FIRST_BYTE:
             return _unpack_first_version(raw)
-        version, forgotten_through, router_count, length = _HEADER.unpack_from(raw)
+        version, dropped_through, router_count, length = _HEADER.unpack_from(raw)
         if not VERSION <= version <= VERSION_WITH_RATE_HOLDERS:
             expected = f"expected a control state of version 1 to {VERSION_WITH_RATE_HOLDERS}"
             raise ControlStateError(f"{expected}, found version {version}")
         end = _HEADER.size + length * _RECORD.size
-        history = History(raw[_HEADER.size : end], forgotten_through)
-        section = b""
+        history = History(raw[_HEADER.size : end], dropped_through)
+        extension = b""
         if version != VERSION:
             start = end + _LENGTH.size
             end = start + _LENGTH.unpack_from(raw, end)[0]
-            section = raw[start:end]
-        parts = _read_section(version, section)
+            extension = raw[start:end]
+        parts = _read_extension(version, extension)
         return State(json.loads(zlib.decompress(raw[end:])), history, router_count, *parts)
 
 
-def _with_length(section: bytes) -> bytes:
-    return _LENGTH.pack(len(section)) + section
+def _with_length(extension: bytes) -> bytes:
+    return _LENGTH.pack(len(extension)) + extension
 
 
-def _read_section(
-    version: int, section: bytes
+def _read_extension(
+    version: int, extension: bytes
 ) -> tuple[frozenset[str], DutyState | None, RolloutsState | None, RateHolders | None]:
-    """The parts of the state that stand between the records and the configuration."""
+    """Decodes the extension: evacuated zones, duties, roll-outs and rate holders."""
     if version == VERSION:
         return frozenset(), None, None, None
     if version == VERSION_WITH_EVACUATIONS:
-        return frozenset(json.loads(section)), None, None, None
-    item = json.loads(zlib.decompress(section))
+        return frozenset(json.loads(extension)), None, None, None
+    item = json.loads(zlib.decompress(extension))
     return (
         frozenset(item["evacuated"]),
         _read_duties(item.get("duties")),
@@ -321,7 +329,7 @@
 def _read_rate_holders(item: dict[str, Any] | None) -> RateHolders | None:
     if item is None:
         return None
-    # Controllers without cold rates don't spend time and memory of a start on it.
+    # Imported here to save startup time and memory on controllers without cold rates.
     from sparloom.configuration.rate_holders import RateHolders
 
     return RateHolders.from_json(item)
@@ -330,7 +338,7 @@
 def _read_duties(item: dict[str, Any] | None) -> DutyState | None:
     if item is None:
         return None
-    # Controllers without duties don't spend time and memory of a start on it.
+    # Imported here to save startup time and memory on controllers without duties.
     from sparloom.duties import DutyState
 
     return DutyState.from_json(item)
@@ -339,13 +347,13 @@
 def _read_rollouts(item: dict[str, Any] | None) -> RolloutsState | None:
     if item is None:
         return None
-    # Nor do those without roll-outs.
+    # Imported here to save startup time and memory on controllers without roll-outs.
     from sparloom.rollouts import RolloutsState
 
     return RolloutsState.from_json(item)
 
 
 def _unpack_first_version(raw: bytes) -> State:
-    """Its marks can't be compared with fingerprints, so all changes that it knew of count as forgotten."""
+    """Decodes version 1; its change marks are not comparable with fingerprints, so its history counts as dropped."""
     configuration, _, router_count = json.loads(zlib.decompress(raw))
     return State(configuration, History(b"", configuration.get("revision", 0)), router_count)
--- a/sparloom/controller/evacuation_orders.py
+++ b/sparloom/controller/evacuation_orders.py
@@ -1,8 +1,8 @@
-"""The operator's orders to evacuate a zone and to take it back, judged against a committed state. No I/O.
+"""Evaluates the operators' orders to evacuate or restore a zone against a committed state, without I/O.
 
-An order names the state that it wants, and no state that it builds on: sent
-again it is acknowledged, and of two operators the one whose order is committed
-last has its way.
+An ``EvacuationOrder`` contains the desired state and no base revision. It is
+therefore idempotent: a retry is acknowledged, and the last committed order for
+a zone wins.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 
 @define(frozen=True, slots=True)
 class EvacuationOrder:
-    """An order about one zone.
+    """An order to evacuate or restore one zone.
 
     Attributes
     ----------
     zone : str
         The zone's name.
     evacuate : bool
-        Whether its runners are to be sent nothing; else it is taken back.
+        True to stop all requests to the runners of the zone, False to put it back in service.
     """
 
     zone: str
     evacuate: bool
 
     def is_retry_of(self, other: object) -> bool:
-        """Whether this is the other order, sent again.
+        """Whether this is a retry of the other order.
 
         >>> EvacuationOrder("z", True).is_retry_of(EvacuationOrder("z", False))
         False
@@ -46,12 +46,12 @@
 
 
 def zone_fault(zone: str, known: Collection[str]) -> str | None:
-    """What is wrong with the name of a zone to evacuate, in one sentence; None where it is sound.
+    """The error message for an invalid zone name; None if the name is valid.
 
     Parameters
     ----------
     known
-        The zones that the startup file names; where it names none, any name is taken.
+        The zones listed in the startup file; if it lists none, any name is valid.
 
     >>> zone_fault("z", ("z",)), zone_fault("y", ("z",)), zone_fault("", ())
     (None, 'the zone y is unknown', 'the path names no zone')
@@ -64,7 +64,7 @@
 
 
 def judge_evacuation(state: State, order: EvacuationOrder) -> Judgement:
-    """What becomes of an order upon a committed state.
+    """Evaluates an order against a committed state.
 
     >>> from .control_state import State
     >>> first = judge_evacuation(State({}), EvacuationOrder("z", True))
--- a/sparloom/controller/offload.py
+++ b/sparloom/controller/offload.py
@@ -1,4 +1,4 @@
-"""Keeps long computations off the event loop, so that heartbeats go on meanwhile."""
+"""Runs slow functions in a thread, so that they don't delay the heartbeats of the event loop."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
     from .control_state import ConfigurationDict
 
-# Work on a longer body, or on more routes, leaves the event loop.
+# A request body with more bytes is processed in a thread.
 LARGE_BYTES = 32 << 10
+# A configuration with more routes is processed in a thread.
 LARGE_ROUTES = 100
 
 T = TypeVar("T")
 
 
 def is_large(configuration: ConfigurationDict) -> bool:
-    """Whether a configuration, or an edit of one, is so large that work on it leaves the event loop.
+    """Whether a configuration, or an edit of one, is large enough to be processed in a thread.
 
     >>> is_large({"routes": [{}] * 101}), is_large({})
     (True, False)
@@ -26,8 +27,8 @@
     return len(configuration.get("routes", ())) > LARGE_ROUTES
 
 
-async def run(is_long: bool, work: Callable[..., T], *args: object) -> T:
-    """Runs a function, in a thread if it takes long."""
-    if not is_long:
-        return work(*args)
-    return await asyncio.get_running_loop().run_in_executor(None, work, *args)
+async def run_offloaded(is_slow: bool, function: Callable[..., T], *args: object) -> T:
+    """Runs a function, in a thread if it is slow."""
+    if not is_slow:
+        return function(*args)
+    return await asyncio.get_running_loop().run_in_executor(None, function, *args)
--- a/sparloom/controller/operator_client.py
+++ b/sparloom/controller/operator_client.py
@@ -1,4 +1,4 @@
-"""The operator's side of the control address: an order is sent again, to any controller, until it is acknowledged."""
+"""HTTP client for the control address: retries a request on each controller in turn until one answers it."""
 
 from __future__ import annotations
 
@@ -17,25 +17,26 @@
 
 EVACUATIONS_PATH = "/-/evacuation"
 ROLLOUTS_PATH = "/-/rollouts"
-# Seconds for which one controller may be silent, and between two calls.
+# The socket timeout of a call to one controller.
 CALL_TIMEOUT_S = 2.0
-PAUSE_S = 0.2
+# The wait between two calls.
+RETRY_INTERVAL_S = 0.2
 MAXIMUM_REDIRECTS = 2
 CALL_ERRORS = (OSError, http.client.HTTPException, ValueError)
 
 
 @define(frozen=True, slots=True)
-class Answer:
-    """A controller's answer.
+class Response:
+    """The HTTP response of a controller.
 
     Attributes
     ----------
     status
-        Of HTTP.
+        The HTTP status code.
     body
-        The JSON body, or None.
+        The decoded JSON body, or None.
     location
-        Where a redirect points, HOST:PORT; empty without one.
+        The HOST:PORT of a redirect's target; empty if there is none.
     """
 
     status: int
@@ -43,73 +44,73 @@
     location: str
 
 
-def _call_once(address: str, method: str, path: str, body: Any = None) -> Answer:
-    """One call of one controller; a body is sent as JSON.
+def _call_once(address: str, method: str, path: str, body: Any = None) -> Response:
+    """Calls one controller once; a body is sent as JSON.
 
     Raises
     ------
     OSError, http.client.HTTPException, ValueError
-        No answer came, or none that can be read.
+        The call failed, or its result is invalid.
     """
     connection = http.client.HTTPConnection(address, timeout=CALL_TIMEOUT_S)
     try:
         content = None if body is None else json.dumps(body)
         connection.request(method, path, content, {"Content-Type": "application/json"} if content else {})
-        response = connection.getresponse()
-        raw = response.read()
-        location = response.headers.get("Location", "").removeprefix("http://").partition("/")[0]
-        return Answer(response.status, json.loads(raw) if raw else None, location)
+        http_response = connection.getresponse()
+        raw = http_response.read()
+        location = http_response.headers.get("Location", "").removeprefix("http://").partition("/")[0]
+        return Response(http_response.status, json.loads(raw) if raw else None, location)
     finally:
         connection.close()
 
 
-def _call(address: str, method: str, path: str, body: Any) -> Answer:
-    """One call, redirects followed; raises as ``_call_once`` does."""
-    answer = _call_once(address, method, path, body)
+def _call(address: str, method: str, path: str, body: Any) -> Response:
+    """Calls one controller and follows redirects; raises the same exceptions as ``_call_once``."""
+    response = _call_once(address, method, path, body)
     for _ in range(MAXIMUM_REDIRECTS):
-        if answer.status != HTTPStatus.TEMPORARY_REDIRECT or not answer.location:
+        if response.status != HTTPStatus.TEMPORARY_REDIRECT or not response.location:
             break
-        answer = _call_once(answer.location, method, path, body)
-    return answer
+        response = _call_once(response.location, method, path, body)
+    return response
 
 
 def call_until_answered(
-    addresses: Sequence[str], method: str, path: str, patience_s: float, body: Any = None
+    addresses: Sequence[str], method: str, path: str, timeout_s: float, body: Any = None
 ) -> Result[Any, str]:
-    """Call controllers in turn until one answers 200 or refuses.
+    """Calls controllers in turn until one returns 200 or a client error (4xx).
 
     Parameters
     ----------
     addresses
-        HOST:PORT of control addresses.
-    patience_s
-        After so many seconds it is given up.
+        The control addresses, HOST:PORT.
+    timeout_s
+        The number of seconds after which no further call is made.
     body
-        What is sent as JSON; None for nothing.
+        The value to send as JSON; None for no body.
 
     Returns
     -------
     Result
-        The body of the answer, or a sentence that says why there is none.
+        The body of the response, or an error message.
 
     >>> call_until_answered(["127.0.0.1:1"], "GET", "/-/evacuation", 0.0).failure()[:37]
-    'no controller has answered in 0 s: th'
+    'no controller answered within 0 s; la'
     """
-    given_up_at = time.monotonic() + patience_s
-    last = ""
+    deadline_s = time.monotonic() + timeout_s
+    last_error = ""
     for address in itertools.cycle(addresses):
         try:
-            answer = _call(address, method, path, body)
+            response = _call(address, method, path, body)
         except CALL_ERRORS as error:
-            last = f"the last one, {address}, can't be reached ({error})"
+            last_error = f"{address} is unreachable ({error})"
         else:
-            if answer.status == HTTPStatus.OK:
-                return Success(answer.body)
-            said = answer.body.get("error", "") if isinstance(answer.body, dict) else ""
-            if HTTPStatus.BAD_REQUEST <= answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
-                return Failure(f"{address} refuses it: {said}")
-            last = f"the last one, {address}, said: {said}"
-        if time.monotonic() >= given_up_at:
+            if response.status == HTTPStatus.OK:
+                return Success(response.body)
+            message = response.body.get("error", "") if isinstance(response.body, dict) else ""
+            if HTTPStatus.BAD_REQUEST <= response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
+                return Failure(f"{address} rejected the request: {message}")
+            last_error = f"{address} returned: {message}"
+        if time.monotonic() >= deadline_s:
             break
-        time.sleep(PAUSE_S)
-    return Failure(f"no controller has answered in {patience_s:.0f} s: {last}")
+        time.sleep(RETRY_INTERVAL_S)
+    return Failure(f"no controller answered within {timeout_s:.0f} s; last error: {last_error}")
--- a/tests/controller/test_consensus_service.py
+++ b/tests/controller/test_consensus_service.py
@@ -1,4 +1,4 @@
-"""The service around a consensus member: copies in flight, and what a planned leave waits for."""
+"""Tests of ``ConsensusService``: sending copies, planned leaves, and timeouts of calls and connections."""
 
 import asyncio
 import unittest
@@ -15,36 +15,38 @@
 from tests.support.router_fixture import STARTUP
 
 TIMING = ConsensusTiming.of(timedelta(milliseconds=600))
-ME, OTHER = Member(1, "127.0.0.1", 7300, "z", ""), Member(2, "127.0.0.2", 7300, "z", "")
+LOCAL_MEMBER, REMOTE_MEMBER = Member(1, "127.0.0.1", 7300, "z", ""), Member(2, "127.0.0.2", 7300, "z", "")
 
 
-class Case(unittest.IsolatedAsyncioTestCase):
+class ConsensusServiceTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         startup = {**STARTUP, "seedNodes": [], "dataDirectory": "/nowhere", "ipAddress": "127.0.0.1"}
         self.consensus = consensus_service.ConsensusService(from_dict(startup).unwrap(), None, lambda data: None)
         stored = (Register(1, False, 0, [], False, 0), Data(0, 0, 0, b""))
-        self.consensus.member = ConsensusMember.start(ME, stored, False, TIMING, mock.Mock(), 1, (), timedelta(0))
+        self.consensus.member = ConsensusMember.start(
+            LOCAL_MEMBER, stored, False, TIMING, mock.Mock(), 1, (), timedelta(0)
+        )
 
-    async def test_a_copy_is_abandoned_for_want_of_progress_only(self):
-        """A large configuration on a thin link took longer than the time-out and was begun again for ever."""
-        written, done = [], asyncio.Event()
+    async def test_a_copy_times_out_only_without_progress(self):
+        """Regression: a large copy on a slow link exceeded the timeout and was restarted forever."""
+        written, write_done = [], asyncio.Event()
 
         class Frames:
-            async def write(self, record, patience=None):
-                written.append((record, patience))
-                done.set()
+            async def write(self, record, timeout=None):
+                written.append((record, timeout))
+                write_done.set()
 
             def close(self):
                 pass
 
-        async def dial(host, port, wait):
+        async def dial(host, port, timeout):
             return Frames()
 
-        copy = Copy(1, View(1, 1, [2], [ME, OTHER], []), Data(1, 1, 1, b"x"))
+        copy = Copy(1, View(1, 1, [2], [LOCAL_MEMBER, REMOTE_MEMBER], []), Data(1, 1, 1, b"x"))
         with mock.patch.object(consensus_service, "dial", dial):
-            self.consensus._send_copy(OTHER, copy)
-            await done.wait()
-            self.consensus.connections[OTHER.host, OTHER.port][0].cancel()
+            self.consensus._send_copy(REMOTE_MEMBER, copy)
+            await write_done.wait()
+            self.consensus.connections[REMOTE_MEMBER.host, REMOTE_MEMBER.port][0].cancel()
         self.assertEqual(written, [(copy, TIMING.election_timeout)])
 
     async def test_a_connection_without_a_first_record_is_closed(self):
@@ -55,27 +57,30 @@
         await self.consensus._serve_connection(asyncio.StreamReader(), SimpleNamespace(transport=transport))
         transport.abort.assert_called_once()
 
-    async def test_only_the_newest_copies_are_queued_for_a_connection(self):
-        copies = [Copy(1, View(1, 1, [2], [ME, OTHER], []), Data(1, n, n, b"x")) for n in range(9)]
+    async def test_a_full_copy_queue_drops_the_oldest_copies(self):
+        copies = [
+            Copy(1, View(1, 1, [2], [LOCAL_MEMBER, REMOTE_MEMBER], []), Data(1, number, number, b"x"))
+            for number in range(9)
+        ]
         with mock.patch.object(consensus_service, "dial", mock.AsyncMock(side_effect=OSError)):
             for copy in copies:
-                self.consensus._send_copy(OTHER, copy)
-            task, copies_queued = self.consensus.connections[OTHER.host, OTHER.port]
+                self.consensus._send_copy(REMOTE_MEMBER, copy)
+            task, queue = self.consensus.connections[REMOTE_MEMBER.host, REMOTE_MEMBER.port]
             self.assertEqual(
-                [copies_queued.get_nowait() for _ in range(copies_queued.qsize())],
+                [queue.get_nowait() for _ in range(queue.qsize())],
                 copies[-consensus_service.QUEUED_COPIES_PER_MEMBER :],
             )
             await task
 
-    async def test_a_leave_ends_when_the_member_reports_it_or_at_its_timeout(self):
+    async def test_leave_returns_on_completion_or_timeout(self):
         self.consensus.member = SimpleNamespace(leave=lambda now: [])
         await self.consensus.leave(timedelta(0))
-        self.assertFalse(self.consensus.left.is_set())
+        self.assertFalse(self.consensus.leave_completed.is_set())
         self.consensus.member = SimpleNamespace(leave=lambda now: [consensus_service.LeaveCompleted()])
         await self.consensus.leave(timedelta(hours=1))
-        self.assertTrue(self.consensus.left.is_set())
+        self.assertTrue(self.consensus.leave_completed.is_set())
 
-    async def test_a_call_that_can_not_start_or_gets_no_answer_leaves_nothing_behind(self):
+    async def test_a_call_that_can_not_start_or_times_out_is_removed_from_pending_calls(self):
         self.consensus.member = SimpleNamespace(read=lambda now, call: None)
         self.assertIsNone(await self.consensus.confirm(timedelta(hours=1)))
         self.consensus.member = SimpleNamespace(read=lambda now, call: [])
--- a/tests/evacuation/test_command_line.py
+++ b/tests/evacuation/test_command_line.py
@@ -1,4 +1,4 @@
-"""The operator's commands: a zone is evacuated, listed and taken back, and a refusal is told in a sentence."""
+"""Tests of the operator commands that evacuate, list and restore zones, and of their error messages."""
 
 import asyncio
 import contextlib
@@ -11,25 +11,25 @@
 from tests.evacuation.test_evacuation_on_loopback import EvacuationCase
 
 
-def command(*words):
-    """The exit status, standard output and standard error of a command of the controller."""
-    out, error = io.StringIO(), io.StringIO()
-    with contextlib.redirect_stdout(out), contextlib.redirect_stderr(error):
-        status = defopt.run(_commands("controller"), argv=list(words))
-    return status, out.getvalue(), error.getvalue()
+def run_command_line(*arguments):
+    """Runs a controller command; returns its exit status, standard output and standard error."""
+    stdout, stderr = io.StringIO(), io.StringIO()
+    with contextlib.redirect_stdout(stdout), contextlib.redirect_stderr(stderr):
+        status = defopt.run(_commands("controller"), argv=list(arguments))
+    return status, stdout.getvalue(), stderr.getvalue()
 
 
-class CommandLine(EvacuationCase):
-    async def run_command(self, *words):
-        return await asyncio.to_thread(command, *words)
+class CommandLineTest(EvacuationCase):
+    async def run_command(self, *arguments):
+        return await asyncio.to_thread(run_command_line, *arguments)
 
-    async def test_a_zone_is_evacuated_listed_and_taken_back(self):
+    async def test_evacuating_listing_and_restoring_a_zone(self):
         control = self.url.removeprefix("http://").partition("/")[0]
-        nobody = "127.0.0.1:1"
+        unreachable = "127.0.0.1:1"
         self.assertEqual(await self.run_command("evacuated", control), (0, "", ""))
-        # The first address doesn't answer, so the next one is called.
-        done = await self.run_command("evacuate", "z1", nobody, control)
-        self.assertEqual(done, (0, "z1 is evacuated\n", ""))
+        # The first address is unreachable, so the next one is called.
+        result = await self.run_command("evacuate", "z1", unreachable, control)
+        self.assertEqual(result, (0, "z1 is evacuated\n", ""))
         self.assertEqual(await self.run_command("evacuated", control), (0, "z1\n", ""))
         self.assertEqual(await self.run_command("restore", "z1", control), (0, "z1 is taken back\n", ""))
         self.assertEqual(await self.run_command("evacuated", control), (0, "", ""))
@@ -37,28 +37,30 @@
     async def test_the_last_zone_of_a_service_is_evacuated_with_a_warning(self):
         control = self.url.removeprefix("http://").partition("/")[0]
         self.assertEqual(await self.run_command("evacuate", "z1", control), (0, "z1 is evacuated\n", ""))
-        warned = (0, "z2 is evacuated\n", "warning: no runner is left of s.\n")
-        self.assertEqual(await self.run_command("evacuate", "z2", control), warned)
-        # The same order, sent again, is told the same.
-        self.assertEqual(await self.run_command("evacuate", "z2", control), warned)
+        expected = (0, "z2 is evacuated\n", "warning: no runners left for s.\n")
+        self.assertEqual(await self.run_command("evacuate", "z2", control), expected)
+        # A retry of the order prints the same warning.
+        self.assertEqual(await self.run_command("evacuate", "z2", control), expected)
         self.assertEqual(await self.run_command("restore", "z1", control), (0, "z1 is taken back\n", ""))
 
-    async def test_zones_are_shown_as_nodes_believe_them(self):
+    async def test_the_zones_command_shows_the_local_view_of_each_node(self):
         control = self.url.removeprefix("http://").partition("/")[0]
         await self.run_command("evacuate", "z1", control)
-        status, out, _ = await self.run_command("zones", control, "127.0.0.1:1")
+        status, stdout, _ = await self.run_command("zones", control, "127.0.0.1:1")
         name = self.controller_settings.node
         lines = [
             f"{name}: z1 evacuated, 1 runners, 0 draining, 0 cold",
             f"{name}: z2 in service, 1 runners, 0 draining, 0 cold",
         ]
-        self.assertEqual((status, out.splitlines()), (1, lines))
+        self.assertEqual((status, stdout.splitlines()), (1, lines))
 
-    async def test_what_is_wrong_is_said_in_a_sentence(self):
+    async def test_a_rejected_or_incomplete_command_prints_an_error(self):
         self.controller.control_api.settings.zones["z1"] = "r"
         control = self.url.removeprefix("http://").partition("/")[0]
-        status, out, error = await self.run_command("evacuate", "nowhere", control)
-        self.assertEqual((status, out, error), (1, "", f"{control} refuses it: the zone nowhere is unknown.\n"))
+        status, stdout, stderr = await self.run_command("evacuate", "nowhere", control)
+        self.assertEqual(
+            (status, stdout, stderr), (1, "", f"{control} rejected the request: the zone nowhere is unknown.\n")
+        )
         self.assertEqual((await self.run_command("evacuated"))[0], 1)
 
 
