--- a/sparloom/controller/durable_writer.py
+++ b/sparloom/controller/durable_writer.py
@@ -1,4 +1,4 @@
-"""The thread that owns the disk: saves in order, many at a time, without blocking the event loop."""
+"""Writes saves to disk in order and in batches, in a thread of its own that keeps the event loop unblocked."""
 
 from __future__ import annotations
 
@@ -19,27 +19,29 @@
 
     from sparloom.consensus import Data, Register, Save
 
-RETRY_S = 0.1
-STOP_POLL_S = 0.005
-STOP_POLLS = 100
+# The wait before a failed load or save is retried.
+RETRY_INTERVAL_S = 0.1
+# On stop, the thread is polled at this interval, and at most this many times.
+STOP_POLL_INTERVAL_S = 0.005
+MAXIMUM_STOP_POLLS = 100
 
 
 class DurableWriter:
-    """A thread with the store.
+    """A thread that owns the store and writes to it.
 
-    Saves reach the disk in the order in which they were submitted. One that
-    fails is retried together with those behind it: the last register and the
-    last data are written in one transaction, so the disk never holds a later
-    register whose data, from an earlier save, is missing.
+    Saves reach the disk in the order of submission. A failed save is retried
+    together with the saves queued after it. The last register and the last data
+    of a batch are written in one transaction, so the disk never holds a register
+    without the data of an earlier save that it refers to.
 
     Parameters
     ----------
     folder
         The data directory.
     loop
-        The event loop in which the callbacks run.
+        The event loop that runs the callbacks.
     on_saved
-        Called with the saves that have reached the disk.
+        Called with the saves that are on disk.
     on_failed
         Called after each failed attempt.
     """
@@ -53,26 +55,26 @@
     ) -> None:
         self.folder, self.loop, self.on_saved, self.on_failed = folder, loop, on_saved, on_failed
         self.store: Store | None = None
-        # None asks the thread to end.
+        # None stops the thread.
         self._queue: queue.SimpleQueue[Save | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
 
     @property
     def set_aside(self) -> bool:
-        """Whether the folder holds a file that could not be read and was set aside."""
+        """Whether the folder contains an unreadable file that was set aside."""
         return os.path.exists(os.path.join(self.folder, SET_ASIDE))
 
     async def load(self) -> tuple[Register, Data] | None:
-        """Returns what the disk holds, or None; retries for as long as the disk fails or hangs."""
-        warned = False
+        """Returns the stored register and data, or None if there are none; retries until the disk responds."""
+        failure_logged = False
         while True:
             try:
                 return await asyncio.to_thread(self._open)
             except (sqlite3.Error, OSError) as error:
-                if not warned:
+                if not failure_logged:
                     logging.warning("disk: load failed error=%r", str(error))
-                warned = True
-                await asyncio.sleep(RETRY_S)
+                failure_logged = True
+                await asyncio.sleep(RETRY_INTERVAL_S)
 
     def _open(self) -> tuple[Register, Data] | None:
         if self.store is None:
@@ -89,15 +91,15 @@
         self._queue.put(save)
 
     async def stop(self) -> None:
-        """Ends the thread after the pending saves; a disk that hangs is waited for half a second at most."""
+        """Stops the thread after the pending saves; waits at most half a second for a hung disk."""
         self._queue.put(None)
-        for _ in range(STOP_POLLS):
+        for _ in range(MAXIMUM_STOP_POLLS):
             if not self._thread.is_alive():
                 return
-            await asyncio.sleep(STOP_POLL_S)
+            await asyncio.sleep(STOP_POLL_INTERVAL_S)
 
     def _next_batch(self, timeout_s: float | None) -> list[Save | None]:
-        """All queued saves; waits for the first one, without limit if the time-out is None."""
+        """Returns all queued saves; waits for the first one, without limit if the timeout is None."""
         try:
             batch = [self._queue.get(timeout=timeout_s)]
         except queue.Empty:
@@ -107,19 +109,19 @@
         return batch
 
     def _run(self) -> None:
-        assert self.store is not None, "the thread was started before the store was loaded"
+        assert self.store is not None, "the store must be loaded before the thread starts"
         pending: list[Save] = []
-        ending = False
-        while not ending:
-            batch = self._next_batch(RETRY_S if pending else None)
-            ending = None in batch
+        stopping = False
+        while not stopping:
+            batch = self._next_batch(RETRY_INTERVAL_S if pending else None)
+            stopping = None in batch
             pending += [save for save in batch if save is not None]
             if pending and self._save(self.store, pending):
                 pending = []
         self.store.close()
 
     def _save(self, store: Store, saves: list[Save]) -> bool:
-        """Writes the saves as one transaction; returns whether they are on disk."""
+        """Writes the saves in one transaction; returns whether it succeeded."""
         data = next((save.data for save in reversed(saves) if save.data is not None), None)
         try:
             store.save(saves[-1].register, data)
--- a/sparloom/controller/endpoint_poller.py
+++ b/sparloom/controller/endpoint_poller.py
@@ -1,4 +1,4 @@
-"""Polls the platform for the endpoint list, a singleton role of the primary."""
+"""Polls the platform for the endpoint list; only the primary does so."""
 
 from __future__ import annotations
 
@@ -25,21 +25,23 @@
     from .consensus_service import ConsensusService
     from .feed_server import FeedServer
 
+# The interval at which a controller that is not the primary checks whether it has become the primary.
 NOT_PRIMARY_PAUSE_S = 0.05
-# So many requests that get no answer fit into the contact bound.
+# The timeout of a request is the contact bound divided by this number.
 TIMEOUTS_PER_CONTACT_BOUND = 3
-NO_ANSWER = 0
+# Stands in for the HTTP status of a request that failed without a response.
+NO_RESPONSE_STATUS = 0
 
 
 class PollOutcome(NamedTuple):
-    """What one request for a page led to.
+    """The outcome of the request for one page.
 
     Attributes
     ----------
     more_pages : bool
-        Whether the list goes on, so that the next page is to be requested.
+        Whether the list has further pages to request.
     rate_limited : bool
-        Whether the platform rejected the request as over its rate.
+        Whether the platform rejected the request because of its rate limit.
     """
 
     more_pages: bool
@@ -47,33 +49,32 @@
 
 
 class EndpointPoller(Service):
-    """Polls within the platform's rate while this controller is the primary.
+    """Polls within the platform's rate limit while this controller is the primary.
 
-    Every page belongs to one epoch: that in which it was requested. When the
-    epoch has changed by the time it arrives, or this controller is no longer
-    the primary, the page is dropped with all that came before it. So a list is
-    never put together from pages of two epochs, and none is published under an
-    epoch other than that of its poller.
+    A page belongs to the epoch in which it was requested. If the epoch has
+    changed when the page arrives, or this controller is no longer the primary,
+    the page and all earlier pages of the list are discarded. A list is therefore
+    never assembled from pages of two epochs or published under a different epoch.
 
     Attributes
     ----------
     last : EndpointList or None
-        The list that was published last in this epoch.
+        The last list published in this epoch.
     epoch : int
-        The epoch of the pages at hand.
+        The epoch of the current pages.
     number : int
-        The number of the last list within the epoch; both are its version.
+        The number of the last list within the epoch; epoch and number form the version of the list.
     pages : PageAssembler
-        The pages of a list that is not complete yet.
+        The pages received of an incomplete list.
     versions : dict
-        The versions of each service in the newest list of this epoch; empty where versions don't matter.
+        The versions of each service in the newest list of this epoch; empty if versions are not used.
 
     Parameters
     ----------
     fleet_size
-        Gives the number of routers that share the endpoints.
-    in_pools
-        Puts the runners of a list that was read by version into their pools; None where versions don't matter.
+        Returns the number of routers that share the endpoints.
+    assign_pools
+        Assigns the runners of a list to pools by their version; None if versions are not used.
     """
 
     def __init__(
@@ -82,10 +83,10 @@
         consensus: ConsensusService,
         feed_server: FeedServer,
         fleet_size: Callable[[], int] = lambda: 0,
-        in_pools: Callable[[list[Endpoint]], list[Endpoint]] | None = None,
+        assign_pools: Callable[[list[Endpoint]], list[Endpoint]] | None = None,
     ) -> None:
         super().__init__()
-        self.in_pools = in_pools
+        self.assign_pools = assign_pools
         self.versions: dict[str, set[str]] = {}
         self.settings, self.consensus, self.feed_server, self.fleet_size = settings, consensus, feed_server, fleet_size
         self.last: EndpointList | None = None
@@ -101,7 +102,7 @@
 
     @property
     def last_version(self) -> tuple[int, int]:
-        """The version of the list that was published last: epoch and number."""
+        """The version of the last published list: epoch and number."""
         return self.epoch, self.number
 
     @Service.task
@@ -121,15 +122,15 @@
                 continue
             if self.pages.token is None:
                 schedule.round_started_at = max(schedule.round_started_at, monotonic())
-            # Taken before the request: the next one is due a period after this one began, not after it ended.
+            # Read before the request, because the period is measured from the start of a request, not its end.
             now = monotonic()
             outcome = await self.poll_page(platform, epoch)
             schedule.on_response(now, outcome.more_pages, outcome.rate_limited)
 
     def enter_epoch(self, epoch: int | None) -> None:
-        """Notes the epoch in which this controller is the primary; None while it is not.
+        """Sets the epoch in which this controller is the primary; None while it is not.
 
-        Numbers go on within an epoch and start anew with the next one.
+        List numbers continue within an epoch and restart with the next epoch.
         """
         if epoch is None:
             self.last, self.pages, self.versions = None, PageAssembler(), {}
@@ -137,26 +138,26 @@
             self.epoch, self.number, self.last, self.pages, self.versions = epoch, 0, None, PageAssembler(), {}
 
     async def poll_page(self, platform: CloudApi, epoch: int) -> PollOutcome:
-        """Requests one page, and publishes the list if it was the last one."""
+        """Requests one page and publishes the list after the last page."""
         status, document = await self._request_page(platform)
         if self.consensus.leading_epoch() != epoch:
             self.pages = PageAssembler()
             return PollOutcome(more_pages=False, rate_limited=False)
         if status == HTTPStatus.TOO_MANY_REQUESTS:
             return PollOutcome(more_pages=False, rate_limited=True)
-        by_version = self.in_pools is not None
+        by_version = self.assign_pools is not None
         page = read_page(document, by_version).value_or(None) if status == HTTPStatus.OK else None
         if page is None:
-            self._restart(f"status {status}" if status != HTTPStatus.OK else "a page can't be read")
+            self._discard_pages(f"status {status}" if status != HTTPStatus.OK else "invalid page")
             return PollOutcome(more_pages=False, rate_limited=False)
         self._failure_logged = False
         return PollOutcome(more_pages=self._add_page(*page), rate_limited=False)
 
     async def _request_page(self, platform: CloudApi) -> tuple[int, Any]:
-        """The status and the JSON document of one page; status ``NO_ANSWER`` when none came.
+        """The status and JSON document of one page; the status is ``NO_RESPONSE_STATUS`` if there was no response.
 
-        A request that fails takes its connection with it, so a late answer
-        can't be taken for that of the next one.
+        A failed request closes its connection, so a late response is never
+        mistaken for the response to the next request.
         """
         if self.session is None:
             timeout_s = self.settings.bounds.contact.total_seconds() / TIMEOUTS_PER_CONTACT_BOUND
@@ -169,10 +170,10 @@
                 return response.status, document
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             logging.debug("platform: request failed error=%s", type(error).__name__)
-            return NO_ANSWER, None
+            return NO_RESPONSE_STATUS, None
 
-    def _restart(self, reason: str) -> None:
-        """Drops the pages of a failed poll: the next request is for the first page again."""
+    def _discard_pages(self, reason: str) -> None:
+        """Discards the pages of a failed poll, so that the next request is for the first page."""
         if not self._failure_logged:
             logging.warning("platform: poll failed reason=%r", reason)
         self._failure_logged, self.pages = True, PageAssembler()
@@ -182,7 +183,7 @@
         complete = self.pages.add(endpoints, token)
         if complete is None:
             return True
-        endpoint_list = EndpointList(self._published(complete.runners), self.fleet_size())
+        endpoint_list = EndpointList(self._prepare_runners(complete.runners), self.fleet_size())
         if endpoint_list.differs_from(self.last):
             self.last, self.number = endpoint_list, self.number + 1
             draining = [endpoint.id for endpoint in endpoint_list.runners if endpoint.draining]
@@ -190,9 +191,9 @@
             self.feed_server.publish(ENDPOINTS, self.last_version, endpoint_list)
         return False
 
-    def _published(self, runners: list[Endpoint]) -> list[Endpoint]:
-        """The runners of a complete list as they are published; notes which versions there are."""
-        if self.in_pools is None:
+    def _prepare_runners(self, runners: list[Endpoint]) -> list[Endpoint]:
+        """The runners of a complete list, assigned to pools if versions are used; also updates ``versions``."""
+        if self.assign_pools is None:
             return runners
         self.versions = versions_listed(runners)
-        return self.in_pools(runners)
+        return self.assign_pools(runners)
--- a/sparloom/controller/feed_server.py
+++ b/sparloom/controller/feed_server.py
@@ -1,4 +1,8 @@
-"""The feed's service: follows the primary, and serves those that follow this controller."""
+"""Receives the feed from the primary and serves it to the followers of this controller.
+
+``FeedServer`` stores the newest state of each topic, with deltas between
+versions, and passes states, deltas and heartbeats on.
+"""
 
 from __future__ import annotations
 
@@ -38,34 +42,34 @@
 
     Version = tuple[int, int]
 
-# A controller that only passes heartbeats on gives them this much longer to come than the primary's interval.
+# A controller that forwards heartbeats uses the primary's heartbeat interval multiplied by this factor.
 FORWARDED_INTERVAL_FACTOR = 1.5
-# The primary is looked up, and dialed if it is another member, this many times in a heartbeat interval.
+# The number of attempts per heartbeat interval to find the primary and, if it is another member, connect to it.
 RETRIES_PER_INTERVAL = 6
 
 
 class FeedServer(Service):
-    """The newest state of each topic, for all that follow this controller.
+    """Provides the newest state of each topic to the followers of this controller.
 
-    The attributes and methods up to ``serve`` are what ``serve_follower``
-    expects of its source.
+    ``serve_follower`` requires the attributes and the methods up to ``serve``
+    of its source.
 
     Attributes
     ----------
     consensus : ConsensusService
-        Tells who the primary is; set before the start.
+        Identifies the primary; must be set before the start.
     store : VersionedStore
         The newest states and the deltas between them.
     change_signal : ChangeSignal
         Wakes the tasks that serve followers.
     announced_version : tuple of int
-        The newest version of the configuration that the primary's heartbeats named.
+        The newest version of the configuration announced by a heartbeat of the primary.
     topics_to_resync : set of int
-        Topics whose delta did not fit, and which are requested as complete states.
+        The topics whose delta could not be applied; their complete states are requested.
     primary_interval : timedelta
-        Time between heartbeats of the primary.
+        The interval between heartbeats of the primary.
     write_timeout : timedelta
-        How long a follower may read nothing before its connection is given up.
+        The connection of a follower that reads nothing for this time is closed.
     """
 
     consensus: ConsensusService
@@ -81,39 +85,39 @@
         self.primary_interval, self.write_timeout = contact_bound / 10, contact_bound / 3
         self.tracker = SourceTracker(contact_bound / 3, contact_bound / 3)
         self.dialing = DialTimeout(contact_bound / 40, contact_bound / 5)
-        # Decoded once for each version of the configuration.
+        # Caches the evacuated zones of the configuration with the version in _evacuated_at.
         self._evacuated: frozenset[str] | None = None
         self._evacuated_at: Version = NO_VERSION
 
-    # -- the source that followers are served from ----------------------------
+    # -- source interface for serve_follower ------------------------------------
     def is_open(self) -> bool:
         """Whether followers are served."""
         return not self.should_stop
 
     def heartbeat_interval(self) -> timedelta:
-        """How long a follower waits for the next heartbeat."""
+        """The longest time between two heartbeats to a follower."""
         if self.consensus.member.leading():
             return self.primary_interval
         return self.primary_interval * FORWARDED_INTERVAL_FACTOR
 
     def confirmation_age_ms(self) -> int:
-        """Milliseconds since the primary was last confirmed, as known here; ``UNCONFIRMED`` if it never was."""
+        """Milliseconds since the last known confirmation of the primary; ``UNCONFIRMED`` if there was none."""
         now, member = monotonic(), self.consensus.member
         age = member.confirmation_age(now) if member.leading() else self.tracker.last_confirmed_age(now)
         return UNCONFIRMED if age is None else max(0, min(UNCONFIRMED - 1, int(age / MS)))
 
     def newest_configuration(self) -> Version:
-        """The version of the newest configuration that this controller has or has been notified of."""
+        """The version of the newest configuration that this controller stores or that was announced to it."""
         stored: Version = self.store.version(CONFIGURATION)
         return max(self.announced_version, stored)
 
     async def serve(self, frames: Frames, first: Record) -> None:
-        """Serves one follower until its connection ends; ``first`` is the first record that it sent."""
+        """Serves one follower until its connection closes; ``first`` is the first record that it sent."""
         if isinstance(first, Subscribe):
             await serve_follower(frames, first.versions, self)
 
     def evacuated_zones(self) -> frozenset[str] | None:
-        """The evacuated zones, as far as this controller has been told; None before it has a configuration."""
+        """The evacuated zones in the newest stored configuration; None before the first one."""
         version = self.store.version(CONFIGURATION)
         if version != self._evacuated_at:
             self._evacuated_at, self._evacuated = version, evacuated_zones(self.state_of(CONFIGURATION))
@@ -126,7 +130,7 @@
         return item and feed_payload.decode_payload(topic, item.payload)
 
     def publish(self, topic: int, version: Version, state: Any) -> None:
-        """Stores a state if it is newer, with the delta that leads to it where that is shorter."""
+        """Stores a state if it is newer, with a delta from the previous state if that is smaller."""
         if version > self.store.version(topic):
             blob, old = feed_payload.encode_state(topic, state), self.state_of(topic)
             self._put(topic, version, blob, old and feed_payload.encode_delta(topic, old, state, len(blob)))
@@ -147,14 +151,14 @@
             await asyncio.sleep(pause_s)
 
     async def _follow(self, primary: Member) -> None:
-        """Follows a primary until another one is known, it falls silent, or a delta does not fit.
+        """Follows a primary until the primary changes, the connection fails, or a change can't be applied.
 
         Raises
         ------
         OSError, EOFError, TimeoutError
-            The connection failed, ended, or was silent for too long.
+            The connection failed, was closed, or timed out.
         DecodeError
-            The primary sent what is no record of the feed.
+            The primary sent an invalid or unexpected record.
         """
         frames = await self.dialing.dial(primary.host, primary.port)
         try:
@@ -169,7 +173,7 @@
             frames.close()
 
     def _receive(self, record: Record) -> bool:
-        """Takes a record of the feed; returns whether the primary can be followed on."""
+        """Handles a record of the feed; returns whether to continue following the primary."""
         if isinstance(record, FeedHeartbeat):
             self.tracker.on_heartbeat(monotonic(), record.confirmation_age_ms, record.sent_at_ms)
             self.announced_version = max(self.announced_version, record.configuration_version)
@@ -180,7 +184,7 @@
         raise DecodeError(f"expected a record of the feed, found {type(record).__name__}")
 
     def _apply(self, change: Change) -> bool:
-        """Stores a change; returns False if it does not fit. Deltas are passed on as deltas."""
+        """Stores a change; returns False if it can't be applied. Followers receive a delta as a delta."""
         if change.topic not in TOPICS:
             raise DecodeError(f"expected a topic of {TOPICS}, found {change.topic}")
         if change.version <= self.store.version(change.topic):
