--- a/sparloom/controller/__init__.py
+++ b/sparloom/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: keeps the configuration, knows routers and runners, and feeds the routers."""
+"""The control plane: stores the configuration, tracks routers and runners, and publishes both to the routers."""
--- a/sparloom/controller/__main__.py
+++ b/sparloom/controller/__main__.py
@@ -1,4 +1,4 @@
-"""The controller's command line."""
+"""Entry point of the controller's command line."""
 
 from sparloom.launch.launcher import launch
 
--- a/sparloom/controller/prefix_snapshots.py
+++ b/sparloom/controller/prefix_snapshots.py
@@ -1,4 +1,4 @@
-"""Remembers for the routers which runner has which long prefix cached, also over a loss of all power."""
+"""Stores which runner has which long prompt prefix cached, so that the routers keep this across a power loss."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class PrefixSnapshots(Service):
-    """Collects the routers' prefix placements, answers routers that start, and saves the table to a file.
+    """Collects prefix placements from routers, sends them to starting routers, and saves them to a file.
 
-    The table is a hint only: a file that is late, lost or torn costs some
-    prefill. A thread replaces the whole file, one save at a time, so a slow
-    disk delays nothing else.
+    The table is only a hint: an outdated, lost or corrupted file costs some
+    extra prefill. A thread replaces the whole file, one save at a time, so a
+    slow disk does not block the event loop.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
         self.placements = PlacementTable()
 
     def load(self) -> None:
-        """Reads the file; without one the table stays empty."""
+        """Loads the file; if there is none, the table stays empty."""
         try:
             with open(self.path, "rb") as file:
                 self.placements = PlacementTable.unpack(file.read())
@@ -51,12 +51,12 @@
         logging.info("prefixes: loaded count=%d", len(self.placements.items))
 
     def receive(self, sender: str, record: Record) -> bool:
-        """Takes a router's record; returns whether it was one about prefixes."""
+        """Handles a record from a router; returns whether it was a prefix record."""
         if isinstance(record, PrefixPlacements):
             self.placements.add(record.placements)
         elif isinstance(record, PlacementQuery):
-            for answer in self.placements.to_records():
-                self.send(sender, answer)
+            for placements_record in self.placements.to_records():
+                self.send(sender, placements_record)
         else:
             return False
         return True
@@ -66,7 +66,7 @@
         while not self.should_stop:
             await asyncio.sleep(self.interval_s)
             if self.placements.changed:
-                # Reset before the save: what comes meanwhile belongs to the next one.
+                # Reset before the save, so that changes during the save trigger the next one.
                 self.placements.changed = False
                 try:
                     await asyncio.to_thread(self._write, self.placements.pack())
@@ -74,13 +74,13 @@
                     logging.info("prefixes: save failed error=%r", str(error))
 
     def _write(self, raw: bytes) -> None:
-        new = self.path + ".new"
-        with open(new, "wb") as file:
+        new_path = self.path + ".new"
+        with open(new_path, "wb") as file:
             file.write(raw)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(new, self.path)
-        # Without this the rename itself could be lost with the power.
+        os.replace(new_path, self.path)
+        # Without this fsync a power loss could undo the rename.
         folder = os.open(os.path.dirname(self.path), os.O_RDONLY)
         try:
             os.fsync(folder)
--- a/sparloom/controller/program.py
+++ b/sparloom/controller/program.py
@@ -28,31 +28,31 @@
     from .rate_service import RateService
     from .rollout_service import RolloutService
 
-# The part of the grace period that a planned leave may take.
-LEAVE_PART_OF_GRACE = 0.5
+# The fraction of the grace period after which a planned leave times out.
+LEAVE_GRACE_FRACTION = 0.5
 
 
 class Controller(ServingProgram):
-    """All parts of a controller.
+    """All services of a controller.
 
     Attributes
     ----------
     consensus : ConsensusService
-        This controller's member of the consensus: disk, membership and messages.
+        Runs the consensus member of this controller: disk, membership and messages.
     control_api : ControlApi
-        What operators call.
+        The operators' HTTP API.
     feed_server : FeedServer
         Publishes the configuration and the endpoint list to the routers.
     poller : EndpointPoller
         Keeps the endpoint list up to date while this controller is the primary.
     duties : DutyService or None
-        Carries out the duties at the platform while this controller is the primary, where any are expected.
+        Performs the duties at the platform while this controller is the primary; None if no duties are configured.
     rollouts : RolloutService or None
-        Takes roll-outs from step to step while this controller is the primary, where versions come by them.
+        Advances roll-outs while this controller is the primary; None if roll-outs are disabled.
     rates : RateService or None
-        Keeps the table of routers that share rates while this controller is the primary, where requests are served.
+        Updates the table of rate holders while this controller is the primary; None on job deployments.
     jobs : JobService or None
-        Keeps and runs jobs, on deployments that have them.
+        Stores and runs jobs; None on other deployments.
     """
 
     def __init__(self, settings: Settings, path: str) -> None:
@@ -62,21 +62,21 @@
         self.consensus = ConsensusService(settings, self.feed_server.serve, self._on_committed, self._receive)
         self.control_api = ControlApi(settings, self.consensus, self.feed_server)
         self.duties = self._duty_service(settings)
-        in_pools = self._in_pools if settings.rollouts.enabled else None
+        assign_pools = self._assign_pools if settings.rollouts.enabled else None
         self.poller = EndpointPoller(
-            settings, self.consensus, self.feed_server, self.control_api.router_count, in_pools
+            settings, self.consensus, self.feed_server, self.control_api.router_count, assign_pools
         )
         self.rollouts = self._rollout_service(settings)
         self.rates = self._rate_service(settings)
         self.feed_server.consensus = self.consensus
         self.jobs = self._job_service(settings, self.feed_server)
-        self._leave_timeout = settings.bounds.grace * LEAVE_PART_OF_GRACE
+        self._leave_timeout = settings.bounds.grace * LEAVE_GRACE_FRACTION
 
     @staticmethod
     def _job_service(settings: Settings, feed_server: FeedServer) -> JobService | None:
         if settings.deployment != JOB_DEPLOYMENT:
             return None
-        # Other deployments don't spend time and memory of a start on it.
+        # Imported here to save startup time and memory on other deployments.
         from .job_service import JobService
 
         return JobService(settings, feed_server.evacuated_zones)
@@ -84,7 +84,7 @@
     def _duty_service(self, settings: Settings) -> DutyService | None:
         if not settings.duties.expected:
             return None
-        # Other deployments don't spend time and memory of a start on it.
+        # Imported here to save startup time and memory on deployments without duties.
         from .duty_service import DutyService
 
         return DutyService(settings, self.consensus, self.control_api.writer, self._scaled_services)
@@ -105,15 +105,15 @@
 
         return RateService(settings, self.consensus, self.control_api.writer)
 
-    def _in_pools(self, runners: list[Endpoint]) -> list[Endpoint]:
-        """The runners of a list in their pools, by the newest committed state."""
+    def _assign_pools(self, runners: list[Endpoint]) -> list[Endpoint]:
+        """Assigns the runners of a list to pools according to the newest committed state."""
         from .rollout_updates import in_pools
 
         committed = self.control_api.writer.committed
         return in_pools(committed.state.rollouts if committed is not None else None, runners)
 
     def _scaled_services(self) -> list[ScaledService]:
-        """The services whose runners are ordered, as the newest configuration and list have them."""
+        """The services that are scaled, according to the newest configuration and endpoint list."""
         from .scaled_services import scaled_services
 
         committed, listed = self.control_api.writer.committed, self.poller.last
@@ -124,7 +124,7 @@
 
     @staticmethod
     def _serving_runners(state: State, runners: list[Endpoint]) -> list[Endpoint]:
-        """The runners of versions that serve, each under its service's name; a version on trial is no room."""
+        """The runners of serving versions under their service names; trial versions don't count as capacity."""
         if state.rollouts is None:
             return runners
         from .rollout_updates import serving_runners
@@ -140,7 +140,7 @@
         self.control_api.on_committed(data)
 
     async def on_start(self) -> None:
-        """Starts the services in the order in which they need each other."""
+        """Starts the services in the order of their dependencies."""
         for service in (self.consensus, self.control_api, self.poller):
             await self.add_runtime_dependency(service)
         for optional in (self.duties, self.rollouts, self.rates, self.jobs):
@@ -149,14 +149,14 @@
         await self.start_metrics_reporter()
 
     def apply_settings(self, settings: Settings) -> None:
-        """Goes by other checked settings from now on."""
+        """Replaces the settings; the new ones must have been validated."""
         self.settings = settings
         self.consensus.apply_settings(settings)
         if self.jobs is not None:
             self.jobs.apply_settings(settings)
 
     async def graceful_shutdown(self) -> None:
-        """Leaves the consensus, so that neither data nor votes rest on this controller any more."""
+        """Leaves the consensus groups, so that neither data nor votes depend on this controller."""
         logging.info("controller: stopping")
         groups = [self.consensus, *([self.jobs.consensus] if self.jobs is not None else [])]
         await asyncio.gather(*(group.leave(self._leave_timeout) for group in groups))
--- a/sparloom/controller/rate_planner.py
+++ b/sparloom/controller/rate_planner.py
@@ -1,13 +1,15 @@
-"""When the table of the routers that share a rate changes, and how. A state machine, one for each term of a primary.
+"""Plans changes of the table of rate holders, the routers that share a rate limit.
 
-What must hold: the shares by all tables that are in use at one moment add up
-to the whole at most. A router uses a table for no longer than the lease after
-it was known to be the newest. So once this primary has published a table for
-longer than that, nobody uses an older one, and the next may be committed. By
-the one each router takes the lesser of its shares among the old holders and
-the new ones, so it adds up with both.
+``RatePlanner`` is a state machine with one instance per term of a primary.
 
-While the table is empty nobody has a share, so the first one needs no wait.
+Invariant: the shares under all tables in use at the same time add up to at most
+the limit. A router uses a table only for the duration of the lease after the
+table was confirmed as the newest. Once the primary has published a table for
+longer than the lease, no router uses an older one, and the next table may be
+committed. Under a new table each router takes the smaller of its shares among
+the previous and the new holders, so the total holds with either table.
+
+No router has a share under the empty table, so the first table needs no wait.
 """
 
 from __future__ import annotations
@@ -24,102 +26,103 @@
 if TYPE_CHECKING:
     from .control_state import State
 
-# Steady clocks of two machines may differ by this part.
-CLOCK_DRIFT = 0.05
-# The first table waits until the routers that are seen have been the same for so long, but not for longer than this.
-STABLE = timedelta(seconds=2)
-STABLE_AT_MOST = timedelta(seconds=10)
-# A router that was not seen for so many contact bounds leaves the table.
-FORGET_BOUNDS = 150
+# The maximum relative drift between the monotonic clocks of two machines.
+CLOCK_DRIFT_RATIO = 0.05
+# The first table is committed once the set of live routers has not changed for this time.
+STABLE_PERIOD = timedelta(seconds=2)
+# The first table is committed at the latest this long after the start of the term.
+MAXIMUM_STABILITY_WAIT = timedelta(seconds=10)
+# A router that was not seen alive for this many contact bounds is removed from the table.
+REMOVAL_CONTACT_BOUNDS = 150
 
 
 @define(frozen=True, slots=True)
 class RateUpdate:
-    """The table that is to follow another one."""
+    """An update from one table to the next."""
 
     before: RateHolders
     after: RateHolders
 
     def is_retry_of(self, other: object) -> bool:
-        """Whether this is the other update, sent again."""
+        """Whether this is a retry of the other update."""
         return self == other
 
 
 def judge_rate_update(state: State, update: RateUpdate) -> Judgement:
-    """What becomes of an update upon a committed state.
+    """Evaluates an update against a committed state.
 
     >>> from .control_state import State
-    >>> one, other = (RateHolders(frozenset(name), frozenset(name)) for name in "ab")
-    >>> judge_rate_update(State({}), RateUpdate(RateHolders(), one)).verdict.name
+    >>> first, second = (RateHolders(frozenset(name), frozenset(name)) for name in "ab")
+    >>> judge_rate_update(State({}), RateUpdate(RateHolders(), first)).verdict.name
     'NEW'
-    >>> judge_rate_update(State({}).with_rate_holders(other), RateUpdate(RateHolders(), one)).verdict.name
+    >>> judge_rate_update(State({}).with_rate_holders(second), RateUpdate(RateHolders(), first)).verdict.name
     'STALE'
     """
-    present = state.rate_holders or RateHolders()
-    if present == update.after:
+    current = state.rate_holders or RateHolders()
+    if current == update.after:
         return Judgement(Verdict.ALREADY_COMMITTED)
-    if present != update.before:
+    if current != update.before:
         return Judgement(Verdict.STALE)
     return Judgement(Verdict.NEW, state.with_rate_holders(update.after))
 
 
 @define(slots=True, eq=False)
 class RatePlanner:
-    """Plans the next table during one term.
+    """Plans the tables of one term.
 
     Attributes
     ----------
     contact_bound
         The contact bound.
     started_at
-        When the term began.
+        The start of the term.
     """
 
     contact_bound: timedelta
     started_at: timedelta
-    _table: RateHolders | None = None
-    _table_seen_at: timedelta = timedelta(0)
-    _routers: frozenset[str] = frozenset()
-    _routers_changed_at: timedelta = timedelta(0)
-    _seen_at: dict[str, timedelta] = field(factory=dict)
+    _observed_table: RateHolders | None = None
+    _table_observed_at: timedelta = timedelta(0)
+    _live_routers: frozenset[str] = frozenset()
+    _live_routers_changed_at: timedelta = timedelta(0)
+    _last_live_at: dict[str, timedelta] = field(factory=dict)
 
     @property
-    def settle_time(self) -> timedelta:
-        """For how long a table must have been published until nobody uses an older one."""
-        return self.contact_bound * LEASE_BOUNDS * (1 + CLOCK_DRIFT) + 2 * RATE_WINDOW
+    def replacement_delay(self) -> timedelta:
+        """The time after which no router uses an older table than the published one."""
+        return self.contact_bound * LEASE_BOUNDS * (1 + CLOCK_DRIFT_RATIO) + 2 * RATE_WINDOW
 
     def next_table(self, now: timedelta, table: RateHolders, routers: frozenset[str]) -> RateHolders | None:
-        """Return the table to commit now, if there is any.
+        """Returns the table to commit now, or None.
 
         Parameters
         ----------
         now
-            The present time.
+            The current time.
         table
             The committed table, which this primary has published.
         routers
-            The internal HOST:PORT of each router that is seen alive.
+            The internal addresses, HOST:PORT, of the live routers.
         """
-        self._look(now, table, routers)
+        self._observe(now, table, routers)
         if table == RateHolders():
             return RateHolders(routers, routers) if routers and self._is_stable(now) else None
-        if now - self._table_seen_at < self.settle_time:
+        if now - self._table_observed_at < self.replacement_delay:
             return None
-        kept = frozenset(router for router in table.routers if not self._is_forgotten(now, router))
-        after = RateHolders(kept | routers, table.routers)
+        retained = frozenset(router for router in table.routers if not self._is_expired(now, router))
+        after = RateHolders(retained | routers, table.routers)
         return after if after != table else None
 
-    def _look(self, now: timedelta, table: RateHolders, routers: frozenset[str]) -> None:
-        if table != self._table:
-            self._table, self._table_seen_at = table, now
-        if routers != self._routers:
-            self._routers, self._routers_changed_at = routers, now
+    def _observe(self, now: timedelta, table: RateHolders, routers: frozenset[str]) -> None:
+        if table != self._observed_table:
+            self._observed_table, self._table_observed_at = table, now
+        if routers != self._live_routers:
+            self._live_routers, self._live_routers_changed_at = routers, now
         for router in routers:
-            self._seen_at[router] = now
+            self._last_live_at[router] = now
 
     def _is_stable(self, now: timedelta) -> bool:
-        return now - self._routers_changed_at >= STABLE or now - self.started_at >= STABLE_AT_MOST
+        return now - self._live_routers_changed_at >= STABLE_PERIOD or now - self.started_at >= MAXIMUM_STABILITY_WAIT
 
-    def _is_forgotten(self, now: timedelta, router: str) -> bool:
-        seen_at = self._seen_at.get(router, self.started_at)
-        return now - seen_at >= FORGET_BOUNDS * self.contact_bound
+    def _is_expired(self, now: timedelta, router: str) -> bool:
+        last_live_at = self._last_live_at.get(router, self.started_at)
+        return now - last_live_at >= REMOVAL_CONTACT_BOUNDS * self.contact_bound
--- a/sparloom/controller/rate_service.py
+++ b/sparloom/controller/rate_service.py
@@ -1,4 +1,4 @@
-"""Keeps the table of the routers that share rates while this controller is the primary."""
+"""Updates the table of rate holders while this controller is the primary."""
 
 from __future__ import annotations
 
@@ -24,48 +24,48 @@
     from .consensus_service import ConsensusService
     from .control_state import State
 
-STEP = timedelta(milliseconds=500)
+UPDATE_INTERVAL = timedelta(milliseconds=500)
 
 
-def shares_rates(state: State) -> bool:
-    """Whether any service bounds what its cold runners are sent by all routers together.
+def has_cold_rate_limit(state: State) -> bool:
+    """Whether any service limits the total request rate of all routers to its cold runners.
 
     >>> from .control_state import State
-    >>> shares_rates(State({"services": [{"name": "s"}]}))
+    >>> has_cold_rate_limit(State({"services": [{"name": "s"}]}))
     False
-    >>> shares_rates(State({"services": [{"name": "s", "coldPerS": 4}]}))
+    >>> has_cold_rate_limit(State({"services": [{"name": "s", "coldPerS": 4}]}))
     True
     """
     return any(service.get("coldPerS") for service in state.configuration.get("services", []))
 
 
 class RateService(Service):
-    """The table, as far as this controller decides it."""
+    """Commits new tables of rate holders, as planned by a ``RatePlanner`` for each epoch."""
 
     def __init__(self, settings: Settings, consensus: ConsensusService, writer: ConfigurationWriter) -> None:
         super().__init__()
         self.settings, self.consensus, self.writer = settings, consensus, writer
-        self._term: tuple[int, RatePlanner] | None = None
+        self._epoch_planner: tuple[int, RatePlanner] | None = None
 
     def _planner(self) -> RatePlanner | None:
-        """The planner of the epoch in which this controller is the primary, made anew with each epoch."""
+        """The planner of the current epoch; None if this controller is not the primary."""
         epoch = self.consensus.leading_epoch()
         if epoch is None:
-            self._term = None
+            self._epoch_planner = None
             return None
-        if self._term is None or self._term[0] != epoch:
-            self._term = epoch, RatePlanner(self.settings.bounds.contact, monotonic())
-        return self._term[1]
+        if self._epoch_planner is None or self._epoch_planner[0] != epoch:
+            self._epoch_planner = epoch, RatePlanner(self.settings.bounds.contact, monotonic())
+        return self._epoch_planner[1]
 
     @Service.task
-    async def _keep_table(self) -> None:
+    async def _update_periodically(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(STEP.total_seconds())
+            await asyncio.sleep(UPDATE_INTERVAL.total_seconds())
             planner, committed = self._planner(), self.writer.committed
-            # A state of another epoch has not been published by this primary.
+            # This primary has not published a state of a different epoch.
             if planner is None or committed is None or committed.version[0] != self.consensus.leading_epoch():
                 continue
-            if shares_rates(committed.state):
+            if has_cold_rate_limit(committed.state):
                 await self._update(planner, committed.state.rate_holders or RateHolders())
 
     async def _update(self, planner: RatePlanner, table: RateHolders) -> None:
--- a/tests/controller/test_program.py
+++ b/tests/controller/test_program.py
@@ -1,4 +1,4 @@
-"""A whole controller on loopback: the operator's calls, a stand-in platform, and a router that follows."""
+"""Tests of a complete controller on loopback, with a fake platform, a runner and a router."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 def free_ports(count):
-    """Free ports; the one after the first is the routers' internal port, so it is none of the rest."""
+    """Returns free ports; the one after the first is the internal port of routers, so no other port equals it."""
     while (ports := _unused(count))[0] + 1 in ports:
         pass
     return ports
@@ -35,20 +35,20 @@
 
 
 class ControllerCase(unittest.IsolatedAsyncioTestCase):
-    # What a test needs beside the usual bounds, of the platform, and of the contracts in force.
+    # Subclasses override these to add bounds, platform settings and contracts to the startup file.
     bounds = {}
     cloud = {}
     contracts = []
 
     async def asyncSetUp(self):
-        self.dir = tempfile.TemporaryDirectory()
-        self.addCleanup(self.dir.cleanup)
+        self.data_directory = tempfile.TemporaryDirectory()
+        self.addCleanup(self.data_directory.cleanup)
         self.runner = await Runner(id="i-0").start()
         self.platform = await Platform([Platform.entry("i-0", "s", f"127.0.0.1:{self.runner.port}")]).start()
-        inner, control, front, ready = free_ports(4)
+        internal, control, front, readiness_port = free_ports(4)
         base = {
             **STARTUP,
-            "internalPortRange": [inner, inner + 9],
+            "internalPortRange": [internal, internal + 9],
             "seedNodes": [f"127.0.0.1:{control}"],
             "bounds": {"contactMs": 600, **self.bounds},
             "cloudApi": {"address": f"127.0.0.1:{self.platform.port}", "ratePerS": 100, **self.cloud},
@@ -59,17 +59,17 @@
                 **base,
                 "nodeName": "core-1",
                 "firstStart": True,
-                "dataDirectory": self.dir.name,
+                "dataDirectory": self.data_directory.name,
                 "listenAddresses": {"control": f"127.0.0.1:{control}"},
             }
         ).unwrap()
         self.edge = from_dict(
-            {**base, "listenAddresses": {"front": f"127.0.0.1:{front}", "readiness": f"127.0.0.1:{ready}"}}
+            {**base, "listenAddresses": {"front": f"127.0.0.1:{front}", "readiness": f"127.0.0.1:{readiness_port}"}}
         ).unwrap()
         self.url, self.front, self.ready = (
             f"http://127.0.0.1:{control}/-/configuration",
             f"127.0.0.1:{front}",
-            f"http://127.0.0.1:{ready}/-/ready",
+            f"http://127.0.0.1:{readiness_port}/-/ready",
         )
         self.controller = Controller(self.controller_settings, "/nowhere")
         await self.controller.start()
@@ -87,15 +87,15 @@
             while not condition():
                 await asyncio.sleep(0)
 
-    async def call(self, method, body, match=None):
+    async def call(self, method, body, base_revision=None):
         raw = body if isinstance(body, bytes) else json.dumps(body).encode()
-        headers = {} if match is None else {"If-Match": str(match)}
+        headers = {} if base_revision is None else {"If-Match": str(base_revision)}
         async with self.http.request(method, self.url, data=raw, headers=headers, allow_redirects=False) as response:
             return response.status, await response.json()
 
 
 class Case(ControllerCase):
-    async def test_the_operators_calls(self):
+    async def test_put_patch_and_get_of_the_configuration(self):
         status, _ = await self.call("GET", b"")
         self.assertEqual(status, 404)
         self.assertEqual((await self.call("PUT", POLICY, 0))[0], 200)
@@ -116,12 +116,14 @@
             "route x: the service ghost is unknown",
         )
 
-    async def test_concurrent_changes_on_one_revision_have_one_winner(self):
+    async def test_only_one_of_several_concurrent_changes_on_a_revision_succeeds(self):
         await self.call("PUT", POLICY, 0)
-        answers = await asyncio.gather(*(self.call("PUT", {**POLICY, "revision": 2 + i}, 1) for i in range(8)))
-        self.assertEqual(sorted(status for status, _ in answers), [200] + [412] * 7)
+        responses = await asyncio.gather(
+            *(self.call("PUT", {**POLICY, "revision": 2 + index}, 1) for index in range(8))
+        )
+        self.assertEqual(sorted(status for status, _ in responses), [200] + [412] * 7)
 
-    async def test_what_was_acknowledged_is_on_disk(self):
+    async def test_an_acknowledged_change_survives_a_restart(self):
         await self.call("PUT", POLICY, 0)
         await self.controller.stop()
         self.controller = Controller(self.controller_settings, "/nowhere")
@@ -129,7 +131,7 @@
         await self.until(lambda: self.controller.consensus.member.leading())
         self.assertEqual((await self.call("GET", b""))[1], POLICY)
 
-    async def test_a_router_follows_serves_and_agrees(self):
+    async def test_a_router_follows_the_feed_and_forwards_requests(self):
         router = Router(self.edge, "/nowhere")
         await router.start()
         try:
