--- a/sparloom/controller/change_requests.py
+++ b/sparloom/controller/change_requests.py
@@ -113,12 +113,12 @@
     ----------
     content
         The update.
-    judge_content
+    evaluate_content
         Evaluates the update against a committed state.
     """
 
     content: AnyUpdate
-    judge_content: Callable[[State, AnyUpdate], Judgement]
+    evaluate_content: Callable[[State, AnyUpdate], Judgement]
 
     def is_retry_of(self, other: object) -> bool:
         """Whether this is a retry of the other update."""
@@ -126,7 +126,7 @@
 
     def judge(self, state: State) -> Judgement:
         """Evaluates the update against a committed state."""
-        return self.judge_content(state, self.content)
+        return self.evaluate_content(state, self.content)
 
 
 def _parse_base(if_match: str) -> int | None:
--- a/sparloom/controller/configuration_writer.py
+++ b/sparloom/controller/configuration_writer.py
@@ -270,7 +270,7 @@
             # Another write may have started or ended during the confirmation.
             if self.pending is not None or not self._is_newest(snapshot) or not is_client_waiting():
                 continue
-            outcome = await self._reject_or_write(request, snapshot)
+            outcome = await self._resolve_or_write(request, snapshot)
             if outcome is not None:
                 return outcome
         return OutcomeUnknown()
@@ -290,8 +290,11 @@
         is_slow = is_large(state.configuration) or is_large(request.change)
         return await run_offloaded(is_slow, judge, state, request, self._visible_routers())
 
-    async def _reject_or_write(self, request: AnyChange, snapshot: Snapshot) -> ChangeOutcome | None:
-        """Rejects a change or starts its write; None if a write is in flight or the state has changed meanwhile."""
+    async def _resolve_or_write(self, request: AnyChange, snapshot: Snapshot) -> ChangeOutcome | None:
+        """Returns the outcome of a change that needs no write; otherwise starts its write and returns None.
+
+        Also returns None, without a write, if the state has changed or another write has started meanwhile.
+        """
         judgement = await self._evaluate(request, snapshot.state)
         if judgement.verdict is Verdict.ALREADY_COMMITTED:
             return Acknowledged(request.revision if isinstance(request, ChangeRequest) else snapshot.state.revision)
--- a/sparloom/controller/consensus_service.py
+++ b/sparloom/controller/consensus_service.py
@@ -182,9 +182,9 @@
         address = Address(settings.ip, self.port)
         self.server = await asyncio.start_server(self._serve_connection, sock=bind(address))
 
-    def send_datagram(self, to: str, record: Record) -> None:
+    def send_datagram(self, address: str, record: Record) -> None:
         """Sends a record by datagram to an internal address, HOST:PORT; delivery is not guaranteed."""
-        self.datagrams.send(to, record)
+        self.datagrams.send(address, record)
 
     def _new_member_id(self, genesis: set[HostPort]) -> int:
         """The id of a member with an empty disk: derived from the address for a founder, else a random odd number."""
@@ -306,9 +306,9 @@
     def _receive_own(self, record: Record) -> None:
         self._carry_out(self.member.receive(monotonic(), record))
 
-    def _send_copy(self, to: Member, copy: Copy) -> None:
+    def _send_copy(self, destination: Member, copy: Copy) -> None:
         """Queues a copy for a member's connection; a full queue drops its oldest copy."""
-        address = (to.host, to.port)
+        address = (destination.host, destination.port)
         connection = self.connections.get(address)
         if connection is None or connection[0].done():
             copies: asyncio.Queue[Copy] = asyncio.Queue(QUEUED_COPIES_PER_MEMBER)
@@ -320,7 +320,7 @@
         copies.put_nowait(copy)
 
     async def _send_copies(self, address: HostPort, copies: asyncio.Queue[Copy]) -> None:
-        """Sends queued copies over one connection; a copy times out only when no bytes make progress."""
+        """Sends queued copies over one connection; a copy times out only while its bytes make no progress."""
         timing, frames = self.member.timing, None
         try:
             frames = await dial(*address, timing.election_timeout)
--- a/sparloom/controller/rate_planner.py
+++ b/sparloom/controller/rate_planner.py
@@ -48,14 +48,14 @@
         return self == other
 
 
-def judge_rate_update(state: State, update: RateUpdate) -> Judgement:
+def evaluate_rate_update(state: State, update: RateUpdate) -> Judgement:
     """Evaluates an update against a committed state.
 
     >>> from .control_state import State
     >>> first, second = (RateHolders(frozenset(name), frozenset(name)) for name in "ab")
-    >>> judge_rate_update(State({}), RateUpdate(RateHolders(), first)).verdict.name
+    >>> evaluate_rate_update(State({}), RateUpdate(RateHolders(), first)).verdict.name
     'NEW'
-    >>> judge_rate_update(State({}).with_rate_holders(second), RateUpdate(RateHolders(), first)).verdict.name
+    >>> evaluate_rate_update(State({}).with_rate_holders(second), RateUpdate(RateHolders(), first)).verdict.name
     'STALE'
     """
     current = state.rate_holders or RateHolders()
--- a/sparloom/controller/rate_service.py
+++ b/sparloom/controller/rate_service.py
@@ -15,7 +15,7 @@
 
 from .change_requests import StateUpdate
 from .configuration_writer import Acknowledged, Deadline
-from .rate_planner import RatePlanner, RateUpdate, judge_rate_update
+from .rate_planner import RatePlanner, RateUpdate, evaluate_rate_update
 
 if TYPE_CHECKING:
     from sparloom.settings import Settings
@@ -73,7 +73,7 @@
         after = planner.next_table(monotonic(), table, routers)
         if after is None:
             return
-        update = StateUpdate(RateUpdate(table, after), judge_rate_update)
+        update = StateUpdate(RateUpdate(table, after), evaluate_rate_update)
         outcome = await self.writer.change(update, Deadline.after_body(0))
         if isinstance(outcome, Acknowledged):
             logging.info("rates: table committed routers=%d before=%d", len(after.routers), len(after.before))
--- a/tests/evacuation/test_command_line.py
+++ b/tests/evacuation/test_command_line.py
@@ -11,7 +11,7 @@
 from tests.evacuation.test_evacuation_on_loopback import EvacuationCase
 
 
-def run_command_line(*arguments):
+def command(*arguments):
     """Runs a controller command; returns its exit status, standard output and standard error."""
     stdout, stderr = io.StringIO(), io.StringIO()
     with contextlib.redirect_stdout(stdout), contextlib.redirect_stderr(stderr):
@@ -21,7 +21,7 @@
 
 class CommandLineTest(EvacuationCase):
     async def run_command(self, *arguments):
-        return await asyncio.to_thread(run_command_line, *arguments)
+        return await asyncio.to_thread(command, *arguments)
 
     async def test_evacuating_listing_and_restoring_a_zone(self):
         control = self.url.removeprefix("http://").partition("/")[0]
