--- a/sparloom/controller/rollout_api.py
+++ b/sparloom/controller/rollout_api.py
@@ -1,4 +1,4 @@
-"""The operators' calls about roll-outs: what is taken for an order, and how they are answered."""
+"""The operators' HTTP calls on rollouts: parses orders and builds the replies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from sparloom.transport import wall_clock_ms
 
 from .change_requests import StateUpdate
-from .rollout_updates import judge_rollout
+from .rollout_updates import evaluate_rollout_update
 
 if TYPE_CHECKING:
     from sparloom.rollouts import Rollout
@@ -24,18 +24,19 @@
 
 ROLLOUTS_PATH = "/-/rollouts"
 ROLLOUT_PREFIX = ROLLOUTS_PATH + "/"
+# Maximum length of the name of a service or version, in characters.
 MAXIMUM_NAME_LENGTH = 255
 MAXIMUM_DURATION = timedelta(days=30)
 MILLISECONDS_PER_S = 1000
 
 
 def parse_order(body: bytes) -> Result[StateUpdate[OrderRollout], str]:
-    """The order in a request's body; a failure is one sentence about its first fault.
+    """Parse an order from a request's body; a failure is one sentence on the first fault found.
 
     >>> parse_order(b'{"service":"s","targetVersion":"v2","durationS":12}').unwrap().content.duration_ms
     12000
     >>> parse_order(b'{"service":"s","targetVersion":"v2","durationS":0}').failure()
-    'durationS must be a number of seconds above 0, and no more than 2592000'
+    'durationS must be a number of seconds above 0 and at most 2592000'
     """
     try:
         item = json.loads(body)
@@ -45,13 +46,15 @@
         return Failure("the body must be an object")
     for key in ("service", "targetVersion"):
         if not _is_name(item.get(key)):
-            return Failure(f"{key} must be a text of 1 to {MAXIMUM_NAME_LENGTH} characters, none of them a control one")
+            return Failure(
+                f"{key} must be a string of 1 to {MAXIMUM_NAME_LENGTH} characters, without control characters"
+            )
     duration_ms = _duration_ms(item.get("durationS"))
     if duration_ms is None:
-        longest = int(MAXIMUM_DURATION.total_seconds())
-        return Failure(f"durationS must be a number of seconds above 0, and no more than {longest}")
+        maximum_s = int(MAXIMUM_DURATION.total_seconds())
+        return Failure(f"durationS must be a number of seconds above 0 and at most {maximum_s}")
     order = OrderRollout(item["service"], item["targetVersion"], duration_ms, wall_clock_ms())
-    return Success(StateUpdate(order, judge_rollout))
+    return Success(StateUpdate(order, evaluate_rollout_update))
 
 
 def _is_name(value: Any) -> bool:
@@ -59,7 +62,7 @@
 
 
 def _duration_ms(value: Any) -> int | None:
-    """A number of seconds in milliseconds; None where it is none that an order may have."""
+    """A duration in seconds converted to milliseconds; None if it isn't valid for an order."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         return None
     if not isfinite(value) or not 0 < value <= MAXIMUM_DURATION.total_seconds():
@@ -68,7 +71,7 @@
 
 
 def newest_rollout(state: State, service: str) -> Rollout | None:
-    """The newest roll-out of a service in a committed state.
+    """Return the newest rollout of a service in a committed state, or None.
 
     >>> from .control_state import State
     >>> newest_rollout(State({}), "s")
@@ -77,19 +80,19 @@
 
 
 def description(rollout: Rollout) -> dict[str, Any]:
-    """What operators are told of a roll-out.
+    """Return a rollout's state as reported to operators.
 
     >>> from sparloom.rollouts import Rollout
     >>> description(Rollout(1, "s", "v2", 9000, 0, ("v1",)))["state"]
     'serving'
     """
-    told = {
+    body = {
         "state": rollout.status.value,
         "targetVersion": rollout.target,
         "step": rollout.step.name.lower(),
         "share": rollout.share,
     }
-    return {**told, "reason": rollout.reason} if rollout.reason else told
+    return {**body, "reason": rollout.reason} if rollout.reason else body
 
 
-NO_ROLLOUT = (HTTPStatus.NOT_FOUND, "the service has had no roll-out")
+NO_ROLLOUT = (HTTPStatus.NOT_FOUND, "the service has no rollout")
--- a/sparloom/controller/rollout_updates.py
+++ b/sparloom/controller/rollout_updates.py
@@ -1,4 +1,4 @@
-"""Changes of the roll-outs' state, judged against a committed control state; what routers are told of it. No I/O."""
+"""Evaluates rollout updates against the committed control state, and builds the routers' view of rollouts. No I/O."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
     from .control_state import State
 
 
-def judge_rollout(state: State, update: RolloutUpdate) -> Judgement:
-    """What becomes of an update upon a committed state.
+def evaluate_rollout_update(state: State, update: RolloutUpdate) -> Judgement:
+    """Return the verdict on an update against a committed state.
 
     >>> from .control_state import State
     >>> configured = State({"revision": 1, "services": [{"name": "s"}]})
-    >>> first = judge_rollout(configured, OrderRollout("s", "v2", 9000))
-    >>> first.verdict.name, judge_rollout(first.state, OrderRollout("s", "v2", 9000)).verdict.name
+    >>> first = evaluate_rollout_update(configured, OrderRollout("s", "v2", 9000))
+    >>> first.verdict.name, evaluate_rollout_update(first.state, OrderRollout("s", "v2", 9000)).verdict.name
     ('NEW', 'ALREADY_COMMITTED')
-    >>> judge_rollout(first.state, OrderRollout("s", "v3", 9000)).verdict.name
+    >>> evaluate_rollout_update(first.state, OrderRollout("s", "v3", 9000)).verdict.name
     'CONFLICT'
-    >>> judge_rollout(configured, OrderRollout("t", "v2", 9000)).fault
+    >>> evaluate_rollout_update(configured, OrderRollout("t", "v2", 9000)).fault
     'the configuration has no service t'
     """
     if isinstance(update, OrderRollout) and not state.revision:
-        # Before the first configuration nobody can tell which services there are to be.
+        # Before the first configuration the set of services is unknown.
         return Judgement(Verdict.FORGOTTEN)
     if isinstance(update, OrderRollout) and not _is_configured(state, update.service):
         return Judgement(Verdict.UNKNOWN_NAME, fault=f"the configuration has no service {update.service}")
     before = state.rollouts or RolloutsState()
     after = update.apply(before)
     if isinstance(after, Refusal):
-        verdict = Verdict.CONFLICT if after.in_the_way else Verdict.STALE
+        verdict = Verdict.CONFLICT if after.conflicting_rollout else Verdict.STALE
         return Judgement(verdict, fault=after.text)
     if after == before:
         return Judgement(Verdict.ALREADY_COMMITTED)
@@ -53,34 +53,36 @@
 
 
 def pool_of(state: RolloutsState, service: str, version: str) -> str:
-    """The pool in which a runner is listed: that of the first version bears the service's own name.
+    """The pool of a version's runners; the first version's pool has the service's own name.
 
     >>> pool_of(RolloutsState(first_versions={"s": ("v1",)}), "s", "v1")
     's'
     """
-    return service if state.is_plain(service, version) else pool_name(service, version)
+    return service if state.uses_default_pool(service, version) else pool_name(service, version)
 
 
 def in_pools(state: RolloutsState | None, runners: Iterable[Endpoint]) -> list[Endpoint]:
-    """The runners of a list that was read by version, each in its pool; ``state``: None before versions are known.
+    """Return runners that are listed by version, each assigned to its pool.
+
+    ``state`` is None until the versions are known; each runner is then in the pool of its service's name.
 
     >>> from sparloom.discovery import Endpoint
-    >>> state = RolloutsState().note_versions({"s": ("v1",)})
+    >>> state = RolloutsState().record_first_versions({"s": ("v1",)})
     >>> listed = [Endpoint(version, pool_name("s", version), "h:1", "z", 8, False, 0) for version in ("v1", "v2")]
     >>> [runner.service for runner in in_pools(state, listed)], [runner.service for runner in in_pools(None, listed)]
     (['s', 's\\x1fv2'], ['s', 's'])
     """
-    known = state or RolloutsState()
+    rollouts = state or RolloutsState()
     return [
-        runner.in_pool(pool_of(known, service_of(runner.service), version_of(runner.service))) for runner in runners
+        runner.in_pool(pool_of(rollouts, service_of(runner.service), version_of(runner.service))) for runner in runners
     ]
 
 
 def serving_runners(state: RolloutsState, runners: Iterable[Endpoint]) -> list[Endpoint]:
-    """The runners of versions that serve, each under its service's name.
+    """Return the runners of the serving versions, each under its service's name.
 
     >>> from sparloom.discovery import Endpoint
-    >>> state = RolloutsState().note_versions({"s": ("v1",)}).order("s", "v2", 9000, 0)
+    >>> state = RolloutsState().record_first_versions({"s": ("v1",)}).order("s", "v2", 9000, 0)
     >>> listed = [Endpoint(pool, pool, "h:1", "z", 8, False, 0) for pool in ("s", pool_name("s", "v2"))]
     >>> [runner.id for runner in serving_runners(state, listed)]
     ['s']
@@ -94,17 +96,17 @@
 
 
 def rollouts_addition(state: RolloutsState) -> list[dict[str, Any]]:
-    """What the feed's document tells of services whose versions matter.
+    """The addition to the feed's document: an entry for each service with a rollout or several first versions.
 
-    >>> rollouts_addition(RolloutsState().note_versions({"s": ("v1",)}))
+    >>> rollouts_addition(RolloutsState().record_first_versions({"s": ("v1",)}))
     []
-    >>> rollouts_addition(RolloutsState().note_versions({"s": ("v1", "v2")}))[0]["pools"]
+    >>> rollouts_addition(RolloutsState().record_first_versions({"s": ("v1", "v2")}))[0]["pools"]
     ['s', 's\\x1fv2']
-    >>> rollouts_addition(RolloutsState().note_versions({"s": ("v1",)}).order("s", "v2", 9000, 0))[0]["pools"]
+    >>> rollouts_addition(RolloutsState().record_first_versions({"s": ("v1",)}).order("s", "v2", 9000, 0))[0]["pools"]
     ['s']
     """
-    several = {service for service, versions in state.first_versions.items() if len(versions) > 1}
-    return [_entry(state, service) for service in sorted({*state.newest, *several})]
+    multi_version = {service for service, versions in state.first_versions.items() if len(versions) > 1}
+    return [_entry(state, service) for service in sorted({*state.newest, *multi_version})]
 
 
 def _entry(state: RolloutsState, service: str) -> dict[str, Any]:
@@ -127,5 +129,5 @@
 
 
 def _pools(state: RolloutsState, service: str, versions: Iterable[str]) -> list[str]:
-    # Before the first list the versions that serve aren't known: they are all in the plain pool.
+    # Before the first list the serving versions aren't known, and all of their runners are in the service's pool.
     return sorted({pool_of(state, service, version) for version in versions}) or [service]
--- a/sparloom/rollouts/__init__.py
+++ b/sparloom/rollouts/__init__.py
@@ -1,4 +1,4 @@
-"""Roll-outs: a new version of a service takes its requests over by steps, and a vote among watchers judges it."""
+"""Rollouts: requests move to a new version of a service step by step, as the routers' votes approve each step."""
 
 from .state import Rollout, RolloutsState, Status, Step
 
--- a/sparloom/rollouts/evidence.py
+++ b/sparloom/rollouts/evidence.py
@@ -1,4 +1,4 @@
-"""What the watchers of a roll-out have told: the newest vote of each, and what it was some seconds ago. No I/O."""
+"""Collects the watchers' votes on a rollout: their totals and the part from the last few seconds. No I/O."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
     from .records import RolloutVote
 
-# A version may turn bad late: the newest answers are judged by themselves as well, those of this time.
-WINDOW = timedelta(seconds=3)
-# A watcher that has not voted for so long is not in touch, in a small fleet.
-VOTE_VALID = timedelta(seconds=2)
+# A version may fail only after some time, so the answers of this window are also evaluated separately.
+RECENT_WINDOW = timedelta(seconds=3)
+# Time for which a watcher counts as live after its last vote; longer in large fleets, where watchers vote less often.
+VOTE_TTL = timedelta(seconds=2)
 
 
 @define(frozen=True, slots=True)
-class CellKey:
-    """Which answers are counted together; fields as ``AnswerTally`` has them."""
+class TallyKey:
+    """The key by which answers are counted; the fields have the same meaning as in ``AnswerTally``."""
 
     route: str
     trial: bool
@@ -34,7 +34,7 @@
 
 @define(frozen=True, slots=True)
 class Counts:
-    """Answers, and what became of them; fields as ``AnswerTally`` has them.
+    """Numbers of answers by outcome; the fields have the same meaning as in ``AnswerTally``.
 
     >>> Counts(3, 1) + Counts(1), Counts(3, 1) - Counts(1)
     (Counts(answers=4, failed=1, paced=0, slow=0), Counts(answers=2, failed=1, paced=0, slow=0))
@@ -56,122 +56,122 @@
         )
 
 
-Cells = dict[CellKey, Counts]
+CountsByKey = dict[TallyKey, Counts]
 
 
-def cells_of(tallies: Collection[AnswerTally]) -> Cells:
-    """Return the tallies of a vote by what is counted."""
+def from_tallies(tallies: Collection[AnswerTally]) -> CountsByKey:
+    """Return the tallies of a vote as counts by key."""
     return {
-        CellKey(tally.route, tally.trial, tally.loaded, tally.runner): Counts(
+        TallyKey(tally.route, tally.trial, tally.loaded, tally.runner): Counts(
             tally.answers, tally.failed, tally.paced, tally.slow
         )
         for tally in tallies
     }
 
 
-def tallies_of(cells: Mapping[CellKey, Counts], maximum: int) -> list[AnswerTally]:
-    """Return the tallies of a vote, the other way round; no more than ``maximum`` of them.
+def to_tallies(counts_by_key: Mapping[TallyKey, Counts], maximum: int) -> list[AnswerTally]:
+    """Return counts by key as the tallies of a vote, at most ``maximum`` of them.
 
-    >>> cells = {CellKey("r", True, False, 7): Counts(3, 1)}
-    >>> cells_of(tallies_of(cells, 9)) == cells
+    >>> counts_by_key = {TallyKey("r", True, False, 7): Counts(3, 1)}
+    >>> from_tallies(to_tallies(counts_by_key, 9)) == counts_by_key
     True
     """
     return [
         AnswerTally(
             key.route, key.trial, key.loaded, key.runner, counts.answers, counts.failed, counts.paced, counts.slow
         )
-        for key, counts in islice(cells.items(), maximum)
+        for key, counts in islice(counts_by_key.items(), maximum)
     ]
 
 
-def difference(newer: Cells, older: Mapping[CellKey, Counts]) -> Cells:
-    """Return what has come between two votes of one watcher."""
-    nothing = Counts()
-    return {key: counts - older.get(key, nothing) for key, counts in newer.items() if counts != older.get(key)}
+def subtract_counts(newer: CountsByKey, older: Mapping[TallyKey, Counts]) -> CountsByKey:
+    """Return the counts added between two votes of one watcher."""
+    zero = Counts()
+    return {key: counts - older.get(key, zero) for key, counts in newer.items() if counts != older.get(key)}
 
 
 @define(slots=True)
-class _Watcher:
-    """One run of a router's process: its votes of the last seconds, the newest last."""
+class _WatcherVotes:
+    """The newest vote of one router process, and its counts over the recent window, newest last."""
 
     vote: RolloutVote
-    heard_at: timedelta
-    cells: Cells
-    history: deque[tuple[timedelta, Cells]] = field(factory=deque)
-
-    def before_window(self, now: timedelta) -> Cells:
-        """The cells as they were when the window began."""
-        earlier: Cells = {}
-        for at, cells in self.history:
-            if at > now - WINDOW:
+    received_at: timedelta
+    counts_by_key: CountsByKey
+    history: deque[tuple[timedelta, CountsByKey]] = field(factory=deque)
+
+    def counts_at_window_start(self, now: timedelta) -> CountsByKey:
+        """The counts at the start of the recent window."""
+        earlier: CountsByKey = {}
+        for recorded_at, counts_by_key in self.history:
+            if recorded_at > now - RECENT_WINDOW:
                 break
-            earlier = cells
+            earlier = counts_by_key
         return earlier
 
 
 @define(frozen=True, slots=True)
 class Evidence:
-    """What is judged: the cells of each watcher, of all time and of the last seconds.
+    """The counts that are evaluated.
 
     Attributes
     ----------
     total, recent
-        By watcher.
+        Counts by watcher: since the start of the rollout, and in the recent window.
     """
 
-    total: dict[str, Cells]
-    recent: dict[str, Cells]
+    total: dict[str, CountsByKey]
+    recent: dict[str, CountsByKey]
 
 
 @define(slots=True)
 class VoteCollector:
-    """The votes about one roll-out, at the primary of one epoch.
+    """Collects the votes on one rollout during one epoch of the primary.
 
-    Votes hold sums since the watcher first heard of the roll-out, so a lost one
-    is contained in the next, and a new primary has all of them once each
+    Votes are cumulative since the watcher learned of the rollout: the next vote
+    makes up for a lost one, and a new primary has the full counts once each
     watcher has voted again.
 
     Attributes
     ----------
     number
-        The roll-out.
-    valid
-        A watcher that has not voted for so long is not in touch.
+        The rollout's number.
+    vote_ttl
+        Time for which a watcher counts as live after its last vote.
     """
 
     number: int
-    valid: timedelta = VOTE_VALID
-    _watchers: dict[tuple[str, int], _Watcher] = field(factory=dict)
+    vote_ttl: timedelta = VOTE_TTL
+    _watchers: dict[tuple[str, int], _WatcherVotes] = field(factory=dict)
 
     def on_vote(self, now: timedelta, vote: RolloutVote) -> None:
-        """Take a vote in; one about another roll-out, or an older one of the same watcher, changes nothing."""
+        """Record a vote; ignore one on another rollout, or one older than the watcher's newest."""
         if vote.number != self.number:
             return
         key = vote.node, vote.instance_id
         known = self._watchers.get(key)
         if known is not None and vote.sequence <= known.vote.sequence:
             return
-        cells = cells_of(vote.tallies)
-        watcher = _Watcher(vote, now, cells, known.history if known else deque())
-        watcher.history.append((now, cells))
-        while len(watcher.history) > 1 and watcher.history[1][0] <= now - WINDOW:
+        counts_by_key = from_tallies(vote.tallies)
+        watcher = _WatcherVotes(vote, now, counts_by_key, known.history if known else deque())
+        watcher.history.append((now, counts_by_key))
+        while len(watcher.history) > 1 and watcher.history[1][0] <= now - RECENT_WINDOW:
             watcher.history.popleft()
         self._watchers[key] = watcher
 
     def evidence(self, now: timedelta) -> Evidence:
-        """Return what all watchers have told, those that are gone included: what they saw has happened."""
+        """Return the counts of all watchers, including those that are gone: their observations remain valid."""
         total, recent = {}, {}
         for (node, instance_id), watcher in self._watchers.items():
             name = f"{node} {instance_id}"
-            total[name] = watcher.cells
-            recent[name] = difference(watcher.cells, watcher.before_window(now))
+            total[name] = watcher.counts_by_key
+            recent[name] = subtract_counts(watcher.counts_by_key, watcher.counts_at_window_start(now))
         return Evidence(total, recent)
 
     def loaded_answers(self) -> Counts:
-        """Return the answers of busy runners of the new version."""
+        """Return the counts of answers from loaded runners of the new version."""
         loaded = Counts()
         for watcher in self._watchers.values():
-            for key, counts in watcher.cells.items():
+            for key, counts in watcher.counts_by_key.items():
                 if key.trial and key.loaded:
                     loaded += counts
         return loaded
@@ -180,18 +180,18 @@
         """Return the newest vote of each watcher."""
         return [watcher.vote for watcher in self._watchers.values()]
 
-    def in_touch(self, now: timedelta) -> Iterator[tuple[tuple[str, int], RolloutVote]]:
-        """Yield the watchers that have voted of late, by key and instance, with their votes."""
+    def live_votes(self, now: timedelta) -> Iterator[tuple[tuple[str, int], RolloutVote]]:
+        """Yield the key and instance of each live watcher with its newest vote."""
         for key, watcher in self._watchers.items():
-            if now - watcher.heard_at <= self.valid:
+            if now - watcher.received_at <= self.vote_ttl:
                 yield key, watcher.vote
 
-    def has_majority(self, now: timedelta, routers: Collection[tuple[str, int]]) -> bool:
-        """Return whether more than half of these runs of routers have voted of late."""
-        heard = {key for key, _ in self.in_touch(now)}
-        return bool(routers) and 2 * len(heard.intersection(routers)) > len(routers)
+    def has_quorum(self, now: timedelta, routers: Collection[tuple[str, int]]) -> bool:
+        """Return whether more than half of these router processes have a live vote."""
+        live = {key for key, _ in self.live_votes(now)}
+        return bool(routers) and 2 * len(live.intersection(routers)) > len(routers)
 
-    def base_is_empty(self, now: timedelta, step: int, routers: Collection[tuple[str, int]]) -> bool:
-        """Return whether each of these runs of routers goes by a step and has nothing at the old version."""
-        empty = {key for key, vote in self.in_touch(now) if vote.step >= step and not vote.base_in_flight}
-        return bool(routers) and empty.issuperset(routers)
+    def is_base_drained(self, now: timedelta, step: int, routers: Collection[tuple[str, int]]) -> bool:
+        """Return whether each of these router processes has reached the step with no request at the old version."""
+        drained = {key for key, vote in self.live_votes(now) if vote.step >= step and not vote.base_in_flight}
+        return bool(routers) and drained.issuperset(routers)
--- a/sparloom/rollouts/exposure.py
+++ b/sparloom/rollouts/exposure.py
@@ -1,11 +1,11 @@
-"""A router's part of the exposure: which of its requests go to the version that is on trial. No I/O.
-
-Each request of a service adds the share of the step to a router's tokens, and
-each that goes to the new version takes one, so the fleet's sum keeps to the
-share whatever the others do. Which requests go there is drawn by route, by the
-square root of its traffic: a rare route is seen often enough to be judged,
-while a busy one is not left out. A router that isn't sure that the step is
-still in force exposes nothing.
+"""Decides in each router which requests go to the new version of a rollout. No I/O.
+
+A token bucket per router limits exposure: each request of the service adds the
+step's share to the tokens, and each request sent to the new version takes one.
+The fleet as a whole thus stays within the share without coordination. Requests
+are drawn by route, in proportion to the square root of the route's traffic:
+rare routes yield enough answers to be evaluated, and busy routes are still
+covered. A router exposes nothing unless it knows that the step is in force.
 """
 
 from __future__ import annotations
@@ -21,21 +21,23 @@
     from collections.abc import Sequence
     from random import Random
 
-# After the last confirmation that its configuration is the newest, a router exposes for so long.
-LEASE = timedelta(seconds=1)
-# Unused tokens: more are lost.
+# A router exposes requests for this time after the last confirmation that its configuration is the newest.
+EXPOSURE_LEASE = timedelta(seconds=1)
+# Upper limit of a router's unused tokens; more are discarded.
 MAXIMUM_TOKENS = 2.0
-# Requests are drawn more often than tokens come.
-DRAW_FACTOR = 6.0
-# Each router begins with so many tokens besides, as long as all together take no more than this part of the slack.
-FIRST_TOKENS = 0.5
-FIRST_SLACK_PART = 0.5
-# In a large fleet only about so many routers watch, each with a larger share of its own requests,
-MAXIMUM_WATCHERS = 100
-# which is at most this.
-MAXIMUM_OWN_SHARE = 0.5
-# For how long one runner after the other is kept busy.
-FOCUS_TIME = timedelta(milliseconds=1250)
+# Requests are drawn this many times as often as tokens arrive, since draws without a token have no effect.
+OVERSAMPLING_FACTOR = 6.0
+# Upper limit of a router's extra tokens at the start of a rollout.
+MAXIMUM_INITIAL_EXTRA_TOKENS = 0.5
+# Upper limit of the extra tokens of all watchers together, as a fraction of the exposure slack.
+INITIAL_SLACK_FRACTION = 0.5
+# Number of routers up to which all are watchers; a larger fleet has about this many, chosen by hash, each of
+# which exposes a larger share of its own requests.
+TARGET_WATCHERS = 100
+# Upper limit of the raised share that a watcher of a large fleet exposes of its own requests.
+MAXIMUM_WATCHER_SHARE = 0.5
+# Time for which one runner is loaded before the next one takes its turn.
+LOADED_RUNNER_PERIOD = timedelta(milliseconds=1250)
 
 
 def _hash(*parts: object) -> int:
@@ -43,93 +45,93 @@
 
 
 def is_watcher(number: int, router: str, routers: int) -> bool:
-    """Whether a router is one of a roll-out's watchers: all are in a small fleet, a random part in a large one.
+    """Whether a router is a watcher of a rollout: in a small fleet each router is, in a large one a random subset.
 
-    Nobody has to agree on it: the roll-out's number and the router's name tell.
+    The result depends only on the rollout's number and the router's name, so it needs no coordination.
 
     >>> is_watcher(1, "h:1", 100)
     True
     >>> 60 < sum(is_watcher(1, f"h:{n}", 1000) for n in range(1000)) < 140
     True
     """
-    return routers <= MAXIMUM_WATCHERS or _hash(number, router) * routers < MAXIMUM_WATCHERS << 64
+    return routers <= TARGET_WATCHERS or _hash(number, router) * routers < TARGET_WATCHERS << 64
 
 
-def own_share(share: float, routers: int) -> float:
-    """Return a watcher's share of its own requests, so that all watchers together keep to the step's.
+def watcher_share(share: float, routers: int) -> float:
+    """Return the share of its own requests that a watcher exposes, so that the fleet as a whole meets ``share``.
 
-    >>> own_share(0.08, 50), own_share(0.08, 200), own_share(1.0, 1000)
+    >>> watcher_share(0.08, 50), watcher_share(0.08, 200), watcher_share(1.0, 1000)
     (0.08, 0.16, 1.0)
     """
-    if routers <= MAXIMUM_WATCHERS or share >= MAXIMUM_OWN_SHARE:
+    if routers <= TARGET_WATCHERS or share >= MAXIMUM_WATCHER_SHARE:
         return share
-    return min(MAXIMUM_OWN_SHARE, share * routers / MAXIMUM_WATCHERS)
+    return min(MAXIMUM_WATCHER_SHARE, share * routers / TARGET_WATCHERS)
 
 
-def first_tokens(slack: float, routers: int) -> float:
-    """Return how many tokens a watcher begins with besides, where so many requests may be exposed beyond the share.
+def initial_extra_tokens(slack: float, routers: int) -> float:
+    """Return a watcher's extra tokens at the start, given the requests that may be exposed beyond the share.
 
-    >>> first_tokens(50, 20), first_tokens(50, 1000)
+    >>> initial_extra_tokens(50, 20), initial_extra_tokens(50, 1000)
     (0.5, 0.25)
     """
-    return min(FIRST_TOKENS, slack * FIRST_SLACK_PART / max(1, min(routers, MAXIMUM_WATCHERS)))
+    return min(MAXIMUM_INITIAL_EXTRA_TOKENS, slack * INITIAL_SLACK_FRACTION / max(1, min(routers, TARGET_WATCHERS)))
 
 
 @define(slots=True)
 class ExposureTokens:
-    """The tokens of one router for one roll-out, and how often each route is asked for.
+    """A router's token bucket for one rollout, and its request counts by route.
 
     Attributes
     ----------
     random
-        Draws which requests are exposed. It also draws with how many tokens a router begins: a part of one, so that
-        routers don't act all at once, and their sum keeps to the share from the first request on.
-    first_tokens
-        Tokens that it begins with besides, see ``first_tokens``.
+        Draws the requests that are exposed. It also draws a fraction of a token for the start, so that routers do not
+        all expose a request at once, and the fleet stays within the share from the first request on.
+    initial_extra_tokens
+        Extra tokens at the start; see the function ``initial_extra_tokens``.
     """
 
     random: Random
-    first_tokens: float = 0.0
+    initial_extra_tokens: float = 0.0
     _tokens: float = 0.0
     _requests: dict[str, int] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        self._tokens = self.random.random() + self.first_tokens
+        self._tokens = self.random.random() + self.initial_extra_tokens
 
     def on_request(self, route: str, share: float) -> None:
-        """Note a request of a route, at a step's share."""
+        """Count a request of a route, and add the step's share to the tokens."""
         self._requests[route] = self._requests.get(route, 0) + 1
         self._tokens = min(MAXIMUM_TOKENS, self._tokens + share)
 
-    def take(self, route: str, share: float) -> bool:
-        """Draw whether a request of a route is exposed; a token is taken for one that is."""
-        if self._tokens < 1.0 or self.random.random() >= self._odds(route, share):
+    def try_consume(self, route: str, share: float) -> bool:
+        """Draw whether a request of a route is exposed; take a token if it is."""
+        if self._tokens < 1.0 or self.random.random() >= self._draw_probability(route, share):
             return False
         self._tokens -= 1.0
         return True
 
-    def _odds(self, route: str, share: float) -> float:
-        """The part of a route's requests that is exposed; a little more, since draws without a token are lost."""
+    def _draw_probability(self, route: str, share: float) -> float:
+        """The probability that a request is drawn, raised since draws without a token have no effect."""
         roots = {name: sqrt(count) for name, count in self._requests.items()}
-        part = roots.get(route, 1.0) / max(1.0, sum(roots.values()))
-        return DRAW_FACTOR * share * part * sum(self._requests.values()) / self._requests.get(route, 1)
+        route_weight = roots.get(route, 1.0) / max(1.0, sum(roots.values()))
+        return OVERSAMPLING_FACTOR * share * route_weight * sum(self._requests.values()) / self._requests.get(route, 1)
 
-    def give_back(self) -> None:
-        """Give a token back whose request could not go to the new version."""
+    def refund(self) -> None:
+        """Return the token of a request that could not be sent to the new version."""
         self._tokens = min(MAXIMUM_TOKENS, self._tokens + 1.0)
 
 
-def focus_runner(runners: Sequence[str], number: int, step_age: timedelta) -> str | None:
-    """Return the runner that all are to send to now, of a sequence of ids; they take turns.
+def loaded_runner(runners: Sequence[str], number: int, step_age: timedelta) -> str | None:
+    """Return the runner that is loaded at present, of a sequence of runner ids; the runners take turns.
 
-    Routers that see the same runners and the step at the same time name the same one.
+    Routers that know the same runners and the same start of the step select the same one.
 
     >>> second = timedelta(seconds=1)
-    >>> names = {focus_runner(["a", "b"], 1, n * second) for n in range(8)}
-    >>> sorted(names), focus_runner([], 1, second)
+    >>> names = {loaded_runner(["a", "b"], 1, n * second) for n in range(8)}
+    >>> sorted(names), loaded_runner([], 1, second)
     (['a', 'b'], None)
     """
     if not runners:
         return None
     ranked = sorted(runners, key=lambda runner: _hash(number, runner))
-    return ranked[int(step_age / FOCUS_TIME) % len(ranked)]
+    return ranked[int(step_age / LOADED_RUNNER_PERIOD) % len(ranked)]
--- a/sparloom/rollouts/pace.py
+++ b/sparloom/rollouts/pace.py
@@ -1,9 +1,9 @@
-"""How fast answers come, and how fast the old version's came lately on the same route. No I/O.
+"""Measures the pace of answers and compares it with the old version's recent pace on the same route. No I/O.
 
-The pace of a stream is the time between two of its parts: unlike the time to
-the first one it does not depend on how much of the prompt a runner has cached,
-and a new version's runners have cached nothing yet. For an answer that is no
-stream it is the whole time.
+The pace of a stream is the mean time between two chunks. Unlike the time to the
+first chunk, it does not depend on how much of the prompt is in a runner's cache,
+and the caches of a new version's runners are still empty. The pace of an answer
+that is not a stream is its total latency.
 """
 
 from __future__ import annotations
@@ -17,62 +17,64 @@
 if TYPE_CHECKING:
     from datetime import timedelta
 
-# An answer is slow at so many times the old version's median.
+# An answer is slow if its pace exceeds this multiple of the old version's median.
 SLOW_FACTOR = 2.5
-# Of a stream with fewer parts the pace isn't known.
-MINIMUM_PARTS = 3
-# A median is of so many answers at most, and of so many at least.
-REMEMBERED = 64
-MINIMUM_REMEMBERED = 8
+# Minimum number of chunks from which the pace of a stream is computed.
+MINIMUM_CHUNKS = 3
+# Number of recent paces per route that the median is computed from.
+MAXIMUM_SAMPLES = 64
+# Minimum number of recent paces per route for a median.
+MINIMUM_SAMPLES = 8
 
 
-def pace_of(
-    asked_at: timedelta, first_at: timedelta | None, last_at: timedelta | None, parts: int, streamed: bool
+def measure_pace(
+    sent_at: timedelta, first_chunk_at: timedelta | None, last_chunk_at: timedelta | None, chunks: int, is_stream: bool
 ) -> timedelta | None:
-    """Return an answer's pace so far; None while it isn't known.
+    """Return the pace of an answer so far; None while it can't be computed.
 
     Parameters
     ----------
-    asked_at
+    sent_at
         When the request was sent.
-    first_at, last_at, parts
-        When the first and the last part came, and how many.
-    streamed
-        Whether it is a stream.
+    first_chunk_at, last_chunk_at, chunks
+        When the first and the last chunk arrived, and the number of chunks.
+    is_stream
+        Whether the answer is a stream.
 
     >>> from datetime import timedelta
     >>> second = timedelta(seconds=1)
-    >>> pace_of(0 * second, 5 * second, 9 * second, 3, True), pace_of(0 * second, 5 * second, 9 * second, 3, False)
-    (datetime.timedelta(seconds=2), datetime.timedelta(seconds=9))
+    >>> measure_pace(0 * second, 5 * second, 9 * second, 3, True)
+    datetime.timedelta(seconds=2)
+    >>> measure_pace(0 * second, 5 * second, 9 * second, 3, False)
+    datetime.timedelta(seconds=9)
     """
-    if first_at is None or last_at is None:
+    if first_chunk_at is None or last_chunk_at is None:
         return None
-    if not streamed:
-        return last_at - asked_at
-    return (last_at - first_at) / (parts - 1) if parts >= MINIMUM_PARTS else None
+    if not is_stream:
+        return last_chunk_at - sent_at
+    return (last_chunk_at - first_chunk_at) / (chunks - 1) if chunks >= MINIMUM_CHUNKS else None
 
 
 @define(slots=True)
-class PaceReference:
-    """The paces of the old version's answers of late, by route.
+class PaceBaseline:
+    """The recent paces of the old version's answers, by route.
 
     >>> from datetime import timedelta
-    >>> reference, ms = PaceReference(), timedelta(milliseconds=1)
-    >>> for _ in range(8): reference.add("r", 30 * ms)
-    >>> reference.is_slow("r", 70 * ms), reference.is_slow("r", 80 * ms), reference.is_slow("q", 80 * ms)
+    >>> baseline, ms = PaceBaseline(), timedelta(milliseconds=1)
+    >>> for _ in range(8): baseline.add("r", 30 * ms)
+    >>> baseline.is_slow("r", 70 * ms), baseline.is_slow("r", 80 * ms), baseline.is_slow("q", 80 * ms)
     (False, True, None)
     """
 
-    # In seconds.
-    _paces: dict[str, deque[float]] = field(factory=dict)
+    _paces_s: dict[str, deque[float]] = field(factory=dict)
 
     def add(self, route: str, pace: timedelta) -> None:
-        """Note the pace of an answer of the old version."""
-        self._paces.setdefault(route, deque(maxlen=REMEMBERED)).append(pace.total_seconds())
+        """Record the pace of an answer of the old version."""
+        self._paces_s.setdefault(route, deque(maxlen=MAXIMUM_SAMPLES)).append(pace.total_seconds())
 
     def is_slow(self, route: str, pace: timedelta) -> bool | None:
-        """Return whether a pace is several times that of the old version; None where that isn't known."""
-        known = self._paces.get(route, ())
-        if len(known) < MINIMUM_REMEMBERED:
+        """Return whether a pace is slow compared with the old version; None if there are too few samples."""
+        samples_s = self._paces_s.get(route, ())
+        if len(samples_s) < MINIMUM_SAMPLES:
             return None
-        return pace.total_seconds() > median(known) * SLOW_FACTOR
+        return pace.total_seconds() > median(samples_s) * SLOW_FACTOR
--- a/sparloom/rollouts/plan.py
+++ b/sparloom/rollouts/plan.py
@@ -1,8 +1,8 @@
-"""The way of a roll-out from step to step: what the primary is to commit next. No I/O.
+"""Decides the next step of a rollout, for the primary to commit. No I/O.
 
-Most of the time is left for watching, since a version may turn bad late. A
-version that could not be shown good in time is rolled back before the
-operators' time is over: an undecided one must not stay.
+Most of the duration is spent on observation, since a version may fail only
+after some time. A version that is not accepted in time is rolled back before
+the operators' deadline: a rollout must not end undecided.
 """
 
 from __future__ import annotations
@@ -18,39 +18,43 @@
 
 if TYPE_CHECKING:
     from .state import Rollout
-    from .verdict import Judgement
-
-# Of the exposure that is allowed, the part that is made use of.
-SHARE_PART = 0.8
-# and that which must not be gone beyond for a while either.
-ALLOWED_PART = 0.9
-# Before this part of the duration no version is taken for good.
-WATCH_PART = 0.4
-# After this part, or so long before its end, one that has not been shown good is rolled back.
-GIVE_UP_PART = 0.9
-GIVE_UP_BEFORE = timedelta(milliseconds=1500)
-# A runner under load is kept this full,
-LOAD_PART = 0.9
-# by no more than this part of all requests,
-LOAD_MAXIMUM_SHARE = 0.7
-# for at least and at most so long.
-LOAD_TIME = timedelta(milliseconds=2500)
-LOAD_LIMIT = timedelta(milliseconds=3500)
-# The share of the new version before it takes all, and for how long.
+    from .verdict import VoteResult
+
+# Fraction of the allowed exposure share that the probe step uses.
+PROBE_SHARE_FRACTION = 0.8
+# Fraction of the exposure limit up to which requests may be exposed; the rest covers exposure not yet reported.
+EXPOSURE_SAFETY_FRACTION = 0.9
+# Fraction of the duration before which no version is accepted.
+MINIMUM_WATCH_FRACTION = 0.4
+# Fraction of the duration after which a version that was not accepted is rolled back.
+ROLLBACK_FRACTION = 0.9
+# Time before the end of the duration at which a version that was not accepted is rolled back at the latest, unless
+# less than half of the duration has passed.
+ROLLBACK_MARGIN = timedelta(milliseconds=1500)
+# Fraction of its slots to which the load step fills one runner.
+TARGET_SLOT_UTILIZATION = 0.9
+# Upper limit of the share of all requests that the load step uses.
+MAXIMUM_LOAD_SHARE = 0.7
+# Minimum duration of the load step.
+MINIMUM_LOAD_DURATION = timedelta(milliseconds=2500)
+# Time after which the load step falls back to the probe share.
+MAXIMUM_LOAD_DURATION = timedelta(milliseconds=3500)
+# Share of the new version in the grow step, the last one before it takes all requests.
 GROW_SHARE = 0.5
-GROW_TIME = timedelta(milliseconds=800)
+# Minimum duration of the grow step.
+MINIMUM_GROW_DURATION = timedelta(milliseconds=800)
 
 
 @define(frozen=True, slots=True)
-class Exposure:
-    """How many requests a version that isn't known to be good may be sent.
+class ExposureLimit:
+    """Upper limit of the requests that are sent to a version before it is accepted.
 
     Attributes
     ----------
     share
-        This part of the requests of its service,
+        Fraction of the service's requests that may be exposed.
     slack
-        and so many more.
+        Number of requests that may be exposed in addition.
     """
 
     share: float = 0.1
@@ -58,44 +62,44 @@
 
     @property
     def probe_share(self) -> float:
-        """The share of the first step."""
-        return self.share * SHARE_PART
+        """The share of the probe step."""
+        return self.share * PROBE_SHARE_FRACTION
 
     def allows(self, sent: float, exposed: float) -> bool:
-        """Return whether so many of the requests may have been exposed; some are kept back for what isn't told yet.
+        """Return whether this many requests may be exposed; a margin is left for exposure not yet reported.
 
-        >>> Exposure(0.1, 50).allows(1000, 135), Exposure(0.1, 50).allows(1000, 140)
+        >>> ExposureLimit(0.1, 50).allows(1000, 135), ExposureLimit(0.1, 50).allows(1000, 140)
         (True, False)
         """
-        return exposed <= (self.share * sent + self.slack) * ALLOWED_PART
+        return exposed <= (self.share * sent + self.slack) * EXPOSURE_SAFETY_FRACTION
 
 
 @define(frozen=True, slots=True)
 class Progress:
-    """What the primary knows of a roll-out now.
+    """The primary's present view of a rollout.
 
     Attributes
     ----------
     elapsed
         Time since the order.
     step_age
-        For how long the present step and share have been committed, as far as this primary knows.
+        Time since the present step and share were committed, as far as this primary knows.
     runners
-        Runners of the new version that are listed and take requests.
+        Number of listed runners of the new version that are not draining.
     slots
-        Requests that one of them works on at once; 0 where unknown.
+        Concurrent requests of the largest of these runners; 0 if unknown.
     sent, exposed
-        Requests of the service since the order, and those of them that went to the new version.
+        Requests of the service since the order, and those of them sent to the new version.
     sent_per_s
-        Requests of the service in a second.
+        Requests of the service per second.
     in_flight
-        Requests at the service's runners.
-    watched
-        Whether a majority of the routers has voted of late.
-    base_is_empty
-        Whether all routers go by the last step and have nothing at the old version.
-    judgement
-        The outcome of the vote.
+        Requests in flight at the service's runners.
+    has_quorum
+        Whether a majority of the watchers has voted recently.
+    base_drained
+        Whether all routers have reached the last step and have no request in flight at the old version.
+    vote_result
+        The result of the watchers' votes.
     """
 
     elapsed: timedelta
@@ -106,71 +110,76 @@
     exposed: int
     sent_per_s: float
     in_flight: int
-    watched: bool
-    base_is_empty: bool
-    judgement: Judgement
-
-
-def next_update(rollout: Rollout, progress: Progress, exposure: Exposure) -> AdvanceRollout | EndRollout | None:
-    """Return what is to be committed now; None while there is nothing to do but watch."""
-    judgement = progress.judgement
-    if judgement.ruling is Ruling.REJECTED:
-        return EndRollout(rollout.number, Status.ROLLED_BACK, judgement.reason)
+    has_quorum: bool
+    base_drained: bool
+    vote_result: VoteResult
+
+
+def next_update(
+    rollout: Rollout, progress: Progress, exposure_limit: ExposureLimit
+) -> AdvanceRollout | EndRollout | None:
+    """Return the update to commit now; None if the rollout stays as it is."""
+    vote_result = progress.vote_result
+    if vote_result.ruling is Ruling.REJECTED:
+        return EndRollout(rollout.number, Status.ROLLED_BACK, vote_result.reason)
     if rollout.step is Step.FULL:
-        if not progress.base_is_empty:
+        if not progress.base_drained:
             return None
         return EndRollout(rollout.number, Status.COMPLETED, Ruling.ACCEPTED.value)
-    if _is_late(rollout, progress.elapsed):
-        return EndRollout(rollout.number, Status.ROLLED_BACK, _not_shown_good(rollout, progress))
+    if _past_rollback_deadline(rollout, progress.elapsed):
+        return EndRollout(rollout.number, Status.ROLLED_BACK, _timeout_reason(rollout, progress))
     if rollout.share == 0:
-        return _advance(rollout, Step.PROBE, exposure.probe_share) if progress.runners else None
-    if rollout.step is Step.LOAD and progress.step_age >= LOAD_LIMIT and rollout.share > exposure.probe_share:
-        return _advance(rollout, Step.LOAD, exposure.probe_share)
-    if judgement.ruling is not Ruling.ACCEPTED or not progress.watched:
+        return _advance(rollout, Step.PROBE, exposure_limit.probe_share) if progress.runners else None
+    if (
+        rollout.step is Step.LOAD
+        and progress.step_age >= MAXIMUM_LOAD_DURATION
+        and rollout.share > exposure_limit.probe_share
+    ):
+        return _advance(rollout, Step.LOAD, exposure_limit.probe_share)
+    if vote_result.ruling is not Ruling.ACCEPTED or not progress.has_quorum:
         return None
-    return _next_step(rollout, progress, exposure)
+    return _next_step(rollout, progress, exposure_limit)
 
 
-def _not_shown_good(rollout: Rollout, progress: Progress) -> str:
-    """Why a version is rolled back that nothing speaks against."""
-    lacking = progress.judgement.reason
-    if not lacking and not progress.watched:
-        lacking = "votes of a majority of the watchers"
-    elif not lacking:
-        lacking = "time" if rollout.step is Step.GROW else "answers of a busy runner"
-    return f"the version could not be shown good in time; at step {rollout.step.name.lower()} was lacking: {lacking}"
+def _timeout_reason(rollout: Rollout, progress: Progress) -> str:
+    """The reason for a rollback of a version that was neither accepted nor rejected."""
+    missing = progress.vote_result.reason
+    if not missing and not progress.has_quorum:
+        missing = "votes of a majority of the watchers"
+    elif not missing:
+        missing = "time" if rollout.step is Step.GROW else "answers of a busy runner"
+    return f"the version could not be shown good in time; at step {rollout.step.name.lower()} was lacking: {missing}"
 
 
-def _is_late(rollout: Rollout, elapsed: timedelta) -> bool:
+def _past_rollback_deadline(rollout: Rollout, elapsed: timedelta) -> bool:
     duration = timedelta(milliseconds=rollout.duration_ms)
-    return elapsed >= min(duration * GIVE_UP_PART, max(duration - GIVE_UP_BEFORE, duration / 2))
+    return elapsed >= min(duration * ROLLBACK_FRACTION, max(duration - ROLLBACK_MARGIN, duration / 2))
 
 
-def _next_step(rollout: Rollout, progress: Progress, exposure: Exposure) -> AdvanceRollout | None:
-    """The step after the present one, where that has lasted long enough."""
+def _next_step(rollout: Rollout, progress: Progress, exposure_limit: ExposureLimit) -> AdvanceRollout | None:
+    """The update to the next step; None if the present one must go on."""
     if rollout.step is Step.GROW:
-        return _advance(rollout, Step.FULL, 1.0) if progress.step_age >= GROW_TIME else None
-    if progress.elapsed < timedelta(milliseconds=rollout.duration_ms) * WATCH_PART:
+        return _advance(rollout, Step.FULL, 1.0) if progress.step_age >= MINIMUM_GROW_DURATION else None
+    if progress.elapsed < timedelta(milliseconds=rollout.duration_ms) * MINIMUM_WATCH_FRACTION:
         return None
-    loaded = progress.judgement.accepted_under_load or not progress.slots
-    if loaded and (rollout.step is Step.PROBE or progress.step_age >= LOAD_TIME):
+    load_accepted = progress.vote_result.accepted_under_load or not progress.slots
+    if load_accepted and (rollout.step is Step.PROBE or progress.step_age >= MINIMUM_LOAD_DURATION):
         return _advance(rollout, Step.GROW, GROW_SHARE)
     if rollout.step is Step.PROBE:
-        share = load_share(progress, exposure)
+        share = load_share(progress, exposure_limit)
         return _advance(rollout, Step.LOAD, share) if share else None
     return None
 
 
-def load_share(progress: Progress, exposure: Exposure) -> float:
-    """Return the share that keeps one runner busy; 0 where more would be exposed than is allowed.
+def load_share(progress: Progress, exposure_limit: ExposureLimit) -> float:
+    """Return the share that loads one runner of the new version; 0 if it would exceed the exposure limit.
 
-    As many requests are to be at that runner as it works on at once, of all
-    that are at runners now.
+    The share is the runner's target load as a fraction of all requests in flight.
     """
-    wanted = LOAD_PART * progress.slots / max(1, progress.in_flight)
-    share = min(LOAD_MAXIMUM_SHARE, max(exposure.probe_share, wanted))
-    requests = progress.sent_per_s * LOAD_LIMIT.total_seconds()
-    allowed = exposure.allows(progress.sent + requests, progress.exposed + share * requests)
+    target_share = TARGET_SLOT_UTILIZATION * progress.slots / max(1, progress.in_flight)
+    share = min(MAXIMUM_LOAD_SHARE, max(exposure_limit.probe_share, target_share))
+    requests = progress.sent_per_s * MAXIMUM_LOAD_DURATION.total_seconds()
+    allowed = exposure_limit.allows(progress.sent + requests, progress.exposed + share * requests)
     return share if allowed else 0.0
 
 
--- a/sparloom/rollouts/records.py
+++ b/sparloom/rollouts/records.py
@@ -1,6 +1,6 @@
-"""A watcher's vote, by datagram to the primary: what its requests met at the new version and at the old one.
+"""A watcher's vote, sent by datagram to the primary: its counts of answers from the new and the old version.
 
-Tags, order and kinds of the fields are the wire format: they never change.
+Tags, order and types of the fields are the wire format and must not change.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 @record(140)
 class AnswerTally(Record):
-    """The answers of one kind that a router has had since it first heard of a roll-out.
+    """A router's answers of one kind since it learned of a rollout.
 
     Attributes
     ----------
@@ -19,17 +19,17 @@
     trial
         Whether the runner ran the new version.
     loaded
-        Whether at least half of the runner's slots were taken when the request was sent.
+        Whether the runner was under load when the request was sent, by the router's ``LOADED_SLOT_FRACTION``.
     runner
         The runner's number in the gossip; 0 for all runners of the old version together.
     answers
-        Answers that ended, well or not; without those that the runner did not run.
+        Answers that ended, whether complete or failed, except for requests that the runner did not run.
     failed
-        Those that failed: a 5xx of the runner, a broken or spoilt answer, none by the deadline.
+        Answers that failed: a 5xx from the runner, a broken or corrupt answer, or none by the deadline.
     paced
-        Answers whose pace could be compared.
+        Answers whose pace could be compared with the old version's.
     slow
-        Those that came several times slower than the old version's.
+        Answers whose pace was a multiple of the old version's.
     """
 
     route: str
@@ -44,32 +44,32 @@
 
 @record(141)
 class RolloutVote(Record):
-    """All that one router has seen of a roll-out; a later vote of the same run replaces an earlier one.
+    """A router's observations of a rollout; each vote replaces the earlier ones of the same process.
 
     Attributes
     ----------
     node
         The router's internal HOST:PORT.
     instance_id
-        Random for each run of the router's process.
+        Random for each router process.
     number
-        The roll-out.
+        The rollout's number.
     epoch
-        Epoch of the configuration by which the router goes.
+        Epoch of the configuration in force at the router.
     step
-        The roll-out's step by that configuration.
+        The rollout's step in that configuration.
     sequence
-        Counts the votes of the process about this roll-out, from 1.
+        Number of the vote among the process's votes on this rollout, from 1.
     sent
-        Requests that were sent to runners of the service, of either version.
+        Requests sent to runners of the service, of either version.
     exposed
-        Those of them that were sent to the new version.
+        Requests sent to the new version.
     in_flight
-        Requests that are at runners of the service now.
+        Requests in flight at runners of the service.
     base_in_flight
-        Those of them that are at runners of the old version.
+        Requests in flight at runners of the old version.
     tallies
-        The answers.
+        The router's counts of answers.
     """
 
     node: str
--- a/sparloom/rollouts/state.py
+++ b/sparloom/rollouts/state.py
@@ -1,8 +1,8 @@
-"""The durable state of the roll-outs: which versions serve, what was ordered, how far it is, and its verdict.
+"""The durable state of rollouts: serving versions, orders, steps and verdicts.
 
 It is part of the control state. An order, each step and each verdict are
-committed here before anybody is told. A roll-out is decided once: no update
-applies to one that has ended.
+committed here before anyone is notified. A rollout is decided once: no update
+applies after it has ended.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Status(Enum):
-    """What the operators are told of a roll-out; the values are the wire's."""
+    """The state of a rollout as reported to operators; the values are part of the wire format."""
 
     SERVING = "serving"
     COMPLETED = "completed"
@@ -25,40 +25,40 @@
 
 
 class Step(IntEnum):
-    """How far the new version has come; the numbers are stored and go out on the wire."""
+    """The step of a rollout; the numbers are stored and sent on the wire."""
 
-    PROBE = 0  # a small part of the requests, over all runners of the version
-    LOAD = 1  # about as many, all at one runner at a time, so that it is as busy as it may ever be
-    GROW = 2  # a large part
-    FULL = 3  # all new requests; the old version ends what it has
+    PROBE = 0  # a small share of the requests, spread over all runners of the new version
+    LOAD = 1  # about the same share, sent to one runner at a time to reach its full load
+    GROW = 2  # a large share
+    FULL = 3  # all new requests; the old version finishes the requests it has
 
 
 @define(frozen=True, slots=True)
 class Rollout:
-    """One order to move a service's requests to another version, and what has become of it.
+    """An order to move a service's requests to another version, and its progress.
 
     Attributes
     ----------
     number
-        Tells it from all others; they rise.
+        Unique number; later rollouts have higher numbers.
     service
         The service.
     target
-        The version that its requests are to move to.
+        The version that the requests move to.
     duration_ms
-        Within this time of the order it is to be done.
+        Time from the order within which the rollout must end.
     ordered_at_ms
-        Wall clock of the primary that took the order, in milliseconds since 1970; it may have jumped since.
+        Wall clock of the primary that took the order, in milliseconds since 1970; the clock may jump afterwards.
     base
-        The versions that served when it was ordered.
+        The versions that served at the time of the order.
     status
-        What operators are told.
+        The state as reported to operators.
     step
-        How far it has come.
+        The present step.
     share
-        The part of the requests that goes to the new version.
+        Fraction of the requests sent to the new version.
     reason
-        Why it has ended, in one sentence; "" before.
+        Why it ended, in one sentence; "" while it is in progress.
     """
 
     number: int
@@ -74,16 +74,16 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether it is under way."""
+        """Whether it is in progress."""
         return self.status is Status.SERVING
 
     def serving_versions(self) -> tuple[str, ...]:
-        """Return the versions that requests go to, but for those that try the new one."""
+        """Return the versions that serve requests, apart from the requests exposed to the new version."""
         takes_all = self.status is Status.COMPLETED or (self.is_serving and self.step is Step.FULL)
         return (self.target,) if takes_all else self.base
 
     def to_json(self) -> list[Any]:
-        """Return the roll-out as a JSON list."""
+        """Return the rollout as a JSON list."""
         return [
             self.number,
             self.service,
@@ -99,7 +99,7 @@
 
     @classmethod
     def from_json(cls, item: list[Any]) -> Rollout:
-        """Return the roll-out in a JSON list that ``to_json`` has made."""
+        """Return the rollout from a JSON list made by ``to_json``."""
         number, service, target, duration_ms, ordered_at_ms, base, status, step, share, reason = item
         return cls(
             number,
@@ -117,20 +117,20 @@
 
 @define(frozen=True, slots=True)
 class RolloutsState:
-    """All that is decided about versions of services.
+    """All decisions on versions of services.
 
     Attributes
     ----------
     next_number
-        The number of the next roll-out.
+        The number of the next rollout.
     collector
-        HOST:PORT of the primary that takes the watchers' votes; "" before the first claim.
+        HOST:PORT of the primary that collects the watchers' votes; "" before the first claim.
     first_versions
-        For each service the versions that were listed first; runners of any other serve only by a roll-out.
+        The versions in the first list of each service; runners of other versions serve only through a rollout.
     newest
-        The newest roll-out of each service that has had one.
+        The newest rollout of each service that has had one.
 
-    >>> state = RolloutsState().note_versions({"s": ("v1",)}).order("s", "v2", 9000, 0)
+    >>> state = RolloutsState().record_first_versions({"s": ("v1",)}).order("s", "v2", 9000, 0)
     >>> state.newest["s"].number, RolloutsState.from_json(state.to_json()) == state
     (1, True)
     """
@@ -141,20 +141,20 @@
     newest: dict[str, Rollout] = field(factory=dict)
 
     def serving_versions(self, service: str) -> tuple[str, ...]:
-        """Return the versions of a service that requests go to; none where nothing is known of it."""
+        """Return the versions of a service that serve requests; none if the service is unknown."""
         newest = self.newest.get(service)
         return newest.serving_versions() if newest else self.first_versions.get(service, ())
 
-    def is_plain(self, service: str, version: str) -> bool:
-        """Whether a version's runners are listed under the service's own name: those of one first version are.
+    def uses_default_pool(self, service: str, version: str) -> bool:
+        """Whether a version's runners belong to the pool that has the service's name.
 
-        Before any list is known, all are but those of a roll-out.
+        The runners of one first version do. Before the first list, all do except those of a rollout's target.
 
         >>> state = RolloutsState().order("s", "v2", 9000, 0)
-        >>> state.is_plain("s", "v1"), state.is_plain("s", "v2"), state.is_plain("t", "v2")
+        >>> state.uses_default_pool("s", "v1"), state.uses_default_pool("s", "v2"), state.uses_default_pool("t", "v2")
         (True, False, True)
-        >>> state = RolloutsState().note_versions({"s": ("v1", "v0")})
-        >>> state.is_plain("s", "v0"), state.is_plain("s", "v1")
+        >>> state = RolloutsState().record_first_versions({"s": ("v1", "v0")})
+        >>> state.uses_default_pool("s", "v0"), state.uses_default_pool("s", "v1")
         (True, False)
         """
         if service in self.first_versions:
@@ -162,41 +162,41 @@
         newest = self.newest.get(service)
         return newest is None or version != newest.target
 
-    def under_way(self) -> list[Rollout]:
-        """Return the roll-outs that are under way."""
+    def active_rollouts(self) -> list[Rollout]:
+        """Return the rollouts in progress."""
         return [rollout for rollout in self.newest.values() if rollout.is_serving]
 
-    def find(self, number: int) -> Rollout | None:
-        """Return the newest roll-out of a service by its number."""
+    def find_rollout(self, number: int) -> Rollout | None:
+        """Return the rollout with this number if it is the newest of its service."""
         return next((rollout for rollout in self.newest.values() if rollout.number == number), None)
 
-    def note_versions(self, versions: Mapping[str, Iterable[str]]) -> RolloutsState:
-        """Return the state that knows the first versions of further services; those known stay as they are."""
+    def record_first_versions(self, versions: Mapping[str, Iterable[str]]) -> RolloutsState:
+        """Return the state with the first versions of further services; recorded ones don't change."""
         found = {service: tuple(sorted(names)) for service, names in versions.items()}
         return evolve(self, first_versions={**found, **self.first_versions})
 
     def order(self, service: str, target: str, duration_ms: int, ordered_at_ms: int) -> RolloutsState:
-        """Return the state after a new order; one to the only version that serves is complete at once."""
+        """Return the state after a new order; an order of the only serving version is completed at once."""
         serving = self.serving_versions(service)
         base = tuple(version for version in serving if version != target)
         rollout = Rollout(self.next_number, service, target, duration_ms, ordered_at_ms, base)
         if serving == (target,):
             rollout = evolve(rollout, status=Status.COMPLETED, reason="the version serves already")
-        return evolve(self._with(rollout), next_number=self.next_number + 1)
+        return evolve(self._replace_rollout(rollout), next_number=self.next_number + 1)
 
     def claim(self, collector: str) -> RolloutsState:
-        """Return the state in which another primary takes the votes."""
+        """Return the state in which another primary collects the votes."""
         return evolve(self, collector=collector)
 
     def advance(self, rollout: Rollout, step: Step, share: float) -> RolloutsState:
-        """Return the state in which a roll-out has come to a step."""
-        return self._with(evolve(rollout, step=step, share=share))
+        """Return the state with a rollout at another step or share."""
+        return self._replace_rollout(evolve(rollout, step=step, share=share))
 
     def end(self, rollout: Rollout, status: Status, reason: str) -> RolloutsState:
-        """Return the state in which a roll-out has its verdict."""
-        return self._with(evolve(rollout, status=status, share=0.0, reason=reason))
+        """Return the state with a rollout's verdict."""
+        return self._replace_rollout(evolve(rollout, status=status, share=0.0, reason=reason))
 
-    def _with(self, rollout: Rollout) -> RolloutsState:
+    def _replace_rollout(self, rollout: Rollout) -> RolloutsState:
         return evolve(self, newest={**self.newest, rollout.service: rollout})
 
     def to_json(self) -> dict[str, Any]:
@@ -210,7 +210,7 @@
 
     @classmethod
     def from_json(cls, item: dict[str, Any]) -> RolloutsState:
-        """Return the state in a JSON object that ``to_json`` has made."""
+        """Return the state from a JSON object made by ``to_json``."""
         rollouts = [Rollout.from_json(fields) for fields in item["newest"]]
         return cls(
             item["nextNumber"],
--- a/sparloom/rollouts/updates.py
+++ b/sparloom/rollouts/updates.py
@@ -1,4 +1,4 @@
-"""Changes of the roll-outs' state: each says what it builds on, and is judged on committed state. No I/O."""
+"""Updates of the rollouts' state: each names the state it expects and is checked against the committed one. No I/O."""
 
 from __future__ import annotations
 
@@ -16,45 +16,45 @@
 
 @define(frozen=True, slots=True)
 class Refusal:
-    """Why an update does not apply, in one sentence.
+    """Why an update was refused, in one sentence.
 
     Attributes
     ----------
     text
         The sentence.
-    in_the_way
-        The roll-out under way that an order must wait for; None where that isn't the reason.
+    conflicting_rollout
+        The rollout in progress that an order must wait for; None if the update was refused for another reason.
     """
 
     text: str
-    in_the_way: Rollout | None = None
+    conflicting_rollout: Rollout | None = None
 
 
 class RolloutUpdate(Protocol):
-    """What all changes of the roll-outs' state have in common."""
+    """The interface of all updates of the rollouts' state."""
 
     def is_retry_of(self, other: object) -> bool:
-        """Whether this is the other update, sent again."""
+        """Whether this is a retry of the other update."""
 
     def apply(self, state: RolloutsState) -> RolloutsState | Refusal:
-        """Return the state after the update, the same one where nothing is to change."""
+        """Return the state after the update, or the same object if nothing changes."""
 
 
 @define(frozen=True, slots=True)
 class OrderRollout:
-    """An operator's order.
+    """An operator's order of a rollout.
 
-    The same order again, which means the same service, version and duration,
-    changes nothing, also once the roll-out has ended: an acknowledgement may
-    have been lost, and nobody may be exposed to a version that was judged bad
-    because its order came twice.
+    Orders are idempotent: a repeated order, with the same service, version and
+    duration, changes nothing, even after the rollout has ended. An operator may
+    retry after a lost acknowledgement, and a retry must not expose requests to
+    a version that was already rejected.
 
     Attributes
     ----------
     service, target, duration_ms
-        As ``Rollout`` has them.
+        Have the same meaning as in ``Rollout``.
     ordered_at_ms
-        Wall clock of the primary; no part of what tells two orders apart.
+        Wall clock of the primary; ignored when orders are compared.
     """
 
     service: str
@@ -63,7 +63,7 @@
     ordered_at_ms: int = field(default=0, eq=False)
 
     def is_retry_of(self, other: object) -> bool:
-        """Whether this is the other order, sent again.
+        """Whether this is a retry of the other order.
 
         >>> OrderRollout("s", "v2", 9000, 1).is_retry_of(OrderRollout("s", "v2", 9000, 2))
         True
@@ -71,14 +71,14 @@
         return self == other
 
     def apply(self, state: RolloutsState) -> RolloutsState | Refusal:
-        """Return the state with the roll-out, or why it can't begin now.
+        """Return the state with the rollout, or why it can't start now.
 
         >>> from .state import RolloutsState
         >>> first = OrderRollout("s", "v2", 9000).apply(RolloutsState())
         >>> OrderRollout("s", "v2", 9000).apply(first) is first
         True
         >>> OrderRollout("s", "v3", 9000).apply(first).text
-        'the roll-out of s to v2 is under way'
+        'a rollout of s to v2 is already in progress'
         """
         newest = state.newest.get(self.service)
         if newest is None:
@@ -86,45 +86,45 @@
         if (newest.target, newest.duration_ms) == (self.target, self.duration_ms):
             return state
         if newest.is_serving:
-            return Refusal(f"the roll-out of {self.service} to {newest.target} is under way", newest)
+            return Refusal(f"a rollout of {self.service} to {newest.target} is already in progress", newest)
         return state.order(self.service, self.target, self.duration_ms, self.ordered_at_ms)
 
 
-class MadeOnce:
-    """An update of a controller's own: each is made once, from what was committed before it."""
+class InternalUpdate:
+    """An update made by a controller itself, once, from the state committed before it."""
 
     __slots__ = ()
 
     def is_retry_of(self, other: object) -> bool:
-        """Whether this is the other update."""
+        """Whether this is the same update object."""
         return self is other
 
 
 @define(frozen=True, slots=True)
-class NoteVersions(MadeOnce):
-    """The first list of runners of some services.
+class RecordFirstVersions(InternalUpdate):
+    """Records the versions in the first list of runners of some services.
 
     Attributes
     ----------
     versions
-        For each service the versions of its listed runners.
+        The versions of each service's listed runners.
     """
 
     versions: Mapping[str, tuple[str, ...]]
 
     def apply(self, state: RolloutsState) -> RolloutsState:
-        """Return the state that knows them.
+        """Return the state with these first versions.
 
         >>> from .state import RolloutsState
-        >>> NoteVersions({"s": ("v1",)}).apply(RolloutsState()).serving_versions("s")
+        >>> RecordFirstVersions({"s": ("v1",)}).apply(RolloutsState()).serving_versions("s")
         ('v1',)
         """
-        return state.note_versions(self.versions)
+        return state.record_first_versions(self.versions)
 
 
 @define(frozen=True, slots=True)
-class ClaimRollouts(MadeOnce):
-    """A primary takes the votes from now on.
+class ClaimRollouts(InternalUpdate):
+    """A primary becomes the collector of the votes.
 
     Attributes
     ----------
@@ -135,7 +135,7 @@
     collector: str
 
     def apply(self, state: RolloutsState) -> RolloutsState:
-        """Return the state that names it.
+        """Return the state with this collector.
 
         >>> from .state import RolloutsState
         >>> ClaimRollouts("h:1").apply(RolloutsState()).collector
@@ -145,53 +145,53 @@
 
 
 @define(frozen=True, slots=True)
-class AdvanceRollout(MadeOnce):
-    """The next step of a roll-out, or another share within the present one.
+class AdvanceRollout(InternalUpdate):
+    """The next step of a rollout, or another share within the present step.
 
     Attributes
     ----------
     number
-        The roll-out.
-    before
-        The step that it builds on.
+        The rollout's number.
+    expected_step
+        The step in the state that the update was made from.
     step, share
-        What follows.
+        The new step and share.
     """
 
     number: int
-    before: Step
+    expected_step: Step
     step: Step
     share: float
 
     def apply(self, state: RolloutsState) -> RolloutsState | Refusal:
-        """Return the state with the step; steps never go back.
+        """Return the state with the step and share; a step never goes back to an earlier one.
 
         >>> from .state import RolloutsState
         >>> ordered = OrderRollout("s", "v2", 9000).apply(RolloutsState())
         >>> grown = AdvanceRollout(1, Step.PROBE, Step.GROW, 0.5).apply(ordered)
         >>> grown.newest["s"].share, AdvanceRollout(1, Step.PROBE, Step.LOAD, 0.1).apply(grown).text
-        (0.5, 'roll-out 1 is not at this step any more')
+        (0.5, 'rollout 1 is no longer at the expected step')
         """
-        rollout = state.find(self.number)
+        rollout = state.find_rollout(self.number)
         if rollout is None or not rollout.is_serving:
-            return Refusal(f"roll-out {self.number} has ended")
-        if rollout.step != self.before or self.step < self.before:
-            return Refusal(f"roll-out {self.number} is not at this step any more")
+            return Refusal(f"rollout {self.number} has ended")
+        if rollout.step != self.expected_step or self.step < self.expected_step:
+            return Refusal(f"rollout {self.number} is no longer at the expected step")
         return state.advance(rollout, self.step, self.share)
 
 
 @define(frozen=True, slots=True)
-class EndRollout(MadeOnce):
-    """The verdict.
+class EndRollout(InternalUpdate):
+    """The verdict on a rollout.
 
     Attributes
     ----------
     number
-        The roll-out.
+        The rollout's number.
     status
         ``COMPLETED`` or ``ROLLED_BACK``.
     reason
-        Why, in one sentence.
+        The reason, in one sentence.
     """
 
     number: int
@@ -199,19 +199,19 @@
     reason: str
 
     def apply(self, state: RolloutsState) -> RolloutsState | Refusal:
-        """Return the state with the verdict; it is given once, and only a full step can be completed.
+        """Return the state with the verdict; it is final, and only a rollout at the last step can be completed.
 
         >>> from .state import RolloutsState, Status
         >>> ordered = OrderRollout("s", "v2", 9000).apply(RolloutsState())
         >>> ended = EndRollout(1, Status.ROLLED_BACK, "bad").apply(ordered)
         >>> EndRollout(1, Status.COMPLETED, "good").apply(ended).text
-        'roll-out 1 has ended'
+        'rollout 1 has ended'
         >>> EndRollout(1, Status.COMPLETED, "good").apply(ordered).text
-        'roll-out 1 has not come to its last step'
+        'rollout 1 has not reached its last step'
         """
-        rollout = state.find(self.number)
+        rollout = state.find_rollout(self.number)
         if rollout is None or not rollout.is_serving:
-            return Refusal(f"roll-out {self.number} has ended")
+            return Refusal(f"rollout {self.number} has ended")
         if self.status is Status.COMPLETED and rollout.step is not Step.FULL:
-            return Refusal(f"roll-out {self.number} has not come to its last step")
+            return Refusal(f"rollout {self.number} has not reached its last step")
         return state.end(rollout, self.status, self.reason)
--- a/sparloom/rollouts/verdict.py
+++ b/sparloom/rollouts/verdict.py
@@ -1,11 +1,11 @@
-"""The verdict on a new version: a vote among watchers, each weighed by what it has seen. No I/O.
-
-The weight of a watcher's vote on a route is the logarithm of a likelihood
-ratio: how much better its answers fit a version of which a good part of the
-answers is bad than one that does as the old version does at the same time, on
-the same route. It is bounded, so that no single watcher decides. The old
-version's rate comes from all watchers together: a fleet in trouble is no
-fault of the version. ``docs/notes/verdict.md`` says what was weighed.
+"""Evaluates the watchers' votes on a new version, each weighted by its evidence. No I/O.
+
+The weight of a watcher's vote on a route is a log-likelihood ratio: how much
+better its answers fit a bad version, a large part of whose answers is bad, than
+a version that behaves like the old one at the same time on the same route. The
+weight is bounded, so that no single watcher decides. The old version's rate is
+taken from all watchers together: faults of the whole fleet must not count
+against the new version. ``docs/notes/verdict.md`` describes the weights.
 """
 
 from __future__ import annotations
@@ -17,54 +17,62 @@
 
 from attrs import define
 
-from .evidence import CellKey, Counts
+from .evidence import Counts, TallyKey
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from .evidence import Cells, Evidence
+    from .evidence import CountsByKey, Evidence
 
-# Of a bad version at least this part of the answers is bad, on some route, beyond what is bad of the old one's.
-BAD_RATE = 0.3
-HIGHEST_BAD_RATE = 0.9
-# The old version's rate is never taken for less, nor for more.
+# Minimum increase of the rate of bad answers over the old version's, on some route, that makes a version bad.
+BAD_RATE_INCREASE = 0.3
+# Upper limit of the rate that is assumed for a bad version.
+MAXIMUM_BAD_RATE = 0.9
+# Lower limit of the rate that is assumed for the old version.
 MINIMUM_BASE_RATE = 0.01
-HIGHEST_BASE_RATE = 0.5
-# So many good answers are reckoned to the old version's besides: few answers are no proof of a rate of none.
+# Upper limit of the rate that is assumed for the old version.
+MAXIMUM_BASE_RATE = 0.5
+# Answers added to the old version's as a prior, since few answers are no evidence of a rate of zero.
 BASE_PRIOR_ANSWERS = 50
+# Number of bad answers within the prior.
 BASE_PRIOR_BAD = 1
-# Votes against a version must weigh so much together, so that chance brings it about once in some thousand roll-outs,
+# Total weight at which a version is rejected; a good version reaches it by chance once in some thousand rollouts.
 REJECT_WEIGHT = 8.0
-# and this much without the runner that did worst: one sick runner is no bad version.
-REJECT_WEIGHT_OF_OTHERS = 2.0
-# No watcher counts for more than this part of it, where there are others.
+# Weight that a rejection needs without the worst runner, since one unhealthy runner does not make a bad version.
+REJECT_WEIGHT_WITHOUT_WORST_RUNNER = 2.0
+# Minimum number of watchers that a rejection needs: each one's weight is bounded to ``REJECT_WEIGHT`` divided by
+# this number, unless it is the only watcher.
 WATCHERS_TO_REJECT = 2
-# For a version they must weigh so much, on each route of which much is seen and on the others,
+# Weight for the version that its acceptance needs on each route that is not rare.
 ACCEPT_WEIGHT = 4.0
-ACCEPT_WEIGHT_OF_RARE = 1.5
-# and so much among answers of busy runners.
+# Weight for the version that its acceptance needs on a rare route.
+ACCEPT_WEIGHT_RARE_ROUTE = 1.5
+# Weight for the version that its acceptance under load needs among answers of loaded runners.
 ACCEPT_WEIGHT_LOADED = 5.0
-# Routes with less than this part of all answers are rare; those with fewer answers are not asked for.
-RARE_PART = 0.05
-MINIMUM_PART = 0.02
-MINIMUM_ANSWERS = 20
+# Fraction of all answers below which a route is rare.
+RARE_ROUTE_FRACTION = 0.05
+# Fraction of all answers below which a route is not required for acceptance.
+MINIMUM_ROUTE_FRACTION = 0.02
+# Number of answers below which a route is not required for acceptance. Pace is not compared on a route that has
+# fewer answers of the old version whose pace is known.
+MINIMUM_ROUTE_ANSWERS = 20
 
-Bad: TypeAlias = Callable[[Counts], tuple[int, int]]
+BadCounter: TypeAlias = Callable[[Counts], tuple[int, int]]
 
 
-def failures(counts: Counts) -> tuple[int, int]:
-    """Return the answers that failed, and all.
+def count_failed(counts: Counts) -> tuple[int, int]:
+    """Return the number of failed answers, and of all answers.
 
-    >>> failures(Counts(5, 1, 4, 2))
+    >>> count_failed(Counts(5, 1, 4, 2))
     (1, 5)
     """
     return counts.failed, counts.answers
 
 
-def delays(counts: Counts) -> tuple[int, int]:
-    """Return the answers that were slow, and all whose pace is known.
+def count_slow(counts: Counts) -> tuple[int, int]:
+    """Return the number of slow answers, and of all answers whose pace could be compared.
 
-    >>> delays(Counts(5, 1, 4, 2))
+    >>> count_slow(Counts(5, 1, 4, 2))
     (2, 4)
     """
     return counts.slow, counts.paced
@@ -75,61 +83,61 @@
 
 @define(frozen=True, slots=True)
 class Rates:
-    """The part of bad answers of a version that does as the old one does, and of a bad one."""
+    """The rate of bad answers of a version that behaves like the old one, and that of a bad version."""
 
-    sound: float
+    base: float
     bad: float
 
     @classmethod
     def of(cls, bad: int, total: int) -> Rates:
-        """Return the rates for what the old version's answers were at the same time.
+        """Return the rates that follow from the old version's answers in the same period.
 
         >>> Rates.of(0, 0), Rates.of(150, 250)
-        (Rates(sound=0.02, bad=0.32), Rates(sound=0.5, bad=0.8))
+        (Rates(base=0.02, bad=0.32), Rates(base=0.5, bad=0.8))
         """
         rate = (bad + BASE_PRIOR_BAD) / (total + BASE_PRIOR_ANSWERS)
-        sound = min(max(rate, MINIMUM_BASE_RATE), HIGHEST_BASE_RATE)
-        return cls(sound, min(sound + BAD_RATE, HIGHEST_BAD_RATE))
+        base = min(max(rate, MINIMUM_BASE_RATE), MAXIMUM_BASE_RATE)
+        return cls(base, min(base + BAD_RATE_INCREASE, MAXIMUM_BAD_RATE))
 
     def weight(self, bad: int, total: int) -> float:
-        """Return the logarithm of the likelihood ratio of some answers; above 0 they speak against the version.
+        """Return the log-likelihood ratio of some answers; a positive weight counts against the version.
 
         >>> Rates(0.02, 0.32).weight(0, 10) < 0 < Rates(0.02, 0.32).weight(2, 10)
         True
         """
-        return bad * log(self.bad / self.sound) + (total - bad) * log((1 - self.bad) / (1 - self.sound))
+        return bad * log(self.bad / self.base) + (total - bad) * log((1 - self.bad) / (1 - self.base))
 
 
-def bounded_sum(weights: Iterable[float], others: bool) -> float:
-    """Return the sum of the watchers' weights, each bounded; ``others``: whether there is more than one watcher.
+def bounded_sum(weights: Iterable[float], several_watchers: bool) -> float:
+    """Return the sum of the watchers' weights, each bounded if there is more than one watcher.
 
-    >>> bounded_sum([20.0, -1.0], others=True), bounded_sum([20.0], others=False)
+    >>> bounded_sum([20.0, -1.0], several_watchers=True), bounded_sum([20.0], several_watchers=False)
     (3.0, 20.0)
     """
     bound = REJECT_WEIGHT / WATCHERS_TO_REJECT
-    return sum(max(-bound, min(bound, weight)) for weight in weights) if others else sum(weights)
+    return sum(max(-bound, min(bound, weight)) for weight in weights) if several_watchers else sum(weights)
 
 
 class Ruling(Enum):
-    """What the votes say."""
+    """The decision that the votes support."""
 
-    UNDECIDED = "not enough has been seen"
+    UNDECIDED = "not enough evidence"
     REJECTED = "the version is bad"
     ACCEPTED = "the version does as the old one does"
 
 
 @define(frozen=True, slots=True)
-class Judgement:
-    """The outcome of a vote.
+class VoteResult:
+    """The result of a vote.
 
     Attributes
     ----------
     ruling
-        What the votes say of the answers under the present load.
+        The decision on the answers under the present load.
     accepted_under_load
-        Whether enough answers of busy runners were seen, and were good.
+        Whether there were enough answers of loaded runners, and they were good.
     reason
-        For a rejection: what is wrong; while it is undecided: what is lacking.
+        For a rejection the fault; while undecided, the missing evidence.
     """
 
     ruling: Ruling
@@ -139,100 +147,104 @@
 
 @define(frozen=True, slots=True)
 class VoteWeights:
-    """The weights of the watchers' votes on one fault, over some of the new version's cells.
+    """The watchers' weights on one kind of fault, for some of the new version's answers.
 
     Attributes
     ----------
     weights
-        For each watcher that has had answers its weight by runner.
-    others
+        The weight by runner, for each watcher that has had answers.
+    several_watchers
         Whether the fleet has more than one watcher.
 
-    >>> votes = VoteWeights(({1: 3.0, 2: -1.0}, {1: 3.5}), others=True)
-    >>> votes.weight(), votes.weight_of_others(), sorted(votes.runners())
+    >>> votes = VoteWeights(({1: 3.0, 2: -1.0}, {1: 3.5}), several_watchers=True)
+    >>> votes.weight(), votes.weight_without_worst_runner(), sorted(votes.runners())
     (5.5, -1.0, [1, 2])
     """
 
     weights: tuple[dict[int, float], ...]
-    others: bool
+    several_watchers: bool
 
     def weight(self) -> float:
         """Return the bounded sum of all watchers' weights."""
-        return bounded_sum((sum(by_runner.values()) for by_runner in self.weights), self.others)
+        return bounded_sum((sum(by_runner.values()) for by_runner in self.weights), self.several_watchers)
 
     def runners(self) -> set[int]:
-        """Return the runners of the new version that have answered."""
+        """Return the runners of the new version that have given answers."""
         return {runner for by_runner in self.weights for runner in by_runner}
 
-    def weight_of_others(self) -> float:
-        """Return the weight without the runner that did worst, where there is more than one."""
-        everything = self.weight()
-        without: dict[int, float] = {}
+    def weight_without_worst_runner(self) -> float:
+        """Return the weight without the runner that counts most against the version, if there are several."""
+        full_weight = self.weight()
+        weights_without: dict[int, float] = {}
         for by_runner in self.weights:
             total = sum(by_runner.values())
             for runner, weight in by_runner.items():
-                change = bounded_sum([total - weight], self.others) - bounded_sum([total], self.others)
-                without[runner] = without.get(runner, everything) + change
-        return min(without.values()) if len(without) > 1 else everything
+                change = bounded_sum([total - weight], self.several_watchers) - bounded_sum(
+                    [total], self.several_watchers
+                )
+                weights_without[runner] = weights_without.get(runner, full_weight) + change
+        return min(weights_without.values()) if len(weights_without) > 1 else full_weight
 
 
 def _vote_weights(
-    cells_by_watcher: Mapping[str, Cells],
-    bad: Bad,
+    counts_by_watcher: Mapping[str, CountsByKey],
+    count_bad: BadCounter,
     base: Mapping[str, tuple[int, int]],
-    group: Callable[[CellKey], str],
+    group: Callable[[TallyKey], str],
 ) -> dict[str, VoteWeights]:
-    """The weights_by_fault on one fault over the new version's cells, by what ``group`` names; "" is left out.
+    """The weights on one kind of fault in the new version's answers, by the group that ``group`` names.
 
     Parameters
     ----------
-    cells_by_watcher
-        What the watchers have told.
-    bad
-        Gives the bad answers of some counts, and all.
+    counts_by_watcher
+        The counts of all watchers.
+    count_bad
+        Returns the bad answers and all answers of some counts.
     base
-        The old version's bad answers and all of them, by route.
+        The old version's bad answers and all of its answers, by route.
+    group
+        Returns the group of a key; "" leaves the key out.
     """
     rates = {route: Rates.of(*found) for route, found in base.items()}
     unknown = Rates.of(0, 0)
     weights: dict[str, list[dict[int, float]]] = {}
-    for cells in cells_by_watcher.values():
-        own: dict[str, dict[int, float]] = {}
-        for key, counts in cells.items():
+    for counts_by_key in counts_by_watcher.values():
+        weights_of_watcher: dict[str, dict[int, float]] = {}
+        for key, counts in counts_by_key.items():
             name = group(key) if key.trial else ""
             if name:
-                by_runner = own.setdefault(name, {})
-                weight = rates.get(key.route, unknown).weight(*bad(counts))
+                by_runner = weights_of_watcher.setdefault(name, {})
+                weight = rates.get(key.route, unknown).weight(*count_bad(counts))
                 by_runner[key.runner] = by_runner.get(key.runner, 0.0) + weight
-        for name, by_runner in own.items():
+        for name, by_runner in weights_of_watcher.items():
             weights.setdefault(name, []).append(by_runner)
-    others = len(cells_by_watcher) > 1
-    return {name: VoteWeights(tuple(found), others) for name, found in weights.items()}
+    several_watchers = len(counts_by_watcher) > 1
+    return {name: VoteWeights(tuple(found), several_watchers) for name, found in weights.items()}
 
 
-def _by_route(key: CellKey) -> str:
+def _by_route(key: TallyKey) -> str:
     return key.route
 
 
-def _if_loaded(key: CellKey) -> str:
+def _if_loaded(key: TallyKey) -> str:
     return "loaded" if key.loaded else ""
 
 
-NO_VOTES = VoteWeights((), others=True)
+NO_VOTES = VoteWeights((), several_watchers=True)
 
 
 @define(frozen=True, slots=True)
-class _Question:
-    """All that the votes say on one fault.
+class _FaultVotes:
+    """The votes on one kind of fault.
 
     Attributes
     ----------
     fault
         The fault, in words.
     base
-        The old version's bad answers and all of them, by route.
+        The old version's bad answers and all of its answers, by route.
     total, recent
-        The weights_by_fault of all time and of the last seconds, by route.
+        The weights by route: since the start of the rollout, and in the recent window.
     """
 
     fault: str
@@ -241,12 +253,12 @@
     recent: dict[str, VoteWeights]
 
     @classmethod
-    def of(cls, evidence: Evidence, fault: str, bad: Bad) -> _Question:
-        base = _base_rates(evidence, bad)
-        total = _vote_weights(evidence.total, bad, base, _by_route)
-        return cls(fault, base, total, _vote_weights(evidence.recent, bad, base, _by_route))
+    def of(cls, evidence: Evidence, fault: str, count_bad: BadCounter) -> _FaultVotes:
+        base = _worst_base_counts(evidence, count_bad)
+        total = _vote_weights(evidence.total, count_bad, base, _by_route)
+        return cls(fault, base, total, _vote_weights(evidence.recent, count_bad, base, _by_route))
 
-    def rejected_route(self, runners: int) -> str | None:
+    def find_rejected_route(self, runners: int) -> str | None:
         """The first route on which the votes reject the version."""
         for weights_by_fault in (self.total, self.recent):
             for route, votes in weights_by_fault.items():
@@ -254,101 +266,106 @@
                     return route
         return None
 
-    def lacking_on(self, route: str, needed: float) -> str:
-        """What is still to be seen on a route, where votes for the version are to weigh so much."""
-        if self.fault == SLOW and self.base.get(route, (0, 0))[1] < MINIMUM_ANSWERS:
-            # The old version's pace is not known well enough there to compare with.
+    def missing_evidence_on(self, route: str, required_weight: float) -> str:
+        """The evidence still missing on a route whose votes must reach a weight for the version; "" if none is."""
+        if self.fault == SLOW and self.base.get(route, (0, 0))[1] < MINIMUM_ROUTE_ANSWERS:
+            # There are too few answers of the old version to compare the pace with.
             return ""
-        weight = self.total.get(route, NO_VOTES).weight_of_others()
-        if weight > -needed:
-            return f"whether {self.fault} on route {route}: {-weight:.1f} of {needed:.1f}"
-        if self.recent.get(route, NO_VOTES).weight_of_others() > 0:
+        weight = self.total.get(route, NO_VOTES).weight_without_worst_runner()
+        if weight > -required_weight:
+            return f"whether {self.fault} on route {route}: {-weight:.1f} of {required_weight:.1f}"
+        if self.recent.get(route, NO_VOTES).weight_without_worst_runner() > 0:
             return f"whether {self.fault} on route {route} of late"
         return ""
 
 
-def _base_of(cells_by_watcher: Iterable[Cells], bad: Bad) -> dict[str, tuple[int, int]]:
-    """The old version's bad answers and all of them, by route."""
+def _base_counts(counts_by_watcher: Iterable[CountsByKey], count_bad: BadCounter) -> dict[str, tuple[int, int]]:
+    """The old version's bad answers and all of its answers, by route."""
     found: dict[str, tuple[int, int]] = {}
-    for cells in cells_by_watcher:
-        for key, counts in cells.items():
+    for counts_by_key in counts_by_watcher:
+        for key, counts in counts_by_key.items():
             if not key.trial:
-                known, more = found.get(key.route, (0, 0)), bad(counts)
-                found[key.route] = known[0] + more[0], known[1] + more[1]
+                total, added = found.get(key.route, (0, 0)), count_bad(counts)
+                found[key.route] = total[0] + added[0], total[1] + added[1]
     return found
 
 
-def _worse(one: tuple[int, int], other: tuple[int, int]) -> tuple[int, int]:
-    return max(one, other, key=lambda found: Rates.of(*found).sound)
+def _worse_counts(one: tuple[int, int], other: tuple[int, int]) -> tuple[int, int]:
+    return max(one, other, key=lambda found: Rates.of(*found).base)
 
 
-def _base_rates(evidence: Evidence, bad: Bad) -> dict[str, tuple[int, int]]:
-    """For each route the old version's worse rate: of all time, or of the last seconds."""
-    total, recent = _base_of(evidence.total.values(), bad), _base_of(evidence.recent.values(), bad)
-    return {route: _worse(found, recent.get(route, (0, 0))) for route, found in total.items()}
+def _worst_base_counts(evidence: Evidence, count_bad: BadCounter) -> dict[str, tuple[int, int]]:
+    """The old version's worse counts for each route: since the start of the rollout, or in the recent window."""
+    total, recent = _base_counts(evidence.total.values(), count_bad), _base_counts(evidence.recent.values(), count_bad)
+    return {route: _worse_counts(found, recent.get(route, (0, 0))) for route, found in total.items()}
 
 
 def _answers_by_route(evidence: Evidence) -> dict[str, int]:
     found: dict[str, int] = {}
-    for cells in evidence.total.values():
-        for key, counts in cells.items():
+    for counts_by_key in evidence.total.values():
+        for key, counts in counts_by_key.items():
             found[key.route] = found.get(key.route, 0) + counts.answers
     return found
 
 
-def judge(evidence: Evidence, runners: int, accepted_before: bool = False) -> Judgement:
-    """Return the outcome of the vote.
+def evaluate_votes(evidence: Evidence, runners: int, accepted_before: bool = False) -> VoteResult:
+    """Return the result of the vote.
 
     Parameters
     ----------
     evidence
-        What the watchers have told.
+        The counts of all watchers.
     runners
-        How many runners of the new version there are.
+        Number of runners of the new version.
     accepted_before
-        Whether it was accepted at an earlier step: then it stays so while nothing speaks against it, also where
-        answers can't be compared any more because all runners are busy.
+        Whether the version was accepted at an earlier step. It then stays accepted unless evidence counts against
+        it, even if answers can no longer be compared because all runners are loaded.
     """
-    failing, slowness = _Question.of(evidence, FAILING, failures), _Question.of(evidence, SLOW, delays)
-    questions = (failing, slowness)
-    for question in questions:
-        route = question.rejected_route(runners)
+    failure_votes, slow_votes = (
+        _FaultVotes.of(evidence, FAILING, count_failed),
+        _FaultVotes.of(evidence, SLOW, count_slow),
+    )
+    fault_votes = (failure_votes, slow_votes)
+    for votes_on_fault in fault_votes:
+        route = votes_on_fault.find_rejected_route(runners)
         if route is not None:
-            return Judgement(Ruling.REJECTED, reason=f"{question.fault} on route {route}")
-    under_load = _is_accepted_under_load(evidence, failing.base)
-    lacking = _lacking(evidence, questions, accepted_before)
-    if lacking:
-        return Judgement(Ruling.UNDECIDED, under_load, lacking)
-    return Judgement(Ruling.ACCEPTED, under_load)
+            return VoteResult(Ruling.REJECTED, reason=f"{votes_on_fault.fault} on route {route}")
+    under_load = _is_accepted_under_load(evidence, failure_votes.base)
+    missing = _missing_evidence(evidence, fault_votes, accepted_before)
+    if missing:
+        return VoteResult(Ruling.UNDECIDED, under_load, missing)
+    return VoteResult(Ruling.ACCEPTED, under_load)
 
 
 def _is_rejected(votes: VoteWeights, runners: int) -> bool:
     if votes.weight() < REJECT_WEIGHT:
         return False
-    # While one runner alone has answered, of several, nobody can tell whether it is that runner or the version.
+    # With answers from only one of several runners, a fault of the runner can't be told from one of the version.
     if runners > 1 and len(votes.runners()) < 2:
         return False
-    return votes.weight_of_others() >= REJECT_WEIGHT_OF_OTHERS
+    return votes.weight_without_worst_runner() >= REJECT_WEIGHT_WITHOUT_WORST_RUNNER
 
 
-def _lacking(evidence: Evidence, questions: Iterable[_Question], accepted_before: bool) -> str:
-    """What is still to be seen, or speaks against the version of late; "" where nothing is."""
+def _missing_evidence(evidence: Evidence, fault_votes: Iterable[_FaultVotes], accepted_before: bool) -> str:
+    """The evidence that is missing, or that recently counted against the version; "" if there is none."""
     by_route = _answers_by_route(evidence)
-    everything = sum(by_route.values())
-    minimum = max(MINIMUM_ANSWERS, MINIMUM_PART * everything)
-    asked_for = [route for route, count in by_route.items() if count >= minimum]
-    if not asked_for:
+    total_answers = sum(by_route.values())
+    minimum = max(MINIMUM_ROUTE_ANSWERS, MINIMUM_ROUTE_FRACTION * total_answers)
+    required_routes = [route for route, count in by_route.items() if count >= minimum]
+    if not required_routes:
         return "hardly any answers were seen"
-    for route in asked_for:
-        needed = ACCEPT_WEIGHT_OF_RARE if by_route[route] < RARE_PART * everything else ACCEPT_WEIGHT
-        for question in questions:
-            lacking = question.lacking_on(route, 0.0 if accepted_before else needed)
-            if lacking:
-                return lacking
+    for route in required_routes:
+        required_weight = (
+            ACCEPT_WEIGHT_RARE_ROUTE if by_route[route] < RARE_ROUTE_FRACTION * total_answers else ACCEPT_WEIGHT
+        )
+        for votes_on_fault in fault_votes:
+            missing = votes_on_fault.missing_evidence_on(route, 0.0 if accepted_before else required_weight)
+            if missing:
+                return missing
     return ""
 
 
 def _is_accepted_under_load(evidence: Evidence, base: Mapping[str, tuple[int, int]]) -> bool:
-    """Whether enough answers of busy runners were good; ``base``: the old version's failures."""
-    weights_by_fault = _vote_weights(evidence.total, failures, base, _if_loaded)
+    """Whether enough answers of loaded runners were good, given the old version's failures by route in ``base``."""
+    weights_by_fault = _vote_weights(evidence.total, count_failed, base, _if_loaded)
     return weights_by_fault.get("loaded", NO_VOTES).weight() <= -ACCEPT_WEIGHT_LOADED
--- a/tests/rollouts/test_plan.py
+++ b/tests/rollouts/test_plan.py
@@ -1,4 +1,4 @@
-"""The way from step to step: when the primary commits the next one, and when it gives the verdict."""
+"""Tests of the rollout plan: when the primary commits the next step, and when it commits the verdict."""
 
 import unittest
 from datetime import timedelta
@@ -6,15 +6,21 @@
 from attrs import evolve
 
 from sparloom.rollouts import Rollout, Status, Step
-from sparloom.rollouts.plan import GROW_SHARE, Exposure, Progress, load_share, next_update
+from sparloom.rollouts.plan import GROW_SHARE, ExposureLimit, Progress, load_share, next_update
 from sparloom.rollouts.updates import AdvanceRollout, EndRollout
-from sparloom.rollouts.verdict import Judgement, Ruling
+from sparloom.rollouts.verdict import Ruling, VoteResult
 
-EXPOSURE = Exposure(0.1, 50)
-PROBE = 0.08
-GOOD, GOOD_UNDER_LOAD = Judgement(Ruling.ACCEPTED), Judgement(Ruling.ACCEPTED, accepted_under_load=True)
-UNKNOWN, BAD = Judgement(Ruling.UNDECIDED, reason="nothing"), Judgement(Ruling.REJECTED, reason="answers fail")
-PROGRESS = Progress(
+EXPOSURE_LIMIT = ExposureLimit(0.1, 50)
+PROBE_SHARE = 0.08
+ACCEPTED_RESULT, ACCEPTED_UNDER_LOAD = (
+    VoteResult(Ruling.ACCEPTED),
+    VoteResult(Ruling.ACCEPTED, accepted_under_load=True),
+)
+UNDECIDED_RESULT, REJECTED_RESULT = (
+    VoteResult(Ruling.UNDECIDED, reason="nothing"),
+    VoteResult(Ruling.REJECTED, reason="answers fail"),
+)
+DEFAULT_PROGRESS = Progress(
     elapsed=timedelta(seconds=6),
     step_age=timedelta(seconds=3),
     runners=4,
@@ -23,77 +29,84 @@
     exposed=200,
     sent_per_s=400,
     in_flight=140,
-    watched=True,
-    base_is_empty=False,
-    judgement=GOOD,
+    has_quorum=True,
+    base_drained=False,
+    vote_result=ACCEPTED_RESULT,
 )
 
 
-def rollout(step=Step.PROBE, share=PROBE):
+def rollout(step=Step.PROBE, share=PROBE_SHARE):
     return Rollout(7, "s", "v2", 14000, 0, ("v1",), step=step, share=share)
 
 
-def following(step, share, **known):
-    return next_update(rollout(step, share), evolve(PROGRESS, **known), EXPOSURE)
+def update_after(step, share, **changes):
+    return next_update(rollout(step, share), evolve(DEFAULT_PROGRESS, **changes), EXPOSURE_LIMIT)
 
 
-def at(seconds):
-    return timedelta(seconds=seconds)
+def seconds(count):
+    return timedelta(seconds=count)
 
 
-class Steps(unittest.TestCase):
-    def test_nothing_is_exposed_before_the_new_runners_are_listed(self):
-        self.assertIsNone(following(Step.PROBE, 0.0, runners=0, judgement=UNKNOWN))
-        first = following(Step.PROBE, 0.0, judgement=UNKNOWN)
-        self.assertEqual((first.step, round(first.share, 3)), (Step.PROBE, PROBE))
+class StepTests(unittest.TestCase):
+    def test_nothing_is_exposed_until_runners_of_the_new_version_are_listed(self):
+        self.assertIsNone(update_after(Step.PROBE, 0.0, runners=0, vote_result=UNDECIDED_RESULT))
+        first = update_after(Step.PROBE, 0.0, vote_result=UNDECIDED_RESULT)
+        self.assertEqual((first.step, round(first.share, 3)), (Step.PROBE, PROBE_SHARE))
 
-    def test_a_version_is_not_taken_for_good_before_it_could_turn_bad(self):
-        self.assertIsNone(following(Step.PROBE, PROBE, elapsed=at(5), judgement=GOOD_UNDER_LOAD))
-        self.assertEqual(following(Step.PROBE, PROBE, judgement=GOOD_UNDER_LOAD).step, Step.GROW)
+    def test_a_version_is_not_accepted_before_the_minimum_watch_time(self):
+        self.assertIsNone(update_after(Step.PROBE, PROBE_SHARE, elapsed=seconds(5), vote_result=ACCEPTED_UNDER_LOAD))
+        self.assertEqual(update_after(Step.PROBE, PROBE_SHARE, vote_result=ACCEPTED_UNDER_LOAD).step, Step.GROW)
 
-    def test_a_busy_runner_is_seen_before_it_grows(self):
-        self.assertEqual(following(Step.PROBE, PROBE).step, Step.LOAD)
-        self.assertIsNone(following(Step.LOAD, 0.1, step_age=at(1), judgement=GOOD_UNDER_LOAD))
-        self.assertIsNone(following(Step.LOAD, 0.1, step_age=at(2)))
-        self.assertEqual(following(Step.LOAD, 0.1, step_age=at(2.6), judgement=GOOD_UNDER_LOAD).share, GROW_SHARE)
+    def test_the_load_step_precedes_the_grow_step(self):
+        self.assertEqual(update_after(Step.PROBE, PROBE_SHARE).step, Step.LOAD)
+        self.assertIsNone(update_after(Step.LOAD, 0.1, step_age=seconds(1), vote_result=ACCEPTED_UNDER_LOAD))
+        self.assertIsNone(update_after(Step.LOAD, 0.1, step_age=seconds(2)))
+        self.assertEqual(
+            update_after(Step.LOAD, 0.1, step_age=seconds(2.6), vote_result=ACCEPTED_UNDER_LOAD).share, GROW_SHARE
+        )
 
-    def test_load_ends_by_itself(self):
-        back = following(Step.LOAD, 0.5, step_age=at(3.6), judgement=UNKNOWN)
-        self.assertEqual((back.step, round(back.share, 3)), (Step.LOAD, PROBE))
+    def test_the_load_step_falls_back_to_the_probe_share_after_its_maximum_duration(self):
+        fallback = update_after(Step.LOAD, 0.5, step_age=seconds(3.6), vote_result=UNDECIDED_RESULT)
+        self.assertEqual((fallback.step, round(fallback.share, 3)), (Step.LOAD, PROBE_SHARE))
 
-    def test_without_a_majority_of_the_watchers_nothing_grows(self):
-        for step, share in ((Step.PROBE, PROBE), (Step.LOAD, PROBE), (Step.GROW, GROW_SHARE)):
-            self.assertIsNone(following(step, share, watched=False, judgement=GOOD_UNDER_LOAD))
+    def test_the_step_does_not_advance_without_a_quorum_of_watchers(self):
+        for step, share in ((Step.PROBE, PROBE_SHARE), (Step.LOAD, PROBE_SHARE), (Step.GROW, GROW_SHARE)):
+            self.assertIsNone(update_after(step, share, has_quorum=False, vote_result=ACCEPTED_UNDER_LOAD))
 
-    def test_all_requests_follow_after_a_part_of_them(self):
-        self.assertIsNone(following(Step.GROW, GROW_SHARE, step_age=at(0.5)))
-        self.assertEqual(following(Step.GROW, GROW_SHARE), AdvanceRollout(7, Step.GROW, Step.FULL, 1.0))
+    def test_the_full_step_follows_the_minimum_duration_of_the_grow_step(self):
+        self.assertIsNone(update_after(Step.GROW, GROW_SHARE, step_age=seconds(0.5)))
+        self.assertEqual(update_after(Step.GROW, GROW_SHARE), AdvanceRollout(7, Step.GROW, Step.FULL, 1.0))
 
 
-class Verdicts(unittest.TestCase):
+class VerdictTests(unittest.TestCase):
     def test_a_rejected_version_is_rolled_back_at_every_step(self):
         for step in Step:
-            update = following(step, 0.1, judgement=BAD)
+            update = update_after(step, 0.1, vote_result=REJECTED_RESULT)
             self.assertEqual(update, EndRollout(7, Status.ROLLED_BACK, "answers fail"))
 
-    def test_it_is_completed_once_the_old_version_is_empty_however_late(self):
-        self.assertIsNone(following(Step.FULL, 1.0, elapsed=at(20)))
-        self.assertIs(following(Step.FULL, 1.0, elapsed=at(20), base_is_empty=True).status, Status.COMPLETED)
+    def test_a_rollout_is_completed_when_the_old_version_is_drained_even_after_the_deadline(self):
+        self.assertIsNone(update_after(Step.FULL, 1.0, elapsed=seconds(20)))
+        self.assertIs(update_after(Step.FULL, 1.0, elapsed=seconds(20), base_drained=True).status, Status.COMPLETED)
 
-    def test_one_that_was_not_shown_good_in_time_is_rolled_back_before_the_term(self):
+    def test_a_version_not_accepted_in_time_is_rolled_back_before_the_end_of_the_duration(self):
         for step in (Step.PROBE, Step.LOAD, Step.GROW):
-            self.assertIsNone(following(step, PROBE, elapsed=at(12), judgement=UNKNOWN))
-            self.assertIs(following(step, PROBE, elapsed=at(12.5), judgement=UNKNOWN).status, Status.ROLLED_BACK)
-
-
-class Loads(unittest.TestCase):
-    def test_the_share_that_fills_one_runner(self):
-        self.assertAlmostEqual(load_share(evolve(PROGRESS, in_flight=40, sent=9000), EXPOSURE), 0.36, places=2)
-        self.assertAlmostEqual(load_share(PROGRESS, EXPOSURE), 0.103, places=3)
-
-    def test_a_share_that_would_expose_too_much_is_not_taken(self):
-        self.assertEqual(load_share(evolve(PROGRESS, in_flight=10, exposed=390), EXPOSURE), 0.0)
-        self.assertIsNone(following(Step.PROBE, PROBE, in_flight=10, exposed=390))
+            self.assertIsNone(update_after(step, PROBE_SHARE, elapsed=seconds(12), vote_result=UNDECIDED_RESULT))
+            self.assertIs(
+                update_after(step, PROBE_SHARE, elapsed=seconds(12.5), vote_result=UNDECIDED_RESULT).status,
+                Status.ROLLED_BACK,
+            )
+
+
+class LoadShareTests(unittest.TestCase):
+    def test_the_load_share_fills_one_runner(self):
+        self.assertAlmostEqual(
+            load_share(evolve(DEFAULT_PROGRESS, in_flight=40, sent=9000), EXPOSURE_LIMIT), 0.36, places=2
+        )
+        self.assertAlmostEqual(load_share(DEFAULT_PROGRESS, EXPOSURE_LIMIT), 0.103, places=3)
+
+    def test_a_load_share_beyond_the_exposure_limit_is_not_used(self):
+        self.assertEqual(load_share(evolve(DEFAULT_PROGRESS, in_flight=10, exposed=390), EXPOSURE_LIMIT), 0.0)
+        self.assertIsNone(update_after(Step.PROBE, PROBE_SHARE, in_flight=10, exposed=390))
 
 
 if __name__ == "__main__":
--- a/tests/rollouts/test_rollouts_on_loopback.py
+++ b/tests/rollouts/test_rollouts_on_loopback.py
@@ -1,6 +1,6 @@
-"""Roll-outs with the real programs on loopback: what operators are answered, and a bad version that is rolled back.
+"""Tests of rollouts with the real programs on loopback: the operators' calls, and the rollback of a bad version.
 
-Regression: `POST /-/rollouts` was answered 404, `no such call`, so an order had no acknowledgement.
+Regression: ``POST /-/rollouts`` was answered with 404, ``no such call``, so an order was not acknowledged.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.runner.pause = 0.005
-        self.new = [await Runner(id=f"new-{number}").start() for number in range(2)]
+        self.new_runners = [await Runner(id=f"new-{number}").start() for number in range(2)]
         self.router = Router(self.edge, "/nowhere")
         await self.router.start()
         await self.call("PUT", POLICY, 0)
@@ -34,13 +34,13 @@
 
     async def asyncTearDown(self):
         await self.router.stop()
-        for runner in self.new:
+        for runner in self.new_runners:
             await runner.stop()
         await super().asyncTearDown()
 
-    def boot(self):
+    def list_new_runners(self):
         """The platform lists the runners of the new version."""
-        for runner in self.new:
+        for runner in self.new_runners:
             entry = Platform.entry(runner.id, "s", f"127.0.0.1:{runner.port}")
             self.platform.entries.append({**entry, "revision": "v2"})
 
@@ -53,8 +53,8 @@
         async with self.http.get(self.url.replace("configuration", f"rollouts/{service}")) as response:
             return response.status, await response.json()
 
-    async def client(self, number):
-        """Asks again and again."""
+    async def run_client(self, number):
+        """Sends requests one after another."""
         headers = {"Host": "h.example", "X-Sparloom-Deadline-Remaining": "2000"}
         for turn in range(10_000):
             headers["X-Sparloom-Attempt-Id"] = f"c{number}-{turn}"
@@ -62,20 +62,20 @@
                 await response.read()
 
 
-class Orders(RolloutCase):
-    async def test_what_operators_are_answered(self):
+class OrderTests(RolloutCase):
+    async def test_replies_to_operators(self):
         self.assertEqual((await self.state())[0], 404)
         self.assertEqual(await self.order(ORDER), (200, ""))
         self.assertEqual(await self.order(ORDER), (200, ""))
         self.assertEqual((await self.order({**ORDER, "targetVersion": "v3"}))[0], 409)
         self.assertEqual((await self.order({**ORDER, "service": "nowhere"}))[0], 404)
-        for fault in (b"{", {**ORDER, "durationS": -1}, {**ORDER, "durationS": True}, {**ORDER, "targetVersion": ""}):
-            status, text = await self.order(fault)
-            self.assertEqual((status, bool(text)), (400, True), fault)
-        status, told = await self.state()
-        self.assertEqual((status, told["state"], told["targetVersion"]), (200, "serving", "v2"))
+        for invalid in (b"{", {**ORDER, "durationS": -1}, {**ORDER, "durationS": True}, {**ORDER, "targetVersion": ""}):
+            status, text = await self.order(invalid)
+            self.assertEqual((status, bool(text)), (400, True), invalid)
+        status, body = await self.state()
+        self.assertEqual((status, body["state"], body["targetVersion"]), (200, "serving", "v2"))
 
-    async def test_an_order_outlasts_the_process_and_changes_of_the_configuration(self):
+    async def test_an_order_survives_a_restart_and_a_configuration_change(self):
         self.assertEqual(await self.order(ORDER), (200, ""))
         self.assertEqual((await self.call("PUT", {**POLICY, "revision": 2}, 1))[0], 200)
         await self.controller.stop()
@@ -85,37 +85,37 @@
         self.assertEqual((await self.state())[1]["state"], "serving")
         self.assertEqual((await self.call("GET", b""))[1], {**POLICY, "revision": 2})
 
-    async def test_a_version_that_nobody_ordered_gets_nothing(self):
-        self.boot()
+    async def test_a_version_without_an_order_gets_no_requests(self):
+        self.list_new_runners()
         await self.until(lambda: len(self.router.node.backends.by_id) == 3)
         self.assertEqual([backend.id for backend in self.router.node.backends.of("s")], ["i-0"])
         self.assertEqual(self.router.node.backends.by_id["new-0"].pool, pool_name("s", "v2"))
 
-    async def test_the_operators_commands(self):
+    async def test_the_command_line(self):
         control = self.url.removeprefix("http://").partition("/")[0]
-        said = await asyncio.to_thread(command, "roll-out", "s", "v2", "30", control)
-        self.assertEqual(said, (0, "s is rolled out to v2\n", ""))
-        said = await asyncio.to_thread(command, "rollout", "s", control)
-        self.assertEqual(said, (0, "s to v2: serving at step probe\n", ""))
+        result = await asyncio.to_thread(command, "roll-out", "s", "v2", "30", control)
+        self.assertEqual(result, (0, "s is rolled out to v2\n", ""))
+        result = await asyncio.to_thread(command, "rollout", "s", control)
+        self.assertEqual(result, (0, "s to v2: serving at step probe\n", ""))
         status, _, error = await asyncio.to_thread(command, "roll-out", "s", "v3", "30", control)
-        self.assertEqual((status, "is under way" in error), (1, True))
+        self.assertEqual((status, "is already in progress" in error), (1, True))
 
 
-class Verdicts(RolloutCase):
-    async def test_a_version_whose_answers_fail_is_rolled_back_and_gets_nothing_more(self):
-        for runner in self.new:
+class VerdictTests(RolloutCase):
+    async def test_a_version_whose_answers_fail_is_rolled_back_and_gets_no_further_requests(self):
+        for runner in self.new_runners:
             runner.script = ["error"] * 1000
-        clients = [asyncio.ensure_future(self.client(number)) for number in range(CLIENTS)]
+        clients = [asyncio.ensure_future(self.run_client(number)) for number in range(CLIENTS)]
         try:
             self.assertEqual(await self.order(ORDER), (200, ""))
-            self.boot()
-            state = self.controller.control_api.writer
-            await self.until(lambda: state.committed.state.rollouts.newest["s"].reason)
+            self.list_new_runners()
+            writer = self.controller.control_api.writer
+            await self.until(lambda: writer.committed.state.rollouts.newest["s"].reason)
             self.assertEqual((await self.state())[1]["reason"], "answers fail on route resume")
             await self.until(lambda: self.router.node.configuration.versions["s"].trial is None)
-            exposed, served = sum(len(runner.got) for runner in self.new), len(self.runner.got)
+            exposed, served = sum(len(runner.got) for runner in self.new_runners), len(self.runner.got)
             await self.until(lambda: len(self.runner.got) > served + 100)
-            self.assertEqual(sum(len(runner.got) for runner in self.new), exposed)
+            self.assertEqual(sum(len(runner.got) for runner in self.new_runners), exposed)
             self.assertLessEqual(exposed, 0.1 * (exposed + served) + 50)
         finally:
             for client in clients:
