--- a/sparloom/rollouts/verdict.py
+++ b/sparloom/rollouts/verdict.py
@@ -260,8 +260,8 @@
 
     def find_rejected_route(self, runners: int) -> str | None:
         """The first route on which the votes reject the version."""
-        for weights_by_fault in (self.total, self.recent):
-            for route, votes in weights_by_fault.items():
+        for weights_by_route in (self.total, self.recent):
+            for route, votes in weights_by_route.items():
                 if _is_rejected(votes, runners):
                     return route
         return None
@@ -367,5 +367,5 @@
 
 def _is_accepted_under_load(evidence: Evidence, base: Mapping[str, tuple[int, int]]) -> bool:
     """Whether enough answers of loaded runners were good, given the old version's failures by route in ``base``."""
-    weights_by_fault = _vote_weights(evidence.total, count_failed, base, _if_loaded)
-    return weights_by_fault.get("loaded", NO_VOTES).weight() <= -ACCEPT_WEIGHT_LOADED
+    weights_by_group = _vote_weights(evidence.total, count_failed, base, _if_loaded)
+    return weights_by_group.get("loaded", NO_VOTES).weight() <= -ACCEPT_WEIGHT_LOADED
