--- a/sparloom/retry/__init__.py
+++ b/sparloom/retry/__init__.py
@@ -1,4 +1,4 @@
-"""Retries: what the end of an attempt proves, whether a retry is allowed, and the retry budget."""
+"""Retries: whether a failed attempt may have run, whether to retry it, and the retry budget."""
 
 from .budget import RetryBudget
 from .decision import GiveUp, Retry, RetryContext, next_step
--- a/sparloom/retry/budget.py
+++ b/sparloom/retry/budget.py
@@ -1,4 +1,4 @@
-"""This node's part of the fleet's retry budget."""
+"""Retry budget of one service at one node: a sliding window of requests and retries."""
 
 from __future__ import annotations
 
@@ -7,14 +7,16 @@
 
 from attrs import define, field
 
+# Resolution of the sliding window: requests are counted per 1/40 of it.
 TICKS_PER_WINDOW = 40
-# Fleet sizes are remembered over two windows, so that a node that joins doesn't stretch the sum.
+# Number of windows over which the largest fleet size counts, so that the nodes' shares
+# don't add up to more than the slack while a node joins.
 FLEET_SIZE_WINDOWS = 2
 
 
 @define(slots=True)
 class _Tick:
-    """Requests received within one tick, the resolution of the window."""
+    """Requests received within one tick of the window."""
 
     started_at: timedelta
     count: int
@@ -24,25 +26,29 @@
 class RetryBudget:
     """Retries of one service within a sliding window.
 
-    A node spends ``margin`` of ``ratio`` times the requests that it received
-    itself, which adds up over all nodes whoever they are, and of an equal share
-    of the slack. A node that starts doesn't know what its earlier instances
-    spent: within its first window its share of the slack is only what the
-    margin leaves free, building up from nothing; after it nothing of an earlier
-    instance is in the window any more. The slack is shared among the largest
-    number of nodes seen within two windows, so that nodes that learn of a new
-    one at different times don't spend more than the whole.
+    A node may spend ``margin`` times the sum of two parts: ``ratio`` times the
+    requests that it received itself, and an equal share of the slack. The first
+    part adds up over all nodes without coordination.
+
+    A node that starts doesn't know the retries of its previous instances. During
+    its first window its share of the slack is therefore limited to what the
+    margin leaves free, and grows linearly from zero. After that window the
+    retries of previous instances no longer count.
+
+    The slack is divided by the largest number of nodes observed within two
+    windows, because nodes learn of a new one at different times and must not
+    spend more than the slack together.
 
     Attributes:
         window: Length of the sliding window.
         ratio: Retries per request received.
-        slack: Retries of the whole fleet beyond the ratio.
+        slack: Retries per window that the whole fleet may send beyond the ratio.
         started_at: When this node's instance started.
-        margin: Part of the budget that is spent.
-        requests: Requests received within the window by tick, oldest first.
-        total: Requests within the window.
+        margin: Fraction of the budget that may be spent.
+        requests: Requests received within the window, per tick, oldest first.
+        total: Number of requests received within the window.
         spent: When each retry within the window was sent, oldest first.
-        fleet_sizes: (when, number of nodes), oldest first.
+        fleet_sizes: (time, number of nodes) observations of the last two windows, oldest first.
 
     >>> budget = RetryBudget(timedelta(seconds=10), 0.2, 0, timedelta(0))
     >>> budget.allows(timedelta(0), 1)
@@ -93,11 +99,11 @@
         return self.slack / (largest + 1) * (1.0 if age > 1 else age * (1 / self.margin - 1))
 
     def allows(self, now: timedelta, nodes: int) -> bool:
-        """Whether one more retry fits into the budget.
+        """Returns whether the budget allows one more retry.
 
         Args:
             now: The current monotonic time.
-            nodes: The number of nodes among which the slack is divided, besides one in reserve.
+            nodes: The number of nodes. The slack is divided by one more, which leaves one share unused.
 
         >>> RetryBudget(timedelta(seconds=10), 0.0, 40, timedelta(0)).allows(timedelta(seconds=10), 1)
         True
@@ -106,7 +112,7 @@
         return len(self.spent) + 1 <= self.margin * (self.ratio * self.total + self._slack_share(now, nodes))
 
     def spend(self, now: timedelta) -> None:
-        """Counts a retry that is being sent.
+        """Records a retry that is about to be sent.
 
         >>> budget = RetryBudget(timedelta(seconds=1), 0.2, 0, timedelta(0))
         >>> budget.spend(timedelta(0))
--- a/sparloom/retry/decision.py
+++ b/sparloom/retry/decision.py
@@ -1,4 +1,4 @@
-"""Whether to retry after a failed attempt, or how to answer the client."""
+"""Decides whether to retry a failed attempt, and otherwise which status the client gets."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 @define(frozen=True, slots=True)
 class RetryContext:
-    """What is known when an attempt has failed.
+    """State of a request after a failed attempt.
 
     Attributes:
         idempotent: Whether the request may run more than once.
-        max_attempts: Attempts that the route allows.
-        attempts: Attempts so far.
-        verdict: Whether the request may have run; of several attempts the worst.
-        response_started: Whether the client has received a part of the response.
-        time_left: Until the request's deadline.
+        max_attempts: Maximum number of attempts that the route allows.
+        attempts: Number of attempts so far.
+        verdict: Whether the request may have run; the worst verdict of all attempts.
+        response_started: Whether part of the response was sent to the client.
+        time_left: Time until the request's deadline.
         within_budget: Whether the retry budget allows another attempt.
-        has_alternatives: Whether there is a runner that was not tried yet.
+        has_alternatives: Whether an untried runner is available.
     """
 
     idempotent: bool
@@ -44,9 +44,9 @@
     """Answer the client now.
 
     Attributes:
-        status: 503 (with Retry-After) if the request did not run, else 502, or 504
-            after the deadline; 0 where the response has started.
-        truncate: Whether to close the connection, since the response has started.
+        status: 503 (with Retry-After) if the request did not run; otherwise 502, or
+            504 after the deadline; 0 if the response has started.
+        truncate: Whether to close the connection because the response has started.
     """
 
     status: int
@@ -54,7 +54,7 @@
 
 
 def next_step(context: RetryContext) -> Retry | GiveUp:
-    """The step after an attempt that brought no complete response.
+    """Returns the next step after an attempt without a complete response.
 
     >>> from sparloom.retry.verdict import MAY_HAVE_RUN
     >>> rest = {"time_left": timedelta(1), "within_budget": True, "has_alternatives": True}
@@ -66,8 +66,8 @@
     Retry()
     """
     retryable = context.idempotent or context.verdict is NOT_RUN
-    permitted = context.attempts < context.max_attempts and context.within_budget and context.has_alternatives
-    if retryable and permitted and context.time_left > timedelta(0):
+    allowed = context.attempts < context.max_attempts and context.within_budget and context.has_alternatives
+    if retryable and allowed and context.time_left > timedelta(0):
         return Retry()
     if context.response_started:
         return GiveUp(0, truncate=True)
--- a/sparloom/retry/verdict.py
+++ b/sparloom/retry/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict: whether a request may have run at a runner."""
+"""Verdicts: whether a request may have run at a runner, judged by the head of the response."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Verdict(Enum):
-    """What is known of an attempt at a runner."""
+    """Whether an attempt ran at a runner."""
 
     NOT_RUN = 0
     MAY_HAVE_RUN = 1
@@ -20,15 +20,15 @@
 
 @define(frozen=True, slots=True)
 class ResponseHead:
-    """What is judged of the head of a runner's response.
+    """The parts of a runner's response head that determine the verdict.
 
     Attributes:
         status: The status code.
-        not_run: Whether it carries the header that promises that the request did not run.
-        sealed: Whether it carries the runner's seal.
-        attempt_id_matches: Whether it carries the attempt id of the request.
-        framed: Whether its body's end is marked by a length or by chunks.
-        without_attempt_id: Whether neither the request nor the response carries an id.
+        not_run: Whether it has the header which states that the request did not run.
+        sealed: Whether it has the runner's seal.
+        attempt_id_matches: Whether its attempt id is that of the request.
+        framed: Whether its body is delimited by Content-Length or by chunked encoding.
+        without_attempt_id: Whether neither the request nor the response has an attempt id.
     """
 
     status: int
@@ -40,9 +40,9 @@
 
     @property
     def belongs(self) -> bool:
-        """Whether this responds to the request, and not to an earlier one on the connection.
+        """Whether this is the response to the request, and not to an earlier one on the connection.
 
-        Only a 400 that rejects a request without an id may lack it.
+        Only a 400 that rejects a request without an attempt id may lack the id.
 
         >>> ResponseHead(503, True, False, False, True).belongs
         False
@@ -53,10 +53,10 @@
 
 
 def judge_head(head: ResponseHead) -> tuple[Verdict, bool]:
-    """The verdict on a runner's response, and whether the response may be forwarded.
+    """Returns the verdict on a runner's response, and whether the response may be forwarded.
 
-    A response that doesn't belong to the request proves nothing about it, a
-    rejection no more than a success.
+    A response to another request, whether a rejection or a success, does not
+    show whether this request ran.
 
     >>> judge_head(ResponseHead(200, False, True, True, True))
     (<Verdict.RAN: 2>, True)
