--- a/sparloom/load_balancing/__init__.py
+++ b/sparloom/load_balancing/__init__.py
@@ -1,4 +1,4 @@
-"""Load balancing: prefers runners that probably cache the prompt's prefix, within bounds of load."""
+"""Load balancing: prefers runners that probably have the prompt's prefix cached, unless they are overloaded."""
 
 from .cached_prefixes import CachedPrefixes, parse_parts
 from .rank import Candidate, Weights, choose, is_heavy_prefill, rendezvous_weight
--- a/sparloom/load_balancing/cached_prefixes.py
+++ b/sparloom/load_balancing/cached_prefixes.py
@@ -1,4 +1,4 @@
-"""An estimate of the prompt prefixes that a runner caches, from the prompts sent to it."""
+"""Estimates which prompt prefixes a runner has cached, from the prompts sent to it."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
+# Digest size of a prefix number.
 PREFIX_BYTES = 8
 
-# A part of a prompt: the number of the prefix that ends with it, and its own length in tokens.
+# A part of a prompt: the number of the prefix that ends with it, and the part's length in tokens.
 Part = tuple[int, int]
 
 
 def parse_parts(text: str | None, key: bytes = b"") -> tuple[Part, ...]:
-    """The parts of a prompt, from the header that names them.
+    """Parses the header that lists a prompt's parts.
 
-    A part is cached only behind those before it, so each is identified by the
-    hash of the whole prefix that ends with it.
+    A cached part can be reused only after the same preceding parts. Each part is
+    therefore identified by the hash of the prefix that ends with it.
 
     Args:
-        text: ``ID:TOKENS`` items, separated by commas; None without the header.
-        key: Keys the hash; numbers under different keys can't be related.
+        text: Comma-separated ``ID:TOKENS`` items; None without the header.
+        key: Key of the hash. Prefix numbers under different keys can't be correlated.
 
     Returns:
-        (prefix number, tokens) pairs; none where the text can't be parsed.
+        (prefix number, tokens) pairs; empty if the text can't be parsed.
 
     >>> [tokens for _, tokens in parse_parts("a:3,b:4")], parse_parts("a:3")[0] == parse_parts("a:3,b:4")[0]
     ([3, 4], True)
@@ -48,13 +49,13 @@
 
 @define(slots=True)
 class CachedPrefixes:
-    """An estimate of one runner's prefix cache, in which the least recently used part is evicted first.
+    """Estimate of one runner's prefix cache, with LRU eviction.
 
     Attributes:
         capacity: Tokens that the runner can cache.
-        used: Tokens that it caches by this estimate.
-        prefixes: The length in tokens of each cached part, by prefix number,
-            the least recently used first.
+        used: Tokens that it caches according to this estimate.
+        prefixes: Length in tokens of each cached part, by prefix number, least
+            recently used first.
 
     >>> cached = CachedPrefixes(10)
     >>> cached.add((("a", 6),))
@@ -70,7 +71,7 @@
     prefixes: OrderedDict[int, int] = field(factory=OrderedDict)
 
     def add(self, parts: Iterable[Part]) -> None:
-        """Notes that a prompt was sent to the runner.
+        """Records a prompt that was sent to the runner.
 
         >>> cached = CachedPrefixes(10)
         >>> cached.add((("a", 6),))
@@ -84,7 +85,7 @@
             self.used -= self.prefixes.popitem(last=False)[1]
 
     def add_recalled(self, prefix: int, tokens: int) -> None:
-        """Notes a part that was sent to the runner before all that is known here, if there is capacity left.
+        """Adds a part from before this router started, as the least recently used, if capacity is left.
 
         >>> cached = CachedPrefixes(10)
         >>> cached.add((("a", 6),))
@@ -99,7 +100,7 @@
             self.prefixes.move_to_end(prefix, last=False)
 
     def prefill_tokens(self, parts: Sequence[Part]) -> int:
-        """The tokens of a prompt that the runner would have to prefill.
+        """Returns how many tokens of a prompt the runner would have to prefill.
 
         >>> CachedPrefixes(10).prefill_tokens((("a", 6),))
         6
--- a/sparloom/load_balancing/rank.py
+++ b/sparloom/load_balancing/rank.py
@@ -1,4 +1,4 @@
-"""Ranks the runners for one request."""
+"""Ranks runners for a request by estimated work, cached prefix, zone and connection state."""
 
 from __future__ import annotations
 
@@ -10,33 +10,34 @@
     from collections.abc import Callable, Sequence
 
 MASK_64 = (1 << 64) - 1
-# Odd multipliers that mix all bits, as in splitmix64.
-GOLDEN_GAMMA, MIX = 0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9
+# Odd multipliers and shift that mix all bits, as in splitmix64.
+GOLDEN_GAMMA, MIX_MULTIPLIER = 0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9
 MIX_SHIFT = 29
 
 
 @define(frozen=True, slots=True)
 class Weights:
-    """What the ranking weighs, in prompt tokens unless said otherwise.
+    """Weights of the ranking, in prompt tokens unless stated otherwise.
 
     Attributes:
-        call: The cost of one more request beside this one.
-        even: A runner with more requests than ``even`` times the mean, and
-            ``spare`` more, counts them twice.
-        spare: See ``even``; a number of requests.
-        recompute: How much more a token costs that another runner caches already; a factor.
-        home: How much a prefix that no runner is known to cache prefers its home; a
-            factor of its own length.
-        same_zone: The bonus of a runner in the router's zone.
-        warm: The bonus of a runner with an idle open connection.
+        call: Cost of each other request in flight.
+        overload_factor: A runner is overloaded if it has more requests in flight than
+            this factor times the mean plus ``overload_slack``. Its requests then cost twice
+            as much.
+        overload_slack: Number of requests; see ``overload_factor``.
+        recompute: Extra cost of prefilling a token that another runner has cached, as a factor.
+        home: Bonus of the home runner for a prefix that no runner is known to cache, as a
+            factor of the length that other prompts may share.
+        same_zone: Bonus of a runner in the router's zone.
+        warm: Bonus of a runner with an idle open connection.
 
     >>> Weights().call
     96
     """
 
     call: int = 96
-    even: float = 1.25
-    spare: int = 4
+    overload_factor: float = 1.25
+    overload_slack: int = 4
     recompute: float = 6.0
     home: float = 1.5
     same_zone: int = 384
@@ -45,19 +46,19 @@
 
 @define(slots=True)
 class Candidate:
-    """A runner as one request sees it.
+    """A runner that may serve a request.
 
     Attributes:
         id: The runner's instance id.
-        prefill_tokens: Tokens of this request that it would have to prefill.
-        queued_tokens: Tokens of other requests that await prefill there.
-        calls: Requests in flight there.
-        slots: Requests that it runs at once; 0 where unknown.
+        prefill_tokens: Tokens of this request that the runner would have to prefill.
+        queued_tokens: Tokens of other requests that await prefill at the runner.
+        calls: Requests in flight at the runner.
+        slots: Requests that it runs concurrently; 0 if unknown.
         cold: Whether it is warming up.
-        suspicion: How strongly it is suspected to be unhealthy; 0: not at all.
+        suspicion: How strongly it is suspected to be unhealthy; 0 if not suspected.
         same_zone: Whether it is in the router's zone.
-        warm: Whether a connection to it is open and idle.
-        affinity_weight: The rendezvous weight of the request's prefix there.
+        warm: Whether the router has an idle open connection to it.
+        affinity_weight: Rendezvous weight of the request's prefix at the runner.
 
     >>> Candidate("a", 100).calls
     0
@@ -76,23 +77,23 @@
 
 
 def rendezvous_weight(key: int, number: int) -> int:
-    """The rendezvous weight of a prefix at a runner: the same on every router.
+    """Returns the rendezvous weight of a prefix at a runner. It is the same on every router.
 
+    Both arguments are 64-bit hashes; the multiplications mix them.
     Source: Thaler, Ravishankar, "A Name-Based Mapping Scheme for Rendezvous".
-    Both arguments are 64-bit hashes already; the products mix them.
 
     >>> rendezvous_weight(1, 2) == rendezvous_weight(1, 2), rendezvous_weight(1, 2) == rendezvous_weight(1, 3)
     (True, False)
     """
     mixed = ((key ^ number) * GOLDEN_GAMMA) & MASK_64
-    return ((mixed ^ (mixed >> MIX_SHIFT)) * MIX) & MASK_64
+    return ((mixed ^ (mixed >> MIX_SHIFT)) * MIX_MULTIPLIER) & MASK_64
 
 
 def is_heavy_prefill(prefill_tokens: int, capacity: int, slots: int) -> bool:
-    """Whether a prompt has more to prefill than one slot's share of the runner's cache.
+    """Returns whether a prompt's prefill exceeds one slot's share of the runner's cache.
 
-    Such a prompt misses its latency target wherever it is queued, and delays
-    everything behind it; so it gets a lower priority.
+    Such a prompt misses its latency target at any runner and delays the requests
+    queued behind it. It therefore gets a lower priority.
 
     >>> is_heavy_prefill(30000, 378959, 16), is_heavy_prefill(3000, 378959, 16), is_heavy_prefill(3000, 0, 16)
     (True, False, False)
@@ -100,54 +101,56 @@
     return capacity > 0 and prefill_tokens * max(1, slots) > capacity
 
 
-WEIGHTS = Weights()
+DEFAULT_WEIGHTS = Weights()
 
-# Suspicion, full, cold, work in tokens, negative affinity: compared in this order.
+# (suspicion, full, cold, work in tokens, negative affinity weight), compared in this order.
 Cost = tuple[int, bool, bool, float, int]
 
 
-def choose(candidates: Sequence[Candidate], shared: int = 0, weights: Weights = WEIGHTS) -> list[Candidate]:
-    """The candidates in the order in which to try them.
+def choose(
+    candidates: Sequence[Candidate], shared_tokens: int = 0, weights: Weights = DEFAULT_WEIGHTS
+) -> list[Candidate]:
+    """Returns the candidates in the order in which to try them.
 
-    Work counts in tokens: those to prefill for this request, those queued
-    there, and a little for each request in flight. Prefilling again what
-    another runner caches costs extra, so a request waits a while at the runner
-    that caches its prefix before it is prefilled elsewhere. A prefix that no
-    runner is known to cache prefers its home, the runner with the greatest
-    rendezvous weight, on which all routers agree without communication.
+    Work is estimated in tokens: the request's own prefill, the tokens queued at
+    the runner, and a constant for each request in flight. Tokens that another
+    runner has cached cost extra, so a request queues at the runner that has its
+    prefix cached unless that runner's backlog costs more than the prefill. A
+    prefix that no runner is known to cache prefers its home: the runner with the
+    highest rendezvous weight, on which all routers agree without communication.
 
-    Suspected runners come last, before them full ones, and before these cold
-    ones. Among runners of similar work, those of the router's zone and those
-    with an open connection win.
+    Healthy runners come first, then cold, full and suspected ones, in this
+    order. Among runners with similar work, those in the router's zone and those
+    with an idle open connection are preferred.
 
     Args:
         candidates: The runners, in any order.
-        shared: Length in tokens of the prompt's parts that other prompts may share.
-        weights: What the ranking weighs.
+        shared_tokens: Length in tokens of the parts that the prompt may share with others.
+        weights: The weights of the ranking.
 
     >>> [candidate.id for candidate in choose([Candidate("a", 100, queued_tokens=5000), Candidate("b", 100)])]
     ['b', 'a']
     >>> [candidate.id for candidate in choose([Candidate("a", 100), Candidate("b", 100, same_zone=True)])]
     ['b', 'a']
     """
-    return sorted(candidates, key=_cost(candidates, shared, weights)) if candidates else []
+    return sorted(candidates, key=_cost(candidates, shared_tokens, weights)) if candidates else []
 
 
-def _cost(candidates: Sequence[Candidate], shared: int, weights: Weights) -> Callable[[Candidate], Cost]:
-    """The cost function by which some candidates are compared."""
-    calls_in_total = sum(candidate.calls for candidate in candidates)
-    overloaded_above = weights.even * calls_in_total / len(candidates) + weights.spare
+def _cost(candidates: Sequence[Candidate], shared_tokens: int, weights: Weights) -> Callable[[Candidate], Cost]:
+    """Returns the sort key for the candidates."""
+    total_calls = sum(candidate.calls for candidate in candidates)
+    overloaded_above = weights.overload_factor * total_calls / len(candidates) + weights.overload_slack
     prefills = [candidate.prefill_tokens for candidate in candidates]
-    minimum = min(prefills)
-    cached_nowhere = minimum == max(prefills)
+    minimum_prefill = min(prefills)
+    cached_nowhere = minimum_prefill == max(prefills)
     home = max(candidates, key=lambda candidate: candidate.affinity_weight) if cached_nowhere else None
 
     def cost(candidate: Candidate) -> Cost:
         calls = candidate.calls
         work: float = candidate.prefill_tokens + candidate.queued_tokens + weights.call * calls
-        work += weights.recompute * (candidate.prefill_tokens - minimum)
+        work += weights.recompute * (candidate.prefill_tokens - minimum_prefill)
         if candidate is home:
-            work -= weights.home * shared
+            work -= weights.home * shared_tokens
         if calls > overloaded_above:
             work += weights.call * calls
         if candidate.same_zone:
--- a/sparloom/load_balancing/zone_reachability.py
+++ b/sparloom/load_balancing/zone_reachability.py
@@ -1,17 +1,21 @@
-"""Whether the runners of a zone give any sign of life, judged from this router's own requests; no I/O.
-
-A zone that loses power, or is partitioned from this router, makes all of its
-runners silent at once. Judging them one by one takes a time-out each. Here a
-zone is *doubted* once one of its runners owes a sign for longer than it was
-given, while nothing at all came from the zone and another zone spoke, or none
-has for long. The last condition keeps a slow router from blaming everybody
-else for a moment of its own. A
-doubted zone is probed: only when connections to several of its runners don't
-open in time is it believed *unreachable*, so a runner that is merely slow
-blames nobody. The belief holds for the believer only, and one sign from any
-runner of the zone ends it.
-
-Source of the thought that a detector should first suspect itself: Dadgar,
+"""Detects zones that this router can't reach, from the activity on its own requests; no I/O.
+
+If a zone loses power or is partitioned from this router, all of its runners
+stop responding at once. Detecting each of them separately would take a timeout
+per runner. ``ZoneReachability`` therefore works per zone, in two steps:
+
+1. A zone is *suspected* when one of its runners has exceeded the timeout of a
+   pending call, nothing was received from the zone, and either another zone was
+   active meanwhile or no zone was active for a long time. The condition on other
+   zones keeps a slow router from suspecting all zones because of its own pause.
+2. A suspected zone is probed. It becomes *unreachable* when connections to
+   several of its runners don't open in time, so a single slow runner does not
+   make its zone unreachable.
+
+The result applies to this router only. Any activity of a runner in the zone
+makes the zone reachable again.
+
+Source of the idea that a failure detector should first suspect itself: Dadgar,
 Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
 Detection".
 """
@@ -27,18 +31,18 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Connections to so many runners of a doubted zone must fail before it is believed unreachable.
+# Number of runners in a suspected zone whose probes must fail before the zone becomes unreachable.
 FAILED_PROBES_NEEDED = 2
-# For how long a connection that did not open counts against the zone.
-MEMORY_OF_GIVEN_UP = timedelta(seconds=1)
-# A zone that spoke so short a time ago is not judged: the ticks come no closer.
-MINIMUM_QUIET = timedelta(milliseconds=50)
+# How long a call whose connection did not open in time still counts against its zone.
+ABANDONED_CALL_TTL = timedelta(seconds=1)
+# Zones that were active within this time are not checked. Ticks are not closer together than this.
+MINIMUM_INACTIVITY = timedelta(milliseconds=50)
 NEVER = timedelta(0)
 
 
 @define(eq=False, slots=True)
 class AwaitedSign:
-    """One call that waits for the next sign of its runner.
+    """A call that wait_starts for its runner to open a connection or send data.
 
     Attributes
     ----------
@@ -48,32 +52,32 @@
         The runner's zone.
     since
         When the wait began.
-    patience
-        For how long silence is no fault.
+    timeout
+        Duration of inactivity after which the wait is overdue.
     on_unreachable
-        Called when the runner's zone becomes unreachable while the call waits.
-    forgotten_at
-        Until when it counts after the call has given up.
+        Called when the runner's zone becomes unreachable during the wait.
+    expires_at
+        Until when the wait counts after the call was abandoned.
     """
 
     runner: str
     zone: str
     since: timedelta
-    patience: timedelta
+    timeout: timedelta
     on_unreachable: Callable[[], None]
-    forgotten_at: timedelta = NEVER
+    expires_at: timedelta = NEVER
 
 
 @define(frozen=True, slots=True)
 class UnreachableZone:
-    """The belief that a zone is unreachable.
+    """A zone that this router considers unreachable.
 
     Attributes
     ----------
     since
-        When the belief began.
+        When it became unreachable.
     silent_runners
-        How many of its runners owed a sign when it was doubted.
+        Number of its runners with overdue calls when it was suspected.
     """
 
     since: timedelta
@@ -81,15 +85,15 @@
 
 
 @define(slots=True)
-class Doubt:
-    """A zone that is probed before it is believed unreachable.
+class SuspectedZone:
+    """A zone that is being probed.
 
     Attributes
     ----------
     silent_runners
-        How many of its runners owed a sign.
+        Number of its runners with overdue calls.
     failed
-        The runners that could not be connected to.
+        Ids of the runners whose probes failed.
     """
 
     silent_runners: int
@@ -98,7 +102,7 @@
 
 @define(frozen=True, slots=True)
 class DueProbe:
-    """Probes of a zone that are due: connections to ``runners`` different runners."""
+    """Probes of a zone that are due: one connection to each of ``runners`` different runners."""
 
     zone: str
     runners: int
@@ -106,25 +110,27 @@
 
 @define(slots=True, eq=False)
 class ZoneReachability:
-    """The beliefs of one router about zones.
+    """One router's view of which zones are reachable.
 
     Attributes
     ----------
-    maximum_tick
-        If ``tick`` comes later than this after the one before, the process itself stood still and nothing is judged.
+    maximum_tick_gap
+        If two calls of ``tick`` are further apart, this process was paused, and no zone is suspected.
     probe_interval
-        From one probe of a zone to the next.
-    long_silence
-        When nothing came from anywhere for so long, every zone that owes a sign is doubted.
+        Minimum time between two probes of a zone.
+    global_inactivity_timeout
+        If no zone was active for this time, every zone with an overdue call is suspected.
     unreachable
-        The present belief about each zone that is unreachable.
-    doubts
-        The zones that are being probed and not believed unreachable yet.
+        The unreachable zones.
+    suspected
+        The zones that are being probed and are not unreachable yet.
 
     Examples
     --------
     >>> ms = timedelta(milliseconds=1)
-    >>> zones = ZoneReachability(maximum_tick=150 * ms, probe_interval=250 * ms, long_silence=1000 * ms)
+    >>> zones = ZoneReachability(
+    ...     maximum_tick_gap=150 * ms, probe_interval=250 * ms, global_inactivity_timeout=1000 * ms
+    ... )
     >>> wait = zones.await_sign("a", "z1", timedelta(0), 200 * ms, lambda: None)
     >>> for now in range(0, 250, 50):
     ...     zones.note_sign("z2", now * ms); zones.tick(now * ms)
@@ -138,99 +144,101 @@
     False
     """
 
-    maximum_tick: timedelta
+    maximum_tick_gap: timedelta
     probe_interval: timedelta
-    long_silence: timedelta
+    global_inactivity_timeout: timedelta
     unreachable: dict[str, UnreachableZone] = field(factory=dict)
-    doubts: dict[str, Doubt] = field(factory=dict)
+    suspected: dict[str, SuspectedZone] = field(factory=dict)
     _awaited: dict[str, dict[AwaitedSign, None]] = field(factory=dict)
-    _given_up: list[AwaitedSign] = field(factory=list)
-    _last_signs: dict[str, timedelta] = field(factory=dict)
+    _abandoned: list[AwaitedSign] = field(factory=list)
+    _last_activity: dict[str, timedelta] = field(factory=dict)
     _last_probes: dict[str, timedelta] = field(factory=dict)
     _ticked_at: timedelta | None = None
 
     def is_unreachable(self, zone: str) -> bool:
-        """Whether a zone is believed unreachable now."""
+        """Returns whether a zone is currently unreachable."""
         return zone in self.unreachable
 
     def await_sign(
-        self, runner: str, zone: str, now: timedelta, patience: timedelta, on_unreachable: Callable[[], None]
+        self, runner: str, zone: str, now: timedelta, timeout: timedelta, on_unreachable: Callable[[], None]
     ) -> AwaitedSign:
-        """A call waits for the next sign of a runner, which owes it from ``now + patience`` on."""
-        awaited = AwaitedSign(runner, zone, now, patience, on_unreachable)
+        """Registers a call that waits for a runner. It is overdue after ``timeout`` without activity."""
+        awaited = AwaitedSign(runner, zone, now, timeout, on_unreachable)
         self._awaited.setdefault(zone, {})[awaited] = None
         return awaited
 
     def stop_waiting(self, awaited: AwaitedSign) -> None:
-        """The call waits no longer; what it had to wait says nothing."""
+        """Unregisters a call; the time that it waited no longer counts."""
         self._awaited[awaited.zone].pop(awaited, None)
 
     def give_up(self, awaited: AwaitedSign, now: timedelta) -> None:
-        """The call waits no longer, since its connection did not open in time; the runner owes the sign for a while."""
+        """Unregisters a call whose connection did not open in time; it counts for ``ABANDONED_CALL_TTL`` more."""
         self.stop_waiting(awaited)
-        awaited.patience = min(awaited.patience, now - awaited.since)
-        awaited.forgotten_at = now + MEMORY_OF_GIVEN_UP
-        self._given_up.append(awaited)
+        awaited.timeout = min(awaited.timeout, now - awaited.since)
+        awaited.expires_at = now + ABANDONED_CALL_TTL
+        self._abandoned.append(awaited)
 
     def note_sign(self, zone: str, now: timedelta) -> None:
-        """Something came from a runner of a zone."""
-        self._last_signs[zone] = now
+        """Records activity of a runner in a zone, which makes the zone reachable."""
+        self._last_activity[zone] = now
         self.unreachable.pop(zone, None)
-        self.doubts.pop(zone, None)
+        self.suspected.pop(zone, None)
 
     def tick(self, now: timedelta) -> None:
-        """Time has moved on: doubt the zones from which signs are overdue."""
+        """Suspects the zones with overdue calls; called at each clock tick."""
         previous, self._ticked_at = self._ticked_at, now
-        if previous is not None and now - previous > self.maximum_tick:
-            self._forgive(now - previous)
+        if previous is not None and now - previous > self.maximum_tick_gap:
+            self._extend_timeouts(now - previous)
             return
         overdue = self._overdue(now)
-        self.doubts = {zone: doubt for zone, doubt in self.doubts.items() if zone in overdue}
-        for zone, waits in overdue.items():
-            if zone in self.unreachable or zone in self.doubts:
+        self.suspected = {zone: suspicion for zone, suspicion in self.suspected.items() if zone in overdue}
+        for zone, wait_starts in overdue.items():
+            if zone in self.unreachable or zone in self.suspected:
                 continue
-            waiting_since = min(waits.values())
-            if self._others_spoke_since(zone, waiting_since) or self._all_are_silent(waiting_since, now):
-                self.doubts[zone] = Doubt(len(waits))
+            waiting_since = min(wait_starts.values())
+            if self._is_active_elsewhere_since(zone, waiting_since) or self._is_inactive_everywhere(waiting_since, now):
+                self.suspected[zone] = SuspectedZone(len(wait_starts))
 
-    def _last_sign(self, zone: str) -> timedelta:
-        return self._last_signs.get(zone, NEVER)
+    def _last_activity_of(self, zone: str) -> timedelta:
+        return self._last_activity.get(zone, NEVER)
 
     def _overdue(self, now: timedelta) -> dict[str, dict[str, timedelta]]:
-        """For each zone since when its runners are waited for that owe a sign.
+        """Returns the runners with overdue calls, by zone, and when the oldest overdue call of each began.
 
-        Calls in zones that spoke a moment ago owe none, so a busy router looks at hardly any call.
+        Calls in recently active zones are skipped, so a busy router checks few calls.
         """
-        self._given_up = [
+        self._abandoned = [
             awaited
-            for awaited in self._given_up
-            if now < awaited.forgotten_at and self._last_sign(awaited.zone) < awaited.since
+            for awaited in self._abandoned
+            if now < awaited.expires_at and self._last_activity_of(awaited.zone) < awaited.since
+        ]
+        inactive = [
+            calls for zone, calls in self._awaited.items() if now - self._last_activity_of(zone) >= MINIMUM_INACTIVITY
         ]
-        quiet = [calls for zone, calls in self._awaited.items() if now - self._last_sign(zone) >= MINIMUM_QUIET]
         overdue: dict[str, dict[str, timedelta]] = {}
-        for awaited in chain(self._given_up, *quiet):
-            if now - max(awaited.since, self._last_sign(awaited.zone)) >= awaited.patience:
-                waits = overdue.setdefault(awaited.zone, {})
-                waits[awaited.runner] = min(awaited.since, waits.get(awaited.runner, now))
+        for awaited in chain(self._abandoned, *inactive):
+            if now - max(awaited.since, self._last_activity_of(awaited.zone)) >= awaited.timeout:
+                wait_starts = overdue.setdefault(awaited.zone, {})
+                wait_starts[awaited.runner] = min(awaited.since, wait_starts.get(awaited.runner, now))
         return overdue
 
-    def _forgive(self, pause: timedelta) -> None:
-        """This process stood still: what is owed falls due as much later."""
-        for awaited in chain(self._given_up, *self._awaited.values()):
-            awaited.patience += pause
+    def _extend_timeouts(self, pause: timedelta) -> None:
+        """Extends all timeouts by a pause of this process."""
+        for awaited in chain(self._abandoned, *self._awaited.values()):
+            awaited.timeout += pause
 
-    def _others_spoke_since(self, zone: str, waiting_since: timedelta) -> bool:
-        """Whether another zone has spoken since a runner of this zone is waited for and the zone did not."""
-        silent_since = max(self._last_sign(zone), waiting_since)
-        return any(sign > silent_since for sign in self._last_signs.values())
+    def _is_active_elsewhere_since(self, zone: str, waiting_since: timedelta) -> bool:
+        """Returns whether another zone was active after this zone's last activity and the start of the wait."""
+        inactive_since = max(self._last_activity_of(zone), waiting_since)
+        return any(active_at > inactive_since for active_at in self._last_activity.values())
 
-    def _all_are_silent(self, waiting_since: timedelta, now: timedelta) -> bool:
-        """Whether nothing came from anywhere for long, though a sign is owed."""
-        return now - max(waiting_since, *self._last_signs.values(), NEVER) >= self.long_silence
+    def _is_inactive_everywhere(self, waiting_since: timedelta, now: timedelta) -> bool:
+        """Returns whether no zone was active for ``global_inactivity_timeout`` while a call waits."""
+        return now - max(waiting_since, *self._last_activity.values(), NEVER) >= self.global_inactivity_timeout
 
     def due_probes(self, now: timedelta) -> list[DueProbe]:
-        """The probes to begin now: several runners of a zone that is doubted, one of a zone that is unreachable."""
-        due = [DueProbe(zone, FAILED_PROBES_NEEDED) for zone in self.doubts if self._is_probe_due(zone, now)]
+        """Returns the probes to start now: of several runners in a suspected zone, of one in an unreachable zone."""
+        due = [DueProbe(zone, FAILED_PROBES_NEEDED) for zone in self.suspected if self._is_probe_due(zone, now)]
         due += [DueProbe(zone, 1) for zone in self.unreachable if self._is_probe_due(zone, now)]
         for probe in due:
             self._last_probes[probe.zone] = now
@@ -240,13 +248,13 @@
         return zone not in self._last_probes or now - self._last_probes[zone] >= self.probe_interval
 
     def note_failed_probe(self, zone: str, runner: str, now: timedelta) -> None:
-        """A connection to a runner did not open in time; the zone may be unreachable from now on."""
-        doubt = self.doubts.get(zone)
-        if doubt is None:
+        """Records a probe whose connection did not open in time; the zone may become unreachable."""
+        suspicion = self.suspected.get(zone)
+        if suspicion is None:
             return
-        doubt.failed.add(runner)
-        if len(doubt.failed) >= FAILED_PROBES_NEEDED:
-            del self.doubts[zone]
-            self.unreachable[zone] = UnreachableZone(now, doubt.silent_runners)
+        suspicion.failed.add(runner)
+        if len(suspicion.failed) >= FAILED_PROBES_NEEDED:
+            del self.suspected[zone]
+            self.unreachable[zone] = UnreachableZone(now, suspicion.silent_runners)
             for awaited in list(self._awaited.get(zone, ())):
                 awaited.on_unreachable()
--- a/tests/load_balancing/test_rank.py
+++ b/tests/load_balancing/test_rank.py
@@ -1,4 +1,4 @@
-"""Choosing a runner: order, seeded fleets in simulated time, and what a start loads."""
+"""Tests the ranking of runners, seeded fleets in simulated time, and that a start doesn't load TLS."""
 
 import subprocess
 import sys
@@ -8,33 +8,34 @@
 from tests.support.load_balancing_fleet import Fleet
 from tests.support.router_fixture import Rig
 
-PLAIN = Weights(recompute=0.6, home=1.0, same_zone=48, warm=0)
+# Weights with little preference for cached prefixes, for comparison.
+BASELINE = Weights(recompute=0.6, home=1.0, same_zone=48, warm=0)
 
 
-def order(*candidates, shared=0):
-    return [candidate.id for candidate in choose(candidates, shared)]
+def order(*candidates, shared_tokens=0):
+    return [candidate.id for candidate in choose(candidates, shared_tokens)]
 
 
 class Order(unittest.TestCase):
-    def test_a_prefix_waits_where_it_is_cached(self):
+    def test_a_request_prefers_a_longer_queue_to_another_prefill_up_to_a_bound(self):
         self.assertEqual(
-            order(Candidate("a", 3000, queued_tokens=40_000), Candidate("b", 16_000), shared=13_000), ["a", "b"]
+            order(Candidate("a", 3000, queued_tokens=40_000), Candidate("b", 16_000), shared_tokens=13_000), ["a", "b"]
         )
         self.assertEqual(
-            order(Candidate("a", 3000, queued_tokens=100_000), Candidate("b", 16_000), shared=13_000), ["b", "a"]
+            order(Candidate("a", 3000, queued_tokens=100_000), Candidate("b", 16_000), shared_tokens=13_000), ["b", "a"]
         )
 
-    def test_an_unknown_prefix_goes_home(self):
+    def test_an_uncached_prefix_prefers_its_home(self):
         self.assertEqual(
             order(
                 Candidate("a", 9000, affinity_weight=1, same_zone=True, warm=True),
                 Candidate("b", 9000, affinity_weight=2),
-                shared=8000,
+                shared_tokens=8000,
             ),
             ["b", "a"],
         )
 
-    def test_runners_of_the_zone_and_warm_ones_win_among_equals_only(self):
+    def test_zone_and_open_connection_decide_only_among_equal_runners(self):
         self.assertEqual(
             order(Candidate("a", 300), Candidate("b", 300, warm=True), Candidate("c", 300, same_zone=True, warm=True)),
             ["c", "b", "a"],
@@ -54,64 +55,74 @@
             ["d", "c", "b", "a"],
         )
 
-    def test_homes_are_spread_evenly(self):
+    def test_homes_are_distributed_evenly(self):
         homes = [
             max(
                 range(36),
-                key=lambda i: rendezvous_weight(k * 0x9E3779B97F4A7C15 % 2**64, (i + 1) * 0xD1342543DE82EF95 % 2**64),
+                key=lambda runner: rendezvous_weight(
+                    prefix * 0x9E3779B97F4A7C15 % 2**64, (runner + 1) * 0xD1342543DE82EF95 % 2**64
+                ),
             )
-            for k in range(3600)
+            for prefix in range(3600)
         ]
-        self.assertLess(max(homes.count(i) for i in range(36)), 150)
-        self.assertGreater(min(homes.count(i) for i in range(36)), 60)
+        self.assertLess(max(homes.count(runner) for runner in range(36)), 150)
+        self.assertGreater(min(homes.count(runner) for runner in range(36)), 60)
 
 
-class Fleets(unittest.TestCase):
+class SimulatedFleets(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        cls.before = [Fleet(PLAIN, seed, yields=False).run() for seed in (1, 2)]
-        cls.after = [Fleet(seed=seed).run() for seed in (1, 2)]
+        cls.baseline = [Fleet(BASELINE, seed, defer_heavy_prefills=False).run() for seed in (1, 2)]
+        cls.current = [Fleet(seed=seed).run() for seed in (1, 2)]
 
-    def test_shared_parts_are_seldom_prefilled_again(self):
-        self.assertLess(sum(f.again for f in self.after), 0.6 * sum(f.again for f in self.before))
+    def test_fewer_shared_tokens_are_prefilled_again(self):
+        self.assertLess(
+            sum(fleet.repeated_prefill_tokens for fleet in self.current),
+            0.6 * sum(fleet.repeated_prefill_tokens for fleet in self.baseline),
+        )
 
-    def test_no_more_requests_are_late(self):
+    def test_the_share_of_late_requests_does_not_increase(self):
         for long, target in ((True, 0.8), (False, 0.4)):
-            now, then = (sum(f.late_share(long, target) for f in fs) for fs in (self.after, self.before))
-            self.assertLessEqual(now, then)
+            current, baseline = (
+                sum(fleet.late_fraction(long, target) for fleet in fleets) for fleets in (self.current, self.baseline)
+            )
+            self.assertLessEqual(current, baseline)
 
     def test_fewer_connections_are_opened(self):
-        self.assertLess(sum(f.opened for f in self.after), 0.8 * sum(f.opened for f in self.before))
+        self.assertLess(
+            sum(fleet.connections_opened for fleet in self.current),
+            0.8 * sum(fleet.connections_opened for fleet in self.baseline),
+        )
 
-    def test_load_stays_even(self):
-        for f in self.after:
-            self.assertLess(f.spread(), 1.4)
+    def test_load_is_balanced(self):
+        for fleet in self.current:
+            self.assertLess(fleet.imbalance(), 1.4)
 
-    def test_late_updates_cost_little(self):
-        f = Fleet(seed=1, late=0.5).run()
-        self.assertLess(f.again, self.before[0].again)
-        self.assertLess(f.late_share(True, 0.8), 0.15)
+    def test_delayed_placements_have_little_effect(self):
+        fleet = Fleet(seed=1, placement_delay_s=0.5).run()
+        self.assertLess(fleet.repeated_prefill_tokens, self.baseline[0].repeated_prefill_tokens)
+        self.assertLess(fleet.late_fraction(True, 0.8), 0.15)
 
 
-class Sending(unittest.IsolatedAsyncioTestCase):
+class RoutedRequests(unittest.IsolatedAsyncioTestCase):
     async def test_heavy_prompts_get_a_lower_priority(self):
         async with Rig(1) as rig:
-            for n, want in ((1200, "0"), (1300, "1")):
-                await rig.send("/once/x", heads=[f"X-Sparloom-Prompt-Prefix: {n:x}:{n}"])
-                self.assertEqual(rig.runners[0].got[-1].head("X-Sparloom-Request-Urgency"), want)
+            for tokens, urgency in ((1200, "0"), (1300, "1")):
+                await rig.send("/once/x", heads=[f"X-Sparloom-Prompt-Prefix: {tokens:x}:{tokens}"])
+                self.assertEqual(rig.runners[0].got[-1].head("X-Sparloom-Request-Urgency"), urgency)
 
     async def test_a_runner_is_warm_while_a_connection_is_idle(self):
         async with Rig(1) as rig:
-            post = next(iter(rig.state.backends.by_id.values()))
-            self.assertFalse(post.has_idle_connection())
+            backend = next(iter(rig.state.backends.by_id.values()))
+            self.assertFalse(backend.has_idle_connection())
             await rig.send("/once/x")
-            self.assertTrue(post.has_idle_connection())
-            post.client_session.connector._keepalive_timeout = 0.0
-            self.assertFalse(post.has_idle_connection())
+            self.assertTrue(backend.has_idle_connection())
+            backend.client_session.connector._keepalive_timeout = 0.0
+            self.assertFalse(backend.has_idle_connection())
 
 
-class Start(unittest.TestCase):
-    def test_tls_is_never_loaded(self):
+class Imports(unittest.TestCase):
+    def test_tls_is_not_imported(self):
         code = "from sparloom.launch.early_listen import block_unused_modules; block_unused_modules(); import sys, sparloom.cli, sparloom.router.program, sparloom.controller.program; print(sys.modules['ssl'], '_ssl' in sys.modules and sys.modules['_ssl'])"
-        got = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, check=False)
-        self.assertEqual((got.stdout.strip(), got.returncode), ("None None", 0), got.stderr)
+        process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, check=False)
+        self.assertEqual((process.stdout.strip(), process.returncode), ("None None", 0), process.stderr)
