--- a/sparloom/admission/__init__.py
+++ b/sparloom/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission control with reserves: who a member is, what is reserved for it, and its queue."""
+"""Admission control: members, their reserved capacity, and a queue per member."""
 
 from .controller import AdmissionController, Admitted, Capacity, Demand, Queued, Rejected
 from .fleet_size import FleetSize
--- a/sparloom/admission/controller.py
+++ b/sparloom/admission/controller.py
@@ -1,4 +1,8 @@
-"""Admission of one service at one router: reserves, the common part, and a queue per member."""
+"""Admission control for one service at one router.
+
+``AdmissionController`` admits a request out of its member's reserve or out of
+the common part of the capacity, queues it per member, or rejects it.
+"""
 
 from __future__ import annotations
 
@@ -12,25 +16,27 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-# The member of all requests that no declared member owns.
-OTHERS = ""
-OTHERS_LABEL = "(others)"
+# Member of all requests that no declared member owns.
+UNDECLARED = ""
+UNDECLARED_LABEL = "(others)"
+# Maximum number of queued requests per member.
 QUEUE_LIMIT = 64
+# Lower bound of the Retry-After of a rejection.
 MINIMUM_RETRY_AFTER = timedelta(milliseconds=20)
-# The weight of the newest request in the mean duration.
+# Weight of the newest request in the exponential moving average of the duration.
 DURATION_WEIGHT = 0.1
 
 
 @define(frozen=True, slots=True)
 class Demand:
-    """What a request takes beside its slot: tokens of its prompt."""
+    """Capacity that a request needs in addition to its slot: prompt tokens."""
 
     tokens: int = 0
 
 
 @define(frozen=True, slots=True)
 class Capacity:
-    """What this router may admit on its own: slots and tokens (0 tokens: not counted)."""
+    """Capacity of this router: slots and prompt tokens. With 0 tokens, tokens are not limited."""
 
     slots: int
     tokens: int = 0
@@ -38,7 +44,7 @@
 
 @define(frozen=True, slots=True)
 class Admitted:
-    """The request may be forwarded; ``reserved``: out of its member's own reserve."""
+    """The request may be forwarded; ``reserved``: its slot is part of its member's reserve."""
 
     id: int
     reserved: bool = False
@@ -53,7 +59,7 @@
 
 @define(frozen=True, slots=True)
 class Rejected:
-    """The request can't be served in time; the client may retry after a while."""
+    """The request can't be served before its deadline; the client may retry after ``retry_after``."""
 
     id: int
     retry_after: timedelta
@@ -61,7 +67,7 @@
 
 @define(slots=True)
 class _Request:
-    """A request that waits or is admitted; ``tokens``: what it was charged."""
+    """A queued or admitted request; ``tokens``: the tokens charged for it."""
 
     id: int
     member: str
@@ -75,7 +81,7 @@
 
 @define(frozen=True, slots=True)
 class _Fit:
-    """What an admission would lead to: tokens charged, the member's usage, and all members' excess."""
+    """Result of a possible admission: the tokens charged, the member's usage and all members' excess."""
 
     tokens: int
     usage: Usage
@@ -90,31 +96,31 @@
 class AdmissionController:
     """Admits, queues and rejects requests.
 
-    A member's reserve is granted to it alone. What it uses beyond competes for
-    the common part by priority and then age. Nothing is ever lent out of a
-    reserve, so a flood fills the common part and its own reserve only.
-    What all members together use beyond their reserves is kept as a running
-    sum, so that the cost of an admission doesn't depend on the number of members.
+    Only the member itself can use its reserve. Requests beyond the reserve compete
+    for the common part by priority and then by age. Reserves are never lent out,
+    so a flood of requests fills only the common part and its own member's reserve.
+    The use of all members beyond their reserves is maintained as a running sum,
+    so the cost of an admission doesn't depend on the number of members.
 
     Attributes
     ----------
-    capacity : what this router may admit.
-    shares : each member's reserve as a share of the capacity (0 to 1).
-    queue_limit : requests that a member may have waiting.
-    admitted : requests in progress, by id.
-    usage : what each member uses; members that use nothing are left out.
-    queues : waiting requests by member, the next one first.
-    rejections : how many requests of each member were rejected.
-    mean_duration : moving average of how long requests hold a slot.
-    extra_slots : added to the common part while the fleet as a whole has
-        capacity left (``FleetSize.surplus``); none comes out of a reserve.
-    reserves : the capacity laid out.
-    excess : the running sum of what members use beyond their reserves.
-
-    >>> g = AdmissionController(Capacity(4), {"a": 0.5, "b": 0.25}); now = timedelta(0)
-    >>> [type(g.acquire(now, i, "b", 0, Demand(), timedelta(9))).__name__ for i in range(3)]
+    capacity : capacity of this router.
+    shares : each member's reserve as a fraction of the capacity (0 to 1).
+    queue_limit : maximum number of queued requests per member.
+    admitted : admitted requests in progress, by id.
+    usage : usage by member; members without admitted requests are absent.
+    queues : queued requests by member, the next one first.
+    rejections : number of rejected requests by member.
+    mean_duration : moving average of the time that requests hold a slot.
+    extra_slots : slots added to the common part while the fleet has free
+        capacity (``FleetSize.surplus``); they are not taken from any reserve.
+    reserves : division of the capacity into reserves and the common part.
+    excess : running sum of the use beyond the reserves, over all members.
+
+    >>> controller = AdmissionController(Capacity(4), {"a": 0.5, "b": 0.25}); now = timedelta(0)
+    >>> [type(controller.acquire(now, i, "b", 0, Demand(), timedelta(9))).__name__ for i in range(3)]
     ['Admitted', 'Admitted', 'Queued']
-    >>> type(g.acquire(now, 9, "a", 0, Demand(), timedelta(9))).__name__
+    >>> type(controller.acquire(now, 9, "a", 0, Demand(), timedelta(9))).__name__
     'Admitted'
     """
 
@@ -131,23 +137,23 @@
     excess: Excess = field(init=False, default=NO_EXCESS)
 
     def __attrs_post_init__(self) -> None:
-        self._lay_out()
+        self._compute_reserves()
 
-    def _lay_out(self) -> None:
-        """Computes the reserves and the common part, once per change of capacity or shares."""
+    def _compute_reserves(self) -> None:
+        """Computes the reserves, the common part and the excess; called when the capacity or the shares change."""
         self.reserves = Reserves.of(self.capacity.slots, self.capacity.tokens, self.shares)
-        each = [self.reserves.excess(member, usage) for member, usage in self.usage.items()]
+        excesses = [self.reserves.excess(member, usage) for member, usage in self.usage.items()]
         self.excess = Excess(
-            sum(excess.slots for excess in each),
-            sum(excess.fractions for excess in each),
-            sum(excess.tokens for excess in each),
+            sum(excess.slots for excess in excesses),
+            sum(excess.fractions for excess in excesses),
+            sum(excess.tokens for excess in excesses),
         )
 
     def _usage_of(self, member: str) -> Usage:
         return self.usage.get(member, NO_USAGE)
 
     def _excess_with(self, member: str, usage: Usage) -> Excess:
-        """The running sum, were this member's usage the one given."""
+        """Returns the running sum with this member's usage replaced."""
         total = self.excess
         old, new = self.reserves.excess(member, self._usage_of(member)), self.reserves.excess(member, usage)
         return Excess(
@@ -157,9 +163,9 @@
         )
 
     def _fit(self, member: str, demand: Demand) -> _Fit | None:
-        """What an admission would lead to, or None where it doesn't fit.
+        """Returns the result of admitting a request, or None if the capacity doesn't suffice.
 
-        A request that needs more tokens than its member could ever have is charged all of these.
+        A request that needs more tokens than its member can ever use is charged that maximum instead.
         """
         reserves, usage = self.reserves, self._usage_of(member)
         token_limit = reserves.tokens.get(member, 0) + reserves.common.tokens
@@ -167,7 +173,8 @@
         new_usage = Usage(usage.slots + 1, usage.tokens + tokens)
         excess = self._excess_with(member, new_usage)
         common = reserves.common_slots_used(excess)
-        # After a change of capacity the common part may be overdrawn: what takes nothing more of it fits still.
+        # After a capacity change the common part may be over-committed.
+        # Requests that don't use more of it are still admitted.
         if common > reserves.common.slots + self.extra_slots and common > reserves.common_slots_used(self.excess):
             return None
         if self.capacity.tokens and excess.tokens > reserves.common.tokens and excess.tokens > self.excess.tokens:
@@ -175,7 +182,7 @@
         return _Fit(tokens, new_usage, excess)
 
     def fits(self, member: str, demand: Demand) -> bool:
-        """Whether a request of a member may be admitted now.
+        """Returns whether a request of a member can be admitted now.
 
         >>> AdmissionController(Capacity(0), {}).fits("a", Demand())
         False
@@ -183,7 +190,7 @@
         return self._fit(member, demand) is not None
 
     def is_saturated(self) -> bool:
-        """Whether the common part is used up, so that only ``extra_slots`` are left.
+        """Returns whether the common part is exhausted, so that only ``extra_slots`` remain.
 
         >>> AdmissionController(Capacity(1), {}).is_saturated()
         False
@@ -197,20 +204,20 @@
     def acquire(
         self, now: timedelta, id: int, member: str, priority: int, demand: Demand, deadline: timedelta
     ) -> Admitted | Queued | Rejected:
-        """Takes a new request: it is admitted, queued, or rejected at once.
+        """Admits, queues or rejects a new request.
 
         Parameters
         ----------
-        member : whose reserve it belongs to; an undeclared one has none.
-        priority : the lowest number goes first.
+        member : the member that owns the request; an undeclared member has no reserve.
+        priority : requests with a lower number are admitted first.
         deadline : when the client stops waiting.
 
         >>> type(AdmissionController(Capacity(0), {}).acquire(timedelta(0), 1, "a", 0, Demand(), timedelta(0))).__name__
         'Rejected'
         """
-        request = _Request(id, member if member in self.shares else OTHERS, priority, now, demand, deadline)
+        request = _Request(id, member if member in self.shares else UNDECLARED, priority, now, demand, deadline)
         queue = self.queues.setdefault(request.member, [])
-        # Nobody overtakes the member's own queue.
+        # A new request does not overtake queued requests of its own member.
         fit = None if queue else self._fit(request.member, demand)
         if fit:
             return self._admit(now, request, fit)
@@ -234,7 +241,7 @@
         return Admitted(request.id, reserved)
 
     def release(self, now: timedelta, id: int) -> list[Admitted]:
-        """A request has ended, or its client has gone; gives the admissions that follow.
+        """Removes a request that has ended or whose client has disconnected; returns the resulting admissions.
 
         >>> AdmissionController(Capacity(0), {}).release(timedelta(0), 1)
         []
@@ -252,17 +259,17 @@
             self.usage[request.member] = usage
         else:
             del self.usage[request.member]
-        self._note_duration(now - request.admitted_at)
+        self._record_duration(now - request.admitted_at)
         return self._admit_waiting(now)
 
-    def _note_duration(self, duration: timedelta) -> None:
+    def _record_duration(self, duration: timedelta) -> None:
         if not self.mean_duration:
             self.mean_duration = duration
         else:
             self.mean_duration = self.mean_duration * (1 - DURATION_WEIGHT) + duration * DURATION_WEIGHT
 
     def _admission_order(self, request: _Request) -> tuple[bool, int, timedelta]:
-        """Requests that fit a reserve go first, then by priority and age."""
+        """Sort key: requests that a reserve covers first, then by priority and age."""
         member = request.member
         reserved = self.reserves.covers_next_slot(member, self._usage_of(member), self.excess)
         return not reserved, request.priority, request.received_at
@@ -270,9 +277,9 @@
     def _admit_waiting(self, now: timedelta) -> list[Admitted]:
         admissions = []
         while any(self.queues.values()):
-            heads = sorted((queue[0] for queue in self.queues.values() if queue), key=self._admission_order)
-            fits = ((head, self._fit(head.member, head.demand)) for head in heads)
-            request, fit = next(((head, fit) for head, fit in fits if fit), (None, None))
+            first_in_queue = sorted((queue[0] for queue in self.queues.values() if queue), key=self._admission_order)
+            fits = ((first, self._fit(first.member, first.demand)) for first in first_in_queue)
+            request, fit = next(((first, fit) for first, fit in fits if fit), (None, None))
             if request is None or fit is None:
                 break
             self.queues[request.member].pop(0)
@@ -282,7 +289,9 @@
     def tick(
         self, now: timedelta, capacity: Capacity | None = None, shares: Mapping[str, float] | None = None
     ) -> list[Admitted | Rejected]:
-        """Time moves on, or the capacity or the shares change; gives the decisions that follow.
+        """Applies a new capacity or new shares, rejects late requests and admits queued ones.
+
+        Returns the decisions.
 
         >>> AdmissionController(Capacity(1), {}).tick(timedelta(0))
         []
@@ -300,24 +309,24 @@
         if (capacity, shares) == (self.capacity, self.shares):
             return
         self.capacity, self.shares = capacity, shares
-        self._lay_out()
-        for member in [name for name in self.queues if name not in shares and name != OTHERS]:
-            self._move_to_others(self.queues.pop(member))
+        self._compute_reserves()
+        for member in [name for name in self.queues if name not in shares and name != UNDECLARED]:
+            self._move_to_undeclared(self.queues.pop(member))
 
-    def _move_to_others(self, requests: Iterable[_Request]) -> None:
+    def _move_to_undeclared(self, requests: Iterable[_Request]) -> None:
         moved = list(requests)
         for request in moved:
-            request.member = OTHERS
-        self.queues[OTHERS] = sorted(self.queues.get(OTHERS, []) + moved, key=_queue_order)
+            request.member = UNDECLARED
+        self.queues[UNDECLARED] = sorted(self.queues.get(UNDECLARED, []) + moved, key=_queue_order)
 
     def statistics(self, now: timedelta) -> dict[str, dict[str, float]]:
-        """What is seen from outside, per member; a reserve may be a fraction of a slot.
+        """Returns statistics per member; a reserve may be a fraction of a slot.
 
         >>> AdmissionController(Capacity(8), {"a": 0.5}).statistics(timedelta(0))["a"]["reserve"]
         4.0
         """
         return {
-            member or OTHERS_LABEL: self._member_statistics(now, member) for member in {**self.shares, **self.usage}
+            member or UNDECLARED_LABEL: self._member_statistics(now, member) for member in {**self.shares, **self.usage}
         }
 
     def _member_statistics(self, now: timedelta, member: str) -> dict[str, float]:
--- a/sparloom/admission/fleet_size.py
+++ b/sparloom/admission/fleet_size.py
@@ -1,4 +1,4 @@
-"""By how many routers the capacity is divided, and when a new router may begin to admit."""
+"""Divides the fleet's capacity among routers, and decides when a new router may admit requests."""
 
 from __future__ import annotations
 
@@ -11,41 +11,46 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# The fraction of the whole that is never granted.
-SPARE = 1 / 8
+# Fraction of the total that is never granted. It covers partitioned routers that still use an old divisor.
+UNGRANTED_FRACTION = 1 / 8
 
 
 @define(slots=True)
 class FleetSize:
-    """The divisor of this router's share.
+    """The number of routers by which this router divides the fleet's capacity.
 
-    It is the most routers that were seen within two contact bounds, or that
-    the control state records, whichever is more; so a crash, a freeze or a partition
-    gives nobody more at once, and a start of all together begins with the
-    recorded number. A router that has just started waits until all whom it
-    sees divide by the new number too; one that has admitted goes on. An eighth of the whole is never granted: it covers
-    those that are partitioned and still divide by the old number.
+    The divisor is the larger of two numbers: the most routers observed within
+    two contact bounds, and the number recorded in the control state. A crash, a
+    pause or a partition therefore doesn't raise any router's share at once, and
+    a simultaneous start of all routers begins with the recorded number.
+
+    A router that has just started waits until all routers that it observes
+    divide by the new number too. A router that has admitted requests before
+    continues. An eighth of the total is never granted: it covers partitioned
+    routers that still divide by the old number.
 
     Attributes
     ----------
-    seen : (time, routers seen) within the last two contact bounds.
+    contact_bound : the contact bound of the settings.
+    observations : (time, number of routers observed) within the last two contact bounds.
     recorded : the largest number that the control state has recorded.
-    divisor : by how many the capacity is divided.
-    index : this router's position among all that are known, in an order that all agree on.
-    known : how many routers have a position: those that died of late keep theirs, so that a partition moves nobody's.
-    admitting : whether this router may admit anything yet.
-    admitting_since : when it was last seen that it may; None before.
-
-    >>> c = FleetSize(timedelta(seconds=3)); c.update(timedelta(0), 4, 6, {}); c.divisor
+    divisor : the number by which the capacity is divided.
+    index : this router's position among the known routers, in an order that is the same on all routers.
+    positions : number of routers that have a position. Recently failed routers
+        keep theirs, so that a partition doesn't shift the others' positions.
+    admitting : whether this router may admit requests.
+    admitting_since : when ``update`` last found that it may; None before.
+
+    >>> fleet_size = FleetSize(timedelta(seconds=3)); fleet_size.update(timedelta(0), 4, 6, {}); fleet_size.divisor
     6
     """
 
     contact_bound: timedelta
-    seen: deque[tuple[timedelta, int]] = field(factory=deque)
+    observations: deque[tuple[timedelta, int]] = field(factory=deque)
     recorded: int = 0
     divisor: int = 1
     index: int = 0
-    known: int = 0
+    positions: int = 0
     admitting: bool = True
     admitting_since: timedelta | None = None
 
@@ -58,68 +63,71 @@
         index: int = 0,
         known: int = 0,
     ) -> None:
-        """Notes the routers seen (self included), the recorded number, and what peers divide by.
+        """Applies the number of routers observed (self included), the recorded number and the peers' divisors.
 
-        ``index`` is this router's position among the ``known`` ones (self and those that died of late included), in
-        an order that all agree on.
+        ``index`` is this router's position among the ``known`` routers, in an order that is the same on all routers.
+        ``known`` includes this router and recently failed ones.
 
-        >>> c = FleetSize(timedelta(seconds=3)); c.update(timedelta(0), 3, 2, {"a": 2, "b": 2}); c.admitting
+        >>> fleet_size = FleetSize(timedelta(seconds=3))
+        >>> fleet_size.update(timedelta(0), 3, 2, {"a": 2, "b": 2}); fleet_size.admitting
         False
-        >>> c.update(timedelta(1), 3, 2, {"a": 3, "b": 3}); c.admitting
+        >>> fleet_size.update(timedelta(1), 3, 2, {"a": 3, "b": 3}); fleet_size.admitting
         True
         """
         self.recorded, self.index = max(self.recorded, recorded), index
-        self.known = max(known, routers)
-        self.seen.append((now, routers))
-        while now - self.seen[0][0] > 2 * self.contact_bound:
-            self.seen.popleft()
-        self.divisor = max(self.recorded, *(number for _, number in self.seen))
-        behind = routers > recorded and any(divisor < self.divisor for divisor in peer_divisors.values())
-        if not behind:
+        self.positions = max(known, routers)
+        self.observations.append((now, routers))
+        while now - self.observations[0][0] > 2 * self.contact_bound:
+            self.observations.popleft()
+        self.divisor = max(self.recorded, *(number for _, number in self.observations))
+        peers_outdated = routers > recorded and any(divisor < self.divisor for divisor in peer_divisors.values())
+        if not peers_outdated:
             self.admitting, self.admitting_since = True, now
         elif self.admitting_since is None:
             self.admitting = False
 
-    def share(self, whole: int) -> int:
-        """This router's share of a whole number of slots or tokens.
+    def share(self, total: int) -> int:
+        """Returns this router's share of the fleet's slots or tokens.
 
-        Where routers outnumber the slots a share of zero would stop the
-        service, so each keeps one; the runners' own limits bound them.
+        It is 0 while the router may not admit, and otherwise at least one: if there
+        were more routers than slots, shares of zero would stop the service. The
+        runners' own limits bound the excess.
 
         >>> FleetSize(timedelta(seconds=3)).share(64), FleetSize(timedelta(seconds=3), divisor=100).share(64)
         (56, 1)
         """
-        return max(int(whole > 0), int(whole * (1 - SPARE) / self.divisor)) if self.admitting else 0
+        return max(int(total > 0), int(total * (1 - UNGRANTED_FRACTION) / self.divisor)) if self.admitting else 0
 
-    def surplus(self, whole: int, reserved: float, used: int) -> int:
-        """What this router may admit beyond its share while the fleet has free capacity.
+    def surplus(self, total: int, reserved: float, used: int) -> int:
+        """Returns how much this router may admit beyond its share while the fleet has free capacity.
 
-        That is an equal share of what is neither reserved nor in use at all
-        routers, as known here; ``reserved`` and ``used`` are the fleet's.
+        It is an equal share of the capacity that is neither reserved nor in use.
+        ``reserved`` and ``used`` are totals of the fleet, as known to this router.
 
         >>> FleetSize(timedelta(seconds=3), divisor=8).surplus(768, 96, 272)
         50
         >>> FleetSize(timedelta(seconds=3)).surplus(64, 8, 60)
         0
         """
-        return max(0, int((whole - reserved - used) / self.divisor)) if self.admitting else 0
+        return max(0, int((total - reserved - used) / self.divisor)) if self.admitting else 0
 
-    def indivisible_share(self, whole: int, salt: int = 0) -> int:
-        """This router's share of things that can't be split, such as a runner's connections.
+    def indivisible_share(self, total: int, salt: int = 0) -> int:
+        """Returns this router's share of indivisible units, such as a runner's connections.
 
-        All shares add up to the whole less an eighth. The remainder of the
-        division goes to consecutive routers from a position that differs
-        by ``salt`` (a runner's number), so that nothing is lost by rounding, also with more routers than things.
+        All shares add up to the total less an eighth. The remainder of the
+        division goes to consecutive routers, starting at a position that depends
+        on ``salt`` (a runner's number). So no unit is lost by rounding, even if
+        there are more routers than units.
 
-        Positions are what membership remembers, so the shares of routers
-        that remember different peers may add up to more: good enough for what
-        a runner refuses by itself, not for what it must never be sent
-        (``configuration/rate_holders.py``).
+        Positions come from the membership, which may differ between routers, so
+        their shares may add up to more than the total. That is acceptable for
+        limits that a runner enforces itself, but not for limits that must never
+        be exceeded (see ``configuration/rate_holders.py``).
 
         >>> [FleetSize(timedelta(seconds=3), divisor=4, index=i).indivisible_share(8, salt=1) for i in range(4)]
         [2, 2, 1, 2]
         """
-        granted = int(whole * (1 - SPARE))
-        positions = max(self.divisor, self.known)
-        each, rest = divmod(granted, positions)
-        return each + ((self.index + salt) % positions < rest)
+        granted = int(total * (1 - UNGRANTED_FRACTION))
+        position_count = max(self.divisor, self.positions)
+        each, remainder = divmod(granted, position_count)
+        return each + ((self.index + salt) % position_count < remainder)
--- a/sparloom/admission/member.py
+++ b/sparloom/admission/member.py
@@ -1,4 +1,8 @@
-"""Who a member is: a set of routes, declared by the operator or taken from the configuration."""
+"""Members: sets of routes that share a reserve of the capacity.
+
+The operator declares members in the startup file. Without declarations, each
+host of the configuration is a member.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +14,12 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-# The share of the capacity that is reserved for all hosts together where no members are declared.
+# Fraction of the capacity that is reserved for all hosts together if no members are declared.
 RESERVED_FOR_HOSTS = 0.125
 
 
 class NamedRoute(Protocol):
-    """What of a route says whose it is."""
+    """The attributes of a route that determine its member."""
 
     @property
     def name(self) -> str:
@@ -23,11 +27,11 @@
 
     @property
     def host(self) -> str:
-        """The host that it is called by."""
+        """The host name of its requests."""
 
 
 class HostTable(Protocol):
-    """What of a configuration gives members where none are declared."""
+    """The part of a configuration from which members are derived if none are declared."""
 
     @property
     def hosts(self) -> Collection[str]:
@@ -36,7 +40,7 @@
 
 @define(frozen=True, slots=True)
 class Member:
-    """A member; ``reserve``: the share of each service's capacity that is kept for it (0 to 1)."""
+    """A member; ``reserve``: the fraction of each service's capacity that is reserved for it (0 to 1)."""
 
     name: str
     reserve: float
@@ -44,7 +48,7 @@
     hosts: frozenset[str] = frozenset()
 
     def owns(self, route: NamedRoute) -> bool:
-        """Whether a route is this member's.
+        """Returns whether a route belongs to this member.
 
         >>> Member("m", 0.1, hosts=frozenset(["h"])).owns(type("R", (), {"name": "r", "host": "h"}))
         True
@@ -56,8 +60,8 @@
     return isinstance(value, list) and all(isinstance(name, str) and name for name in value)
 
 
-def _fault_of(name: str, declaration: object) -> str | None:
-    """What is wrong with one member's declaration, or None."""
+def _declaration_error(name: str, declaration: object) -> str | None:
+    """Returns an error message for one member's declaration, or None."""
     if not isinstance(declaration, dict):
         return f"members.{name} must be a table."
     for key in ("routes", "hosts"):
@@ -66,7 +70,7 @@
     if not declaration.get("routes") and not declaration.get("hosts"):
         return f"members.{name} names neither routes nor hosts."
     reserve = declaration.get("reserve", 0)
-    # A bool is an int too, hence no isinstance.
+    # isinstance would accept a bool, which is an int.
     if type(reserve) not in (int, float):
         return f"members.{name}.reserve must be a number."
     if reserve < 0:
@@ -74,8 +78,8 @@
     return None
 
 
-def _double_claim(table: dict[str, dict[str, Any]]) -> str | None:
-    """Says which two members claim the same route or host, or None."""
+def _conflicting_claim(table: dict[str, dict[str, Any]]) -> str | None:
+    """Returns an error message if two members claim the same route or host, or None."""
     owners: dict[tuple[str, str], str] = {}
     for member, declaration in table.items():
         claims = [("route", route) for route in declaration.get("routes", [])]
@@ -97,33 +101,33 @@
 
 
 def parse_members(table: object) -> Result[tuple[Member, ...], str]:
-    """Checks the optional section ``members`` of the startup file.
+    """Parses the optional section ``members`` of the startup file.
 
     >>> parse_members({"a": {"hosts": ["x"], "reserve": 0.6}, "b": {"hosts": ["y"], "reserve": 0.6}}).failure()
-    'The reserves of members a, b add up to 1.2, more than the whole.'
+    'The reserves of members a, b add up to 1.2; the sum must not exceed 1.'
     >>> parse_members({"a": {"hosts": ["x"]}, "b": {"hosts": ["x"]}}).failure()
     'Members a and b both claim the host x.'
     """
     if not isinstance(table, dict):
         return Failure("members must be a table.")
-    faults = (_fault_of(name, declaration) for name, declaration in table.items())
-    fault = next((fault for fault in faults if fault), None) or _double_claim(table)
-    if fault:
-        return Failure(fault)
+    errors = (_declaration_error(name, declaration) for name, declaration in table.items())
+    error = next((error for error in errors if error), None) or _conflicting_claim(table)
+    if error:
+        return Failure(error)
     total = sum(declaration.get("reserve", 0) for declaration in table.values())
     if total > 1:
         names = ", ".join(table)
-        return Failure(f"The reserves of members {names} add up to {round(total, 6):g}, more than the whole.")
+        return Failure(f"The reserves of members {names} add up to {round(total, 6):g}; the sum must not exceed 1.")
     return Success(tuple(_from_declaration(name, declaration) for name, declaration in table.items()))
 
 
 def members_of(configuration: HostTable, declared: Iterable[Member] = ()) -> tuple[Member, ...]:
-    """The members in force: the declared ones; without any, one per host of the configuration.
+    """Returns the declared members or, if there are none, one member per host of the configuration.
 
-    An eighth of the capacity is split among the hosts, the rest is common: a
-    configuration also lists hosts that nobody calls, and what is reserved for
-    them is kept from the others.
-    A route that no declared member owns competes for the common part only.
+    Without declared members, an eighth of the capacity is divided among the
+    hosts and the rest is common. The reserves are small because a configuration
+    also lists unused hosts, whose reserves no other host can use. With declared
+    members, a route that no member owns competes for the common part only.
 
     >>> members_of(type("P", (), {"hosts": {"a": (), "b": ()}}))[0].reserve
     0.0625
--- a/sparloom/admission/reserve.py
+++ b/sparloom/admission/reserve.py
@@ -1,4 +1,4 @@
-"""Reserves in whole slots: what each member has for itself, fractions included."""
+"""Divides a capacity into reserves of members, a pool for fractions of slots, and a common part."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Keeps floating point from turning a whole number of slots into one less.
+# Tolerance for floating-point errors, so that a whole number of slots is not rounded down by one.
 EPSILON = 1e-9
 
 
 class Usage(NamedTuple):
-    """What a member uses, or what the common part holds: slots and prompt tokens."""
+    """Slots and prompt tokens: the usage of a member, or the size of the common part."""
 
     slots: int
     tokens: int
 
 
 class Excess(NamedTuple):
-    """What a use takes beyond the whole slots of a reserve.
+    """Usage beyond the whole slots and the tokens of a reserve.
 
-    ``fractions``: 1 if it is the one slot that a fraction of a reserve entitles
-    to; summed over members, how many such slots are in use.
+    ``fractions`` is 1 if the excess is the single slot to which the fractional
+    part of a reserve entitles its member, else 0. Summed over all members, it is
+    the number of such slots in use.
     """
 
     slots: int
@@ -39,23 +40,25 @@
 
 @define(frozen=True, slots=True)
 class Reserves:
-    """One router's capacity laid out: reserves, the slots for their fractions, and the common part.
+    """Division of one router's capacity into reserves, the pool for their fractions, and the common part.
 
-    A reserve is seldom a whole number of slots; with many routers it is often
-    less than one, and rounded down it would be nothing. So the fractions of
-    all members are pooled, rounded up as long as the common part keeps a slot.
-    A member with just one slot beyond its whole ones takes it from this pool;
-    one with more has them all from the common part, so a flood leaves the
-    others' fractions alone. The layout never adds up to more than the capacity.
+    A reserve is rarely a whole number of slots. With many routers it is often
+    less than one slot, and rounding it down would leave nothing. The fractions of
+    all members are therefore pooled, and the pool is rounded up if the common
+    part keeps at least one slot. A member with exactly one slot beyond its whole
+    slots takes it from the pool. A member with more takes all of them from the
+    common part, so a flood doesn't use up the fractions of other members. The
+    parts never add up to more than the capacity.
 
     Attributes
     ----------
-    slots, tokens : whole slots, and tokens, reserved for each member.
-    fractional : the members that are entitled to a fraction of a slot.
-    pool : slots kept for all fractions together.
-    common : what any member may use.
+    slots, tokens : whole slots and tokens reserved for each member.
+    fractional : members whose reserve includes a fraction of a slot.
+    pool : slots reserved for the fractions of all members.
+    common : slots and tokens that any member may use.
 
-    >>> r = Reserves.of(13, 0, {"a": 0.0625, "b": 0.0625}); r.slots["a"], r.pool, tuple(r.common)
+    >>> reserves = Reserves.of(13, 0, {"a": 0.0625, "b": 0.0625})
+    >>> reserves.slots["a"], reserves.pool, tuple(reserves.common)
     (0, 2, (11, 0))
     """
 
@@ -67,25 +70,27 @@
 
     @staticmethod
     def of(slots: int, tokens: int, shares: Mapping[str, float]) -> Reserves:
-        """Lays out a capacity of slots and tokens by members' shares of it (0 to 1).
+        """Divides a capacity of slots and tokens according to the members' shares (0 to 1).
 
-        >>> r = Reserves.of(10, 100, {"a": 0.3}); r.slots["a"], r.tokens["a"], r.pool, tuple(r.common)
+        >>> reserves = Reserves.of(10, 100, {"a": 0.3})
+        >>> reserves.slots["a"], reserves.tokens["a"], reserves.pool, tuple(reserves.common)
         (3, 30, 0, (7, 70))
         """
-        whole = {member: int(slots * share + EPSILON) for member, share in shares.items()}
-        fractions = {member: slots * share - whole[member] for member, share in shares.items()}
+        whole_slots = {member: int(slots * share + EPSILON) for member, share in shares.items()}
+        fractions = {member: slots * share - whole_slots[member] for member, share in shares.items()}
         fractional = frozenset(member for member, fraction in fractions.items() if fraction > EPSILON)
-        free = slots - sum(whole.values())
+        free = slots - sum(whole_slots.values())
         needed = sum(fractions[member] for member in fractional)
         pool = min(ceil(needed - EPSILON), max(int(needed + EPSILON), free - 1), max(0, free))
         reserved_tokens = {member: int(tokens * share) for member, share in shares.items()}
         common = Usage(free - pool, tokens - sum(reserved_tokens.values()))
-        return Reserves(whole, reserved_tokens, fractional, pool, common)
+        return Reserves(whole_slots, reserved_tokens, fractional, pool, common)
 
     def excess(self, member: str, usage: Usage) -> Excess:
-        """What a member's use takes beyond its whole reserve.
+        """Returns a member's usage beyond its reserve.
 
-        >>> r = Reserves.of(13, 0, {"a": 0.0625}); tuple(r.excess("a", Usage(1, 0))), tuple(r.excess("a", Usage(3, 0)))
+        >>> reserves = Reserves.of(13, 0, {"a": 0.0625})
+        >>> tuple(reserves.excess("a", Usage(1, 0))), tuple(reserves.excess("a", Usage(3, 0)))
         ((1, 1, 0), (3, 0, 0))
         """
         slots = max(0, usage.slots - self.slots.get(member, 0))
@@ -93,7 +98,7 @@
         return Excess(slots, int(uses_fraction), max(0, usage.tokens - self.tokens.get(member, 0)))
 
     def common_slots_used(self, excess: Excess) -> int:
-        """The slots of the common part that are in use, from the sum of all members' excess.
+        """Returns the slots of the common part in use, given the sum of all members' excess.
 
         >>> Reserves.of(13, 0, {"a": 0.0625}).common_slots_used(Excess(4, 1, 0))
         3
@@ -101,11 +106,13 @@
         return excess.slots - min(self.pool, excess.fractions)
 
     def covers_next_slot(self, member: str, usage: Usage, excess: Excess) -> bool:
-        """Whether a member's next slot comes out of its reserve; ``excess``: the sum over all members.
+        """Returns whether the reserve covers a member's next slot; ``excess``: the sum over all members.
 
-        >>> r = Reserves.of(13, 0, {"a": 0.0625})
-        >>> r.covers_next_slot("a", NO_USAGE, NO_EXCESS), r.covers_next_slot("a", Usage(1, 0), Excess(1, 1, 0))
-        (True, False)
+        >>> reserves = Reserves.of(13, 0, {"a": 0.0625})
+        >>> reserves.covers_next_slot("a", NO_USAGE, NO_EXCESS)
+        True
+        >>> reserves.covers_next_slot("a", Usage(1, 0), Excess(1, 1, 0))
+        False
         """
         reserved = self.slots.get(member, 0)
         if usage.slots < reserved:
@@ -113,7 +120,7 @@
         return usage.slots == reserved and member in self.fractional and excess.fractions < self.pool
 
     def maximum(self, member: str) -> int:
-        """The most slots that a member could have at once.
+        """Returns the maximum number of slots that a member can use concurrently.
 
         >>> Reserves.of(13, 0, {"a": 0.0625}).maximum("a")
         12
