--- a/sparloom/dynamic_timeout/__init__.py
+++ b/sparloom/dynamic_timeout/__init__.py
@@ -1,8 +1,8 @@
-"""Timeouts that shrink as the number of concurrent requests at a resource grows.
+"""Timeouts that get shorter as the number of concurrent requests at a resource increases.
 
 Source: "Faraday Dynamic Timeout Middleware", README of the Ruby gem
-``faraday_dynamic_timeout``. In place of its Redis server, nodes share their
-counts with each other.
+``faraday_dynamic_timeout``. The gem counts requests in a Redis server; here the
+nodes send their counts to each other.
 """
 
 from .buckets import Bucket, Capacity, Grant, capacity_buckets, pick
--- a/sparloom/dynamic_timeout/buckets.py
+++ b/sparloom/dynamic_timeout/buckets.py
@@ -1,4 +1,4 @@
-"""Timeout buckets, and their limits from the callers' estimated capacity.
+"""Timeout buckets, with fixed limits or limits computed from the callers' estimated capacity.
 
 Source: "Faraday Dynamic Timeout Middleware" (README of the Ruby gem
 ``faraday_dynamic_timeout``), sections "Usage" and "Capacity Strategy".
@@ -21,8 +21,8 @@
     """A timeout and the number of concurrent requests that may use it.
 
     Attributes:
-        timeout: The timeout of a request that falls into this bucket.
-        limit: Concurrent requests up to which it applies; below 0: unlimited.
+        timeout: The timeout of a request in this bucket.
+        limit: Maximum number of concurrent requests at which the bucket applies; negative: unlimited.
     """
 
     timeout: timedelta
@@ -35,7 +35,7 @@
 
     Attributes:
         timeout: The request's timeout.
-        count: Concurrent requests at the resource, this one included.
+        count: Number of concurrent requests at the resource, including this one.
     """
 
     timeout: timedelta
@@ -43,14 +43,14 @@
 
 
 def pick(buckets: Iterable[Bucket] | Callable[[], Iterable[Bucket]], count: int) -> Grant | None:
-    """The longest timeout among the buckets that have a free slot.
+    """Returns the longest timeout among the buckets that have a free slot.
 
     Args:
-        buckets: The buckets in any order, or a function that is evaluated at each request.
-        count: Concurrent requests at the resource before this one.
+        buckets: The buckets in any order, or a function that returns them for each request.
+        count: Number of concurrent requests at the resource, without this one.
 
     Returns:
-        The grant, or None when every bucket is full and the request must not be sent.
+        The grant, or None if every bucket is full and the request must not be sent.
 
     >>> from datetime import timedelta
     >>> buckets = [Bucket(timedelta(seconds=8), 5), Bucket(timedelta(seconds=1), 10)]
@@ -64,12 +64,12 @@
 
 @define(frozen=True, slots=True)
 class Capacity:
-    """A bucket whose limit is a share of the callers' total capacity.
+    """A bucket whose limit is a fraction of the callers' total capacity.
 
     Attributes:
         timeout: As in ``Bucket``.
-        share: Of all concurrent requests that the callers could send, from 0 to 1; 1: unlimited.
-        minimum: The limit is never below this.
+        share: Fraction (0 to 1) of the concurrent requests that all callers can send; 1: unlimited.
+        minimum: Lower bound of the limit.
     """
 
     timeout: timedelta
@@ -78,16 +78,16 @@
 
 
 def capacity_buckets(capacities: Iterable[Capacity], per_process: int, processes: int) -> list[Bucket]:
-    """Buckets from the estimated capacity of the callers.
+    """Returns buckets with limits computed from the callers' estimated capacity.
 
     Args:
-        capacities: The buckets as shares of the capacity.
-        per_process: Concurrent requests that one process can send.
+        capacities: The buckets as fractions of the capacity.
+        per_process: Number of concurrent requests that one process can send.
         processes: The estimated number of processes, see ``InFlightCounts.processes``.
 
     >>> from datetime import timedelta
-    >>> shares = [Capacity(timedelta(1), 0.05, 3), Capacity(timedelta(1), 1.0)]
-    >>> [bucket.limit for bucket in capacity_buckets(shares, 4, 10)]
+    >>> capacities = [Capacity(timedelta(1), 0.05, 3), Capacity(timedelta(1), 1.0)]
+    >>> [bucket.limit for bucket in capacity_buckets(capacities, 4, 10)]
     [3, -1]
     """
     total = per_process * processes
@@ -97,5 +97,5 @@
 def _limit(capacity: Capacity, total: int) -> int:
     if capacity.share >= 1:
         return -1
-    # Rounded first, so that a product such as 0.1 * 30 = 3.0000000000000004 is not raised to 4.
+    # Rounding first prevents a product such as 0.1 * 30 = 3.0000000000000004 from becoming 4.
     return max(capacity.minimum, ceil(round(capacity.share * total, 9)))
--- a/sparloom/dynamic_timeout/counts.py
+++ b/sparloom/dynamic_timeout/counts.py
@@ -1,14 +1,17 @@
-"""How many requests are in flight at a resource: this node's own and those its peers report.
+"""Counts the requests in flight at each resource: this node's own and those that its peers report.
 
-Late or missing updates: a peer's counts apply until the peer sends newer ones,
-its instance ends (believed dead, departed or restarted), or nothing was
-received from it for ``stale``. Until then its last update counts in full: a
-peer that can't be reached is assumed to still hold its slots, so a late count
-errs towards shorter timeouts. After ``stale`` it counts nothing, so that a lost
-peer can't hold slots for ever. ``sparloom.aggregation`` applies the same rule
-where updates go through relays.
+``InFlightCounts`` holds the counts, a ``Slot`` is one request in them, and
+``InFlightUpdate`` is the message by which a node reports its counts to peers.
 
-Source of the counting by slots, the callback and the estimate of processes:
+Late or missing updates: a peer's last update counts until the peer sends a
+newer one, its instance ends (considered dead, departed or restarted), or
+nothing was received from it for ``stale``. Until then it counts in full. An
+unreachable peer is assumed to still hold its slots, so late counts make
+timeouts shorter rather than longer. After ``stale`` the update no longer
+counts, so that a lost peer can't hold slots forever. ``sparloom.aggregation``
+applies the same rule to updates that are sent through relays.
+
+Source of slot counting, the callback and the estimated number of processes:
 "Faraday Dynamic Timeout Middleware", README of ``faraday_dynamic_timeout``.
 """
 
@@ -29,10 +32,10 @@
 
     from .buckets import Bucket, Grant
 
-# How long a process that sent an update counts as running ("remembered 60 seconds" in the source).
-PROCESS_MEMORY = timedelta(seconds=60)
+# How long a process counts as running after its last update; the source uses 60 seconds.
+PROCESS_TTL = timedelta(seconds=60)
 
-# The load of one resource: a plain tuple, since adding tuples is the hot path; the constants are its indices.
+# The load of one resource. It is a plain tuple because adding loads is the hot path; the constants are its indices.
 ResourceLoad = tuple[int, int, int, int, int, int]
 CALLS, PREFILL_TOKENS, UNRESPONSIVE, SUCCESSES, FAILURES, ACCUSERS = range(6)
 NO_LOAD: ResourceLoad = (0, 0, 0, 0, 0, 0)
@@ -40,14 +43,14 @@
 
 @record(80)
 class InFlightReport(Record):
-    """What is in flight at one resource, of one node or summed over several.
+    """The load of one resource, from one node or summed over several nodes.
 
     Attributes:
         resource: The resource's number.
-        calls: Requests in flight.
-        prefill_tokens: Prompt tokens sent there whose prefill has not ended.
-        unresponsive: How many nodes get no answer from it.
-        successes, failures, accusers: Recent outcomes; part of the wire format, but routers send 0.
+        calls: Number of requests in flight.
+        prefill_tokens: Prompt tokens in flight whose prefill has not ended.
+        unresponsive: Number of nodes that receive no response from it.
+        successes, failures, accusers: Recent outcomes. They are part of the wire format, but routers send 0.
     """
 
     resource: UInt64
@@ -59,7 +62,7 @@
     accusers: UInt16
 
     def load(self) -> ResourceLoad:
-        """The counts alone, in the order of the fields.
+        """Returns the counts as a tuple, in the order of the fields.
 
         >>> InFlightReport(7, 2, 500, 0, 0, 0, 0).load()
         (2, 500, 0, 0, 0, 0)
@@ -74,7 +77,7 @@
     Attributes:
         resource: The resource's number.
         prefix: The prefix's number, see ``sparloom.load_balancing.parse_parts``.
-        tokens: The length of its last part.
+        tokens: Length of its last part in tokens.
     """
 
     resource: UInt64
@@ -84,15 +87,15 @@
 
 @record(81)
 class InFlightUpdate(Record):
-    """All that a node has in flight, and the long prefixes that it sent out since its last update.
+    """A node's requests in flight, and the long prefixes that it sent to resources since its last update.
 
     Attributes:
         node: The node's internal HOST:PORT.
         instance_id: The node's instance, as in ``sparloom.membership.Peer``.
-        sequence: Rises with each update of the instance.
-        fleet_size: The number of nodes among which the sender divides limits.
-        reports: One for each resource with something in flight.
-        placements: Prefixes sent out since the last update.
+        sequence: Increases with each update of the instance.
+        fleet_size: Number of nodes among which the sender divides limits.
+        reports: One report for each resource with requests in flight.
+        placements: Prefixes sent to resources since the last update.
     """
 
     node: str
@@ -105,14 +108,14 @@
 
 @define(frozen=True, slots=True)
 class Call:
-    """What the callback learns of a request (the source's ``RequestInfo``).
+    """A finished or throttled request, as passed to the callback (``RequestInfo`` in the source).
 
     Attributes:
         resource: The resource's name.
-        count: Concurrent requests at the resource, this one included unless it was throttled.
-        duration: From acquiring the slot to its release.
-        throttled: Whether no bucket had a free slot, so that nothing was sent.
-        timed_out: Whether the timeout passed.
+        count: Number of concurrent requests at the resource, including this one unless it was throttled.
+        duration: Time from acquiring the slot to its release.
+        throttled: Whether the request was not sent because no bucket had a free slot.
+        timed_out: Whether the request timed out.
 
     >>> Call("r", 3, timedelta(seconds=1), False, False).count
     3
@@ -127,16 +130,16 @@
 
 @define(slots=True)
 class Slot:
-    """A request's slot in every bucket of a resource; released once.
+    """A request's slot in every bucket of a resource. It is released only once.
 
     Attributes:
-        counts: Where it was acquired.
+        counts: The counts from which it was acquired.
         resource: The resource's name.
         grant: Its timeout and count.
         started_at: When it was acquired.
         prefill_tokens: Prompt tokens whose prefill has not ended.
-        timed_out: Whether the timeout has passed; set by the caller.
-        open: Whether it is not released yet.
+        timed_out: Whether the request has timed out; set by the caller.
+        open: Whether it has not been released yet.
     """
 
     counts: InFlightCounts
@@ -164,7 +167,7 @@
             self.counts.release_slot(self, now)
 
     def on_prefilled(self, tokens: int) -> None:
-        """Takes tokens whose prefill has ended off the resource's load.
+        """Subtracts tokens whose prefill has ended from the resource's load.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
@@ -180,7 +183,7 @@
 
 @define(slots=True)
 class _PeerCounts:
-    """The newest update of one peer."""
+    """The latest update of one peer."""
 
     instance_id: int
     sequence: int
@@ -191,17 +194,17 @@
 
 @define(slots=True)
 class InFlightCounts:
-    """The in-flight counts of the whole fleet, as one node knows them.
+    """The in-flight counts of the whole fleet, as known to one node.
 
     Attributes:
-        stale: For how long a peer's last update counts.
-        callback: Called with a ``Call`` after each request, also a throttled one.
+        stale: How long a peer's last update counts.
+        callback: Called with a ``Call`` after each request, including throttled ones.
         own: This node's requests in flight, by resource.
         own_prefill_tokens: This node's prompt tokens awaiting prefill, by resource.
-        peers: The newest update of each peer, by its HOST:PORT.
-        callers: When each other process (HOST:PORT, instance id) last sent an update.
-        shared: The load of all others, by resource, where a relay sums it up;
-            None where peers send their updates directly.
+        peers: The latest update of each peer, by its HOST:PORT.
+        callers: Time of the last update from each other process (HOST:PORT, instance id).
+        shared: The load of all other nodes, by resource, if relays aggregate it;
+            None if peers send their updates directly.
 
     >>> from .buckets import Bucket
     >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
@@ -224,8 +227,8 @@
     _total: dict[str, ResourceLoad] = field(factory=dict)
     _total_valid_until: timedelta | None = None
 
-    def _others(self, resource: str, now: timedelta) -> ResourceLoad:
-        """The load of all other nodes at a resource."""
+    def _peer_load(self, resource: str, now: timedelta) -> ResourceLoad:
+        """Returns the load of all other nodes at a resource."""
         if self.shared is not None:
             return self.shared.get(resource, NO_LOAD)
         # The sum is cached until an update arrives or the oldest one in it becomes stale.
@@ -243,36 +246,36 @@
         self._total = total
 
     def count(self, resource: str, now: timedelta) -> int:
-        """Requests in flight at a resource across all nodes.
+        """Returns the number of requests in flight at a resource across all nodes.
 
         >>> InFlightCounts(timedelta(1)).count("r", timedelta(0))
         0
         """
-        return self.own.get(resource, 0) + self._others(resource, now)[CALLS]
+        return self.own.get(resource, 0) + self._peer_load(resource, now)[CALLS]
 
     def prefill_tokens(self, resource: str, now: timedelta) -> int:
-        """Prompt tokens at a resource that await prefill, across all nodes.
+        """Returns the prompt tokens that await prefill at a resource across all nodes.
 
         >>> InFlightCounts(timedelta(1)).prefill_tokens("r", timedelta(0))
         0
         """
-        return self.own_prefill_tokens.get(resource, 0) + self._others(resource, now)[PREFILL_TOKENS]
+        return self.own_prefill_tokens.get(resource, 0) + self._peer_load(resource, now)[PREFILL_TOKENS]
 
     def unresponsive(self, resource: str, now: timedelta) -> int:
-        """How many peers get no answer from a resource.
+        """Returns the number of peers that receive no response from a resource.
 
         >>> InFlightCounts(timedelta(1)).unresponsive("r", timedelta(0))
         0
         """
-        return self._others(resource, now)[UNRESPONSIVE]
+        return self._peer_load(resource, now)[UNRESPONSIVE]
 
     def outcomes(self, resource: str, now: timedelta) -> tuple[int, int, int]:
-        """What peers saw recently at a resource: successes, failures, and how many saw failures.
+        """Returns the peers' recent outcomes: successes, failures, and the number of peers that observed failures.
 
         >>> InFlightCounts(timedelta(1)).outcomes("r", timedelta(0))
         (0, 0, 0)
         """
-        load = self._others(resource, now)
+        load = self._peer_load(resource, now)
         return load[SUCCESSES], load[FAILURES], load[ACCUSERS]
 
     def acquire(
@@ -288,10 +291,10 @@
             resource: The resource's name.
             buckets: The resource's buckets, see ``pick``.
             now: The current monotonic time.
-            tokens: Prompt tokens that await prefill there.
+            tokens: The request's prompt tokens, which await prefill.
 
         Returns:
-            The slot, or None when the request is throttled; the callback is called then.
+            The slot, or None if the request is throttled; the callback is called in that case.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
@@ -311,7 +314,7 @@
         return Slot(self, resource, grant, now, tokens)
 
     def release_tokens(self, slot: Slot, tokens: int) -> None:
-        """Takes tokens whose prefill has ended off a resource's load.
+        """Subtracts tokens whose prefill has ended from a resource's load.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
@@ -324,7 +327,7 @@
         self.own_prefill_tokens[slot.resource] = max(0, self.own_prefill_tokens.get(slot.resource, 0) - tokens)
 
     def release_slot(self, slot: Slot, now: timedelta) -> None:
-        """Takes a slot off a resource's load; called by ``Slot.release``.
+        """Subtracts a slot from a resource's load; called by ``Slot.release``.
 
         >>> from .buckets import Bucket
         >>> start, buckets = timedelta(0), [Bucket(timedelta(seconds=1), 1)]
@@ -333,10 +336,10 @@
         >>> counts.release_slot(counts.acquire("r", buckets, start), start + timedelta(seconds=2))
         r 0:00:02
         """
-        left = self.own.get(slot.resource, 0) - 1
+        remaining = self.own.get(slot.resource, 0) - 1
         self.release_tokens(slot, slot.prefill_tokens)
-        if left > 0:
-            self.own[slot.resource] = left
+        if remaining > 0:
+            self.own[slot.resource] = remaining
         else:
             self.own.pop(slot.resource, None)
             self.own_prefill_tokens.pop(slot.resource, None)
@@ -347,12 +350,12 @@
             self.callback(call)
 
     def on_update(self, update: InFlightUpdate, now: timedelta, names: Mapping[int, str]) -> None:
-        """Stores a peer's update, unless a newer one of the same instance is known.
+        """Stores a peer's update unless it is older than the latest one of the same instance.
 
         Args:
             update: The update.
             now: When it was received.
-            names: Resource names by number; reports of other resources are dropped.
+            names: Resource names by number; reports of other resources are ignored.
 
         >>> counts = InFlightCounts(timedelta(seconds=3))
         >>> reports = [InFlightReport(7, 2, 0, 0, 0, 0, 0)]
@@ -369,7 +372,7 @@
         self._total_valid_until = None
 
     def note_callers(self, callers: Iterable[tuple[str, int]], now: timedelta) -> None:
-        """Notes processes (HOST:PORT, instance id) that run though their counts arrive only in sums.
+        """Records active processes (HOST:PORT, instance id) whose counts are received only as aggregates.
 
         >>> counts = InFlightCounts(timedelta(1)); counts.note_callers([("p", 1)], timedelta(0))
         >>> counts.processes(timedelta(0))
@@ -379,7 +382,7 @@
             self.callers[caller] = now
 
     def drop_node(self, node: str, instance_id: int | None = None) -> None:
-        """Releases all slots of a node that has ended, unless it runs now as the instance given.
+        """Drops the counts of a node's ended instance; keeps those of the instance given, which is running.
 
         >>> InFlightCounts(timedelta(1)).drop_node("p")
         """
@@ -387,11 +390,11 @@
             del self.peers[node]
             self._total_valid_until = None
 
-    def processes(self, now: timedelta, memory: timedelta = PROCESS_MEMORY) -> int:
-        """How many processes were active within ``memory``, this one included.
+    def processes(self, now: timedelta, ttl: timedelta = PROCESS_TTL) -> int:
+        """Returns the number of processes active within ``ttl``, including this one.
 
         >>> InFlightCounts(timedelta(1)).processes(timedelta(0))
         1
         """
-        self.callers = {caller: active_at for caller, active_at in self.callers.items() if now - active_at <= memory}
+        self.callers = {caller: active_at for caller, active_at in self.callers.items() if now - active_at <= ttl}
         return 1 + len(self.callers)
