--- a/sparloom/discovery/endpoints.py
+++ b/sparloom/discovery/endpoints.py
@@ -1,8 +1,8 @@
-"""Reads the platform's pages of runners and schedules the calls.
+"""Reads the platform's paginated list of runners, computes deltas between lists, and schedules the polls.
 
-Where roll-outs are in force, a runner of another version than the service's
-first one is listed under the name of its pool in place of that of its service.
-Whoever doesn't know of pools finds no such service, and sends it nothing.
+During roll-outs, a runner whose version differs from the service's first one is
+listed under the name of its pool instead of its service. A node that doesn't
+know about pools finds no service of that name and sends the runner no requests.
 """
 
 from __future__ import annotations
@@ -18,10 +18,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-PERIODS_PER_DRAIN = 4
+# Number of polls within the time that draining may take.
+POLLS_PER_DRAIN = 4
 # Calls are made at half the rate that the platform allows.
-RATE_MARGIN = 2
-# Stands between the names of a service and of a version; no name that an operator writes holds it.
+RATE_LIMIT_DIVISOR = 2
+# Separates service and version in the name of a pool. Names written by operators don't contain it.
 SEPARATOR = "\x1f"
 
 
@@ -44,7 +45,7 @@
 
 
 def version_of(pool: str) -> str:
-    """Return the version that a pool names; "" for the pool of the first version.
+    """Return the version of a pool; "" for the pool of the first version.
 
     >>> version_of("s")
     ''
@@ -57,13 +58,13 @@
     """A runner instance as the platform lists it.
 
     Attributes:
-        id: Names this instance; a restarted runner has another one.
-        service: The service that it belongs to.
+        id: Id of this instance; a restarted runner has a new id.
+        service: Its service, or the name of its pool.
         address: HOST:PORT for requests.
-        zone: Its failure domain, or empty.
-        slots: Requests that it runs at once; 0 where unknown.
-        draining: Whether it takes no new requests.
-        cold: For how many milliseconds it is still warming up; 0 when warm.
+        zone: Its failure domain; may be empty.
+        slots: Number of requests that it runs concurrently; 0 if unknown.
+        draining: Whether it accepts no new requests.
+        cold: Remaining warm-up time in milliseconds; 0 if warm.
     """
 
     id: str
@@ -75,7 +76,7 @@
     cold: UInt32
 
     def in_pool(self, pool: str) -> Endpoint:
-        """The same runner, listed under the name of a pool.
+        """Returns the same runner, listed under the name of a pool.
 
         >>> Endpoint("a", "s", "h:1", "z", 4, False, 0).in_pool("t").service
         't'
@@ -85,13 +86,13 @@
 
 @record(71)
 class EndpointList(Record):
-    """All runners, ordered by id, and the number of routers that share them."""
+    """All runners, sorted by id, and the number of routers that share them."""
 
     runners: list[Endpoint]
     fleet_size: UInt16
 
     def differs_from(self, old: EndpointList | None) -> bool:
-        """Whether anything but the remaining warm-up times has changed.
+        """Returns whether anything except the remaining warm-up times has changed.
 
         >>> EndpointList([], 1).differs_from(EndpointList([], 1))
         False
@@ -103,7 +104,7 @@
 
 @record(72)
 class EndpointDelta(Record):
-    """The change from one list to the next: runners added or changed, and ids of those removed."""
+    """The difference between two lists: added or changed runners, and the ids of removed ones."""
 
     fleet_size: UInt16
     updated: list[Endpoint]
@@ -111,7 +112,7 @@
 
 
 def _comparable(runner: Endpoint) -> Endpoint:
-    """The runner without its remaining warm-up time, which changes with every poll."""
+    """Returns the runner with its remaining warm-up time, which changes with every poll, reduced to 0 or 1."""
     if runner.cold <= 1:
         return runner
     return Endpoint(
@@ -120,7 +121,7 @@
 
 
 def delta(old: EndpointList, new: EndpointList) -> EndpointDelta:
-    """The change from one list to the next; a shorter remaining warm-up time alone is none.
+    """Returns the difference between two lists; a different remaining warm-up time alone is not a change.
 
     >>> runner = Endpoint("a", "s", "h:1", "z", 4, False, 0)
     >>> delta(EndpointList([runner], 1), EndpointList([], 2))
@@ -136,37 +137,37 @@
 
 
 def apply_delta(old: EndpointList, change: EndpointDelta) -> EndpointList:
-    """The list that results from applying a change to another.
+    """Returns the list that results from applying a delta to a list.
 
     >>> apply_delta(EndpointList([], 1), EndpointDelta(2, [], ["a"]))
     EndpointList(runners=[], fleet_size=2)
     """
-    kept = {runner.id: runner for runner in old.runners if runner.id not in change.removed}
-    return EndpointList(_ordered(kept | _by_id(change.updated)), change.fleet_size)
+    retained = {runner.id: runner for runner in old.runners if runner.id not in change.removed}
+    return EndpointList(_sorted_by_id(retained | _by_id(change.updated)), change.fleet_size)
 
 
 def versions_listed(runners: Iterable[Endpoint]) -> dict[str, set[str]]:
-    """The versions of each service in a list that was read by version.
+    """Returns the versions of each service in a list that was read with ``by_version``.
 
     >>> versions_listed([Endpoint("a", pool_name("s", "v1"), "h:1", "z", 4, False, 0)])
     {'s': {'v1'}}
     """
-    found: dict[str, set[str]] = {}
+    versions: dict[str, set[str]] = {}
     for runner in runners:
-        found.setdefault(service_of(runner.service), set()).add(version_of(runner.service))
-    return found
+        versions.setdefault(service_of(runner.service), set()).add(version_of(runner.service))
+    return versions
 
 
 def _by_id(runners: Iterable[Endpoint]) -> dict[str, Endpoint]:
     return {runner.id: runner for runner in runners}
 
 
-def _ordered(runners: dict[str, Endpoint]) -> list[Endpoint]:
+def _sorted_by_id(runners: dict[str, Endpoint]) -> list[Endpoint]:
     return [runners[id] for id in sorted(runners)]
 
 
 def _endpoint(instance: dict[str, Any], by_version: bool) -> Endpoint:
-    """A runner from its JSON object; raises ``KeyError``, ``TypeError`` or ``ValueError``."""
+    """Converts a runner's JSON object; raises ``KeyError``, ``TypeError`` or ``ValueError``."""
     service = instance["service"]
     return Endpoint(
         instance["runnerId"],
@@ -180,16 +181,16 @@
 
 
 def read_page(document: Any, by_version: bool = False) -> Result[tuple[list[Endpoint], str | None], str]:
-    """Reads a page of the platform's list.
+    """Parses a page of the platform's list.
 
     Args:
-        document: The page.
-        by_version: Whether each runner is given the pool of its service and version for its service.
+        document: The page as parsed JSON.
+        by_version: Whether to list each runner under the pool of its service and version.
 
     Returns:
-        The runners and the token of the next page, None on the last one. The
-        token must be present, so that a truncated list isn't taken for a
-        complete one. A failure says what can't be read.
+        The runners and the token of the next page (None on the last page), or a
+        failure with an error message. The token must be present, so that a
+        truncated list is not mistaken for a complete one.
 
     >>> read_page({"instances": [], "nextPageToken": None}).unwrap()
     ([], None)
@@ -207,11 +208,11 @@
 
 @define(slots=True)
 class PageAssembler:
-    """Assembles a list from its pages.
+    """Assembles the list of runners from its pages.
 
     Attributes:
-        runners: Runners of the pages so far.
-        token: Names the page to request next; None: the first.
+        runners: Runners of the pages received so far.
+        token: Token of the next page to request; None for the first page.
 
     >>> pages = PageAssembler(); pages.add([], "t"), pages.add([], None)
     (None, EndpointList(runners=[], fleet_size=0))
@@ -231,17 +232,17 @@
         if token is not None:
             return None
         complete, self.runners = _by_id(self.runners), []
-        return EndpointList(_ordered(complete), 0)
+        return EndpointList(_sorted_by_id(complete), 0)
 
 
 @define(slots=True)
 class PollSchedule:
-    """When the next call may be made: within the rate limit, and often enough to notice draining.
+    """Schedules calls within the platform's rate limit, and often enough to notice draining runners.
 
     Attributes:
-        period: From the first page of one list to that of the next.
-        minimum_interval: From one call to the next.
-        next_call: When the next call may be made.
+        period: Time between the requests for the first pages of two successive lists.
+        minimum_interval: Minimum time between two calls.
+        next_call: Earliest time of the next call.
         round_started_at: When the first page of the current list was requested.
 
     >>> PollSchedule.of(40.0, timedelta(seconds=3)).period
@@ -255,21 +256,21 @@
 
     @classmethod
     def of(cls, rate: float, drain: timedelta) -> PollSchedule:
-        """A schedule from the platform's rate limit (calls per second) and the time that draining may take.
+        """Returns the schedule for a rate limit (calls per second) and the time that draining may take.
 
         >>> PollSchedule.of(1.0, timedelta(seconds=1)).period
         datetime.timedelta(seconds=2)
         """
-        minimum = timedelta(seconds=RATE_MARGIN / rate)
-        return cls(max(drain / PERIODS_PER_DRAIN, minimum), minimum)
+        minimum = timedelta(seconds=RATE_LIMIT_DIVISOR / rate)
+        return cls(max(drain / POLLS_PER_DRAIN, minimum), minimum)
 
     def on_response(self, now: timedelta, more_pages: bool, throttled: bool = False) -> None:
         """Schedules the next call after one has ended.
 
         Args:
-            now: When it ended.
-            more_pages: Whether more pages of the list follow.
-            throttled: Whether the platform rejected the call as over its rate limit.
+            now: When the call ended.
+            more_pages: Whether the list has more pages.
+            throttled: Whether the platform rejected the call because of its rate limit.
 
         >>> schedule = PollSchedule.of(40.0, timedelta(seconds=3))
         >>> schedule.on_response(timedelta(0), True)
