--- a/sparloom/isolation/__init__.py
+++ b/sparloom/isolation/__init__.py
@@ -1,6 +1,6 @@
-"""Tenant isolation: which runner instances may serve which member's prompt."""
+"""Tenant isolation: restricts which runner instances may serve a member's prompt."""
 
-from .generation import COMMON, Generation, Isolation, part_ids
+from .generation import UNDECLARED, Generation, Isolation, part_ids
 from .settings import parse_isolation
 
-__all__ = ["COMMON", "Generation", "Isolation", "parse_isolation", "part_ids"]
+__all__ = ["UNDECLARED", "Generation", "Isolation", "parse_isolation", "part_ids"]
--- a/sparloom/isolation/settings.py
+++ b/sparloom/isolation/settings.py
@@ -1,4 +1,4 @@
-"""Parses the section ``isolation`` of the settings file."""
+"""Parses the section ``isolation`` of the settings file into an ``Isolation``."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from sparloom.errors import SparloomError
 
-from .generation import COMMON, Generation, Isolation, part_ids
+from .generation import UNDECLARED, Generation, Isolation, part_ids
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -24,7 +24,7 @@
 
         @property
         def reserve(self) -> float:
-            """Its reserved share of the capacity, from 0 to 1."""
+            """Its reserved fraction of the capacity, from 0 to 1."""
             ...
 
 
@@ -32,10 +32,10 @@
 
 
 class IsolationSettingsError(SparloomError):
-    """Isolation settings that can't be used; its text is the sentence to print."""
+    """Raised for invalid isolation settings; its text is the error message for the operator."""
 
 
-def _key(value: Any, path: str) -> bytes:
+def _parse_key(value: Any, path: str) -> bytes:
     try:
         key = bytes.fromhex(value)
     except (TypeError, ValueError):
@@ -47,48 +47,50 @@
     return key
 
 
-def _public(value: Any, path: str) -> frozenset[str]:
+def _parse_public(value: Any, path: str) -> frozenset[str]:
     if not isinstance(value, list):
         raise IsolationSettingsError(f"{path}.public must be a list of ids of parts.")
-    ids = [part_ids(f"{id}:0") for id in value]
-    if any(len(one) != 1 or one[0].endswith(":0") for one in ids):
-        raise IsolationSettingsError(f"{path}.public must hold ids of parts, in hexadecimal digits.")
-    return frozenset(one[0] for one in ids)
-
-
-def _weights(reserves: Mapping[str, float], path: str) -> tuple[tuple[str, float], ...]:
-    """Each member's weight: its reserve and an equal share of what is not reserved; that share alone for ``COMMON``."""
-    spare = (1 - sum(reserves.values())) / (len(reserves) + 1)
-    weights = {**{name: reserve + spare for name, reserve in reserves.items()}, COMMON: spare}
-    without = [name or "no member" for name, weight in weights.items() if weight <= 0]
-    if without:
-        raise IsolationSettingsError(f"{path}: the reserves leave no runner to prompts of {', '.join(without)}.")
+    parsed = [part_ids(f"{id}:0") for id in value]
+    if any(len(ids) != 1 or ids[0].endswith(":0") for ids in parsed):
+        raise IsolationSettingsError(f"{path}.public must contain ids of parts, in hexadecimal digits.")
+    return frozenset(ids[0] for ids in parsed)
+
+
+def _member_weights(reserves: Mapping[str, float], path: str) -> tuple[tuple[str, float], ...]:
+    """Returns each member's weight: its reserve plus an equal share of the rest; ``UNDECLARED`` has no reserve."""
+    unreserved_share = (1 - sum(reserves.values())) / (len(reserves) + 1)
+    weights = {**{name: reserve + unreserved_share for name, reserve in reserves.items()}, UNDECLARED: unreserved_share}
+    without_runners = [name or "undeclared members" for name, weight in weights.items() if weight <= 0]
+    if without_runners:
+        raise IsolationSettingsError(
+            f"{path}: the reserves leave no runners for prompts of {', '.join(without_runners)}."
+        )
     return tuple(sorted(weights.items()))
 
 
-def _reserves(value: Any, path: str) -> dict[str, float]:
+def _parse_reserves(value: Any, path: str) -> dict[str, float]:
     if not isinstance(value, dict) or not value:
-        raise IsolationSettingsError(f"{path}.members must be a table of the members' reserves as they were.")
+        raise IsolationSettingsError(f"{path}.members must be a table of the members' reserves before the change.")
     for name, reserve in value.items():
         if type(reserve) not in (int, float) or not 0 <= reserve <= 1:
             raise IsolationSettingsError(f"{path}.members.{name} must be a number from 0 to 1.")
     return {name: float(reserve) for name, reserve in value.items()}
 
 
-def _generation(table: Mapping[str, Any], reserves: Mapping[str, float], path: str) -> Generation:
-    key, public = _key(table.get("key"), path), _public(table.get("public", []), path)
+def _parse_generation(table: Mapping[str, Any], reserves: Mapping[str, float], path: str) -> Generation:
+    key, public = _parse_key(table.get("key"), path), _parse_public(table.get("public", []), path)
     division = table.get("division", "")
     if not isinstance(division, str):
-        raise IsolationSettingsError(f"{path}.division must be a text.")
-    return Generation(key, _weights(reserves, path), public, division)
+        raise IsolationSettingsError(f"{path}.division must be a string.")
+    return Generation(key, _member_weights(reserves, path), public, division)
 
 
-def _earlier(tables: Any) -> list[Generation]:
+def _parse_previous_generations(tables: Any) -> list[Generation]:
     if not isinstance(tables, list) or not all(isinstance(table, dict) for table in tables):
         raise IsolationSettingsError("isolation.before must be a list of tables.")
     paths = [f"isolation.before[{number}]" for number in range(len(tables))]
     return [
-        _generation(table, _reserves(table.get("members"), path), path)
+        _parse_generation(table, _parse_reserves(table.get("members"), path), path)
         for table, path in zip(tables, paths, strict=True)
     ]
 
@@ -97,17 +99,17 @@
     """Parses the optional section ``isolation``.
 
     Args:
-        table: The section, or None where there is none.
+        table: The section, or None if it is absent.
         members: The declared members.
 
     Returns:
-        The isolation settings, None without a section, or a failure with the sentence to print.
+        The isolation settings (None without a section), or a failure with an error message.
 
     >>> from types import SimpleNamespace
-    >>> one = SimpleNamespace(name="a", reserve=0.5)
-    >>> parse_isolation({"key": "00" * 32}, [one]).unwrap().newest.weights
+    >>> member = SimpleNamespace(name="a", reserve=0.5)
+    >>> parse_isolation({"key": "00" * 32}, [member]).unwrap().newest.weights
     (('', 0.25), ('a', 0.75))
-    >>> parse_isolation({"key": "short"}, [one]).failure()
+    >>> parse_isolation({"key": "short"}, [member]).failure()
     'isolation.key must be 32 to 128 hexadecimal digits.'
     >>> parse_isolation({"key": "00" * 32}, []).failure()
     'isolation needs declared members.'
@@ -119,7 +121,7 @@
     if not members:
         return Failure("isolation needs declared members.")
     try:
-        newest = _generation(table, {member.name: member.reserve for member in members}, "isolation")
-        return Success(Isolation((newest, *_earlier(table.get("before", [])))))
+        newest = _parse_generation(table, {member.name: member.reserve for member in members}, "isolation")
+        return Success(Isolation((newest, *_parse_previous_generations(table.get("before", [])))))
     except IsolationSettingsError as error:
         return Failure(str(error))
