--- a/sparloom/event_stream/__init__.py
+++ b/sparloom/event_stream/__init__.py
@@ -1,4 +1,4 @@
-"""Server-sent events: splitting, and resuming a stream at another runner."""
+"""Server-sent events: splits a byte stream into events, and resumes a stream at another runner."""
 
 from .events import EventSplitter, ResumableStream, event_id
 
--- a/sparloom/event_stream/events.py
+++ b/sparloom/event_stream/events.py
@@ -1,4 +1,4 @@
-"""Splits server-sent events from bytes, and joins streams that are resumed at another runner."""
+"""Splits a byte stream into server-sent events, and joins a stream that is resumed at another runner."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def event_id(event: bytes) -> str | None:
-    """The id of an event, or None.
+    """Returns the id of an event, or None.
 
     >>> event_id(b"id: 7\\ndata: x\\n\\n")
     '7'
@@ -25,7 +25,7 @@
     """Splits a byte stream at blank lines.
 
     Attributes:
-        rest: Bytes of an event that is not complete yet.
+        rest: Bytes of the incomplete last event.
 
     >>> splitter = EventSplitter()
     >>> splitter.feed(b"id: 1\\n\\nid:"), splitter.rest
@@ -35,7 +35,7 @@
     rest: bytes = b""
 
     def feed(self, raw: bytes) -> list[bytes]:
-        """Adds bytes; returns the events that are complete now.
+        """Adds bytes and returns the events that they complete.
 
         >>> EventSplitter().feed(b"a\\n\\nb\\n\\n")
         [b'a\\n\\n', b'b\\n\\n']
@@ -50,12 +50,12 @@
 
 @define(slots=True)
 class ResumableStream:
-    """Which events the client has received, so that a later runner's stream continues after them.
+    """Tracks the forwarded events, so that the stream of another runner continues after them.
 
     Attributes:
         last_event_id: The id of the last event forwarded.
-        has_gap: Whether an event is missing, so that the stream can't be continued.
-        step: The difference between successive numeric ids, once known.
+        has_gap: Whether an event is missing, so that the stream can't be resumed.
+        step: Difference between successive numeric ids; None until two are known.
 
     >>> stream = ResumableStream()
     >>> stream.accept(b"id: 1\\n\\n"), stream.last_event_id
@@ -69,7 +69,7 @@
     step: int | None = None
 
     def accept(self, event: bytes) -> bool:
-        """Whether to forward an event; sets ``has_gap`` when one before it is missing.
+        """Returns whether to forward an event; sets ``has_gap`` if a preceding event is missing.
 
         >>> ResumableStream().accept(b": note\\n\\n")
         True
--- a/sparloom/prefix_cache/__init__.py
+++ b/sparloom/prefix_cache/__init__.py
@@ -1,4 +1,4 @@
-"""Which runner probably caches which long prefix, remembered for routers that start."""
+"""Placements of long prefixes at runners, stored by controllers for routers that start."""
 
 from .memory import PlacementQuery, PlacementTable, PrefixPlacements
 
--- a/sparloom/prefix_cache/memory.py
+++ b/sparloom/prefix_cache/memory.py
@@ -1,4 +1,4 @@
-"""A table of long prefixes and the runners that they were sent to, and the messages to fill and query it."""
+"""``PlacementTable`` records which runners long prefixes were sent to; two messages fill and query it."""
 
 from __future__ import annotations
 
@@ -15,42 +15,44 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+# Maximum number of placements in a table.
 MAXIMUM_PLACEMENTS = 1024
+# Number of placements that fit into one datagram.
 PLACEMENTS_PER_DATAGRAM = 48
 
-# On disk: a CRC-32 of the rest, then for each placement its resource, prefix and tokens.
-_ITEM, _CHECKSUM = Struct("!QQI"), Struct("!I")
+# File format: a CRC-32 of the rest, then resource, prefix and tokens of each placement.
+_PLACEMENT, _CHECKSUM = Struct("!QQI"), Struct("!I")
 
 
 @record(95)
 class PrefixPlacements(Record):
-    """Long prefixes and the runner instances (by number) that they were sent to."""
+    """Long prefixes with the numbers of the runner instances that they were sent to."""
 
     placements: list[PrefixPlacement]
 
 
 @record(96)
 class PlacementQuery(Record):
-    """A router that has started requests all placements; ``key`` is its internal HOST:PORT."""
+    """A started router's request for all placements; ``key`` is its internal HOST:PORT."""
 
     key: str
 
 
 @define(slots=True)
 class PlacementTable:
-    """Placements of prefixes, the least recently used evicted first; hints, never guaranteed.
+    """Placements of prefixes with LRU eviction. They are hints: the runner may have evicted the prefix.
 
-    A runner's number is that of one instance, so placements of an instance
-    that has ended match nothing and are evicted in time.
+    A runner's number identifies one instance. Placements of an ended instance
+    match no runner and are eventually evicted.
 
     Attributes:
-        maximum: How many placements are stored.
-        items: Tokens by (runner number, prefix), the least recently used first.
-        changed: Whether a placement was added since the owner last cleared it.
+        maximum: Maximum number of placements.
+        items: Tokens by (runner number, prefix), least recently used first.
+        changed: Whether placements were added since the owner last cleared this flag.
 
     >>> table = PlacementTable(2)
     >>> table.add([PrefixPlacement(7, 1, 2000), PrefixPlacement(8, 2, 3000), PrefixPlacement(7, 3, 1000)])
-    >>> [(found.resource, found.prefix, found.tokens) for found in table.to_records()[0].placements]
+    >>> [(item.resource, item.prefix, item.tokens) for item in table.to_records()[0].placements]
     [(7, 3, 1000), (8, 2, 3000)]
     """
 
@@ -75,9 +77,9 @@
         self.changed = self.changed or bool(placements)
 
     def to_records(self, per_record: int = PLACEMENTS_PER_DATAGRAM) -> list[PrefixPlacements]:
-        """All placements as records that fit into datagrams, newest first; at least one, empty if need be.
+        """Returns all placements, newest first, as records that fit into datagrams; at least one, which may be empty.
 
-        >>> [len(answer.placements) for answer in PlacementTable().to_records()]
+        >>> [len(record.placements) for record in PlacementTable().to_records()]
         [0]
         """
         newest_first = reversed(self.items.items())
@@ -86,26 +88,26 @@
         return [PrefixPlacements(placements[start : start + per_record]) for start in starts]
 
     def pack(self) -> bytes:
-        """The table as bytes for a file: a checksum, then the placements.
+        """Serializes the table for a file: a checksum, then the placements.
 
         >>> table = PlacementTable()
         >>> table.add([PrefixPlacement(7, 1, 2000)])
         >>> PlacementTable.unpack(table.pack()).items
         OrderedDict([((7, 1), 2000)])
         """
-        body = b"".join(_ITEM.pack(resource, prefix, tokens) for (resource, prefix), tokens in self.items.items())
+        body = b"".join(_PLACEMENT.pack(resource, prefix, tokens) for (resource, prefix), tokens in self.items.items())
         return _CHECKSUM.pack(zlib.crc32(body)) + body
 
     @staticmethod
     def unpack(raw: bytes, maximum: int = MAXIMUM_PLACEMENTS) -> PlacementTable:
-        """The table in some bytes; an empty one where they are truncated or corrupt.
+        """Deserializes a table; returns an empty one if the bytes are truncated or corrupt.
 
         >>> PlacementTable.unpack(b"torn").items
         OrderedDict()
         """
         table, body = PlacementTable(maximum), raw[_CHECKSUM.size :]
-        complete = len(raw) >= _CHECKSUM.size and len(body) % _ITEM.size == 0
+        complete = len(raw) >= _CHECKSUM.size and len(body) % _PLACEMENT.size == 0
         if complete and _CHECKSUM.unpack_from(raw)[0] == zlib.crc32(body):
-            table.add([PrefixPlacement(*item) for item in _ITEM.iter_unpack(body)])
+            table.add([PrefixPlacement(*item) for item in _PLACEMENT.iter_unpack(body)])
             table.changed = False
         return table
--- a/tests/event_stream/test_events.py
+++ b/tests/event_stream/test_events.py
@@ -1,4 +1,4 @@
-"""Server-sent events are split completely and forwarded in order, once each."""
+"""Tests that server-sent events are split at any chunk boundary and forwarded in order without duplicates."""
 
 import random
 import unittest
@@ -7,7 +7,7 @@
 
 
 def stream(start, stop):
-    return [b"id: %d\ndata: x%d\n\n" % (i, i) for i in range(start, stop)]
+    return [b"id: %d\ndata: x%d\n\n" % (number, number) for number in range(start, stop)]
 
 
 class Events(unittest.TestCase):
@@ -22,7 +22,7 @@
                 start += size
             self.assertEqual((received, splitter.rest), (events, b""))
 
-    def test_line_ends_of_all_kinds(self):
+    def test_crlf_and_lf_line_endings(self):
         self.assertEqual(EventSplitter().feed(b"id:1\r\n\r\nid:2\n\n"), [b"id:1\r\n\r\n", b"id:2\n\n"])
         self.assertEqual(event_id(b"event: a\r\nid:9\r\n\r\n"), "9")
 
