--- a/sparloom/admission/controller.py
+++ b/sparloom/admission/controller.py
@@ -59,7 +59,7 @@
 
 @define(frozen=True, slots=True)
 class Rejected:
-    """The request can't be served before its deadline; the client may retry after ``retry_after``."""
+    """The request can't be served in time; the client may retry after ``retry_after``."""
 
     id: int
     retry_after: timedelta
--- a/sparloom/admission/fleet_size.py
+++ b/sparloom/admission/fleet_size.py
@@ -36,7 +36,7 @@
     recorded : the largest number that the control state has recorded.
     divisor : the number by which the capacity is divided.
     index : this router's position among the known routers, in an order that is the same on all routers.
-    positions : number of routers that have a position. Recently failed routers
+    known_routers : number of routers that have a position. Recently failed routers
         keep theirs, so that a partition doesn't shift the others' positions.
     admitting : whether this router may admit requests.
     admitting_since : when ``update`` last found that it may; None before.
@@ -50,7 +50,7 @@
     recorded: int = 0
     divisor: int = 1
     index: int = 0
-    positions: int = 0
+    known_routers: int = 0
     admitting: bool = True
     admitting_since: timedelta | None = None
 
@@ -61,12 +61,12 @@
         recorded: int,
         peer_divisors: Mapping[str, int],
         index: int = 0,
-        known: int = 0,
+        known_routers: int = 0,
     ) -> None:
         """Applies the number of routers observed (self included), the recorded number and the peers' divisors.
 
-        ``index`` is this router's position among the ``known`` routers, in an order that is the same on all routers.
-        ``known`` includes this router and recently failed ones.
+        ``index`` is this router's position among the ``known_routers``, in an order that is the same on all routers.
+        ``known_routers`` includes this router and recently failed ones.
 
         >>> fleet_size = FleetSize(timedelta(seconds=3))
         >>> fleet_size.update(timedelta(0), 3, 2, {"a": 2, "b": 2}); fleet_size.admitting
@@ -75,7 +75,7 @@
         True
         """
         self.recorded, self.index = max(self.recorded, recorded), index
-        self.positions = max(known, routers)
+        self.known_routers = max(known_routers, routers)
         self.observations.append((now, routers))
         while now - self.observations[0][0] > 2 * self.contact_bound:
             self.observations.popleft()
@@ -128,6 +128,6 @@
         [2, 2, 1, 2]
         """
         granted = int(total * (1 - UNGRANTED_FRACTION))
-        position_count = max(self.divisor, self.positions)
+        position_count = max(self.divisor, self.known_routers)
         each, remainder = divmod(granted, position_count)
         return each + ((self.index + salt) % position_count < remainder)
--- a/sparloom/dynamic_timeout/counts.py
+++ b/sparloom/dynamic_timeout/counts.py
@@ -350,7 +350,7 @@
             self.callback(call)
 
     def on_update(self, update: InFlightUpdate, now: timedelta, names: Mapping[int, str]) -> None:
-        """Stores a peer's update unless it is older than the latest one of the same instance.
+        """Stores a peer's update; ignores it if an update of the same instance is as new or newer.
 
         Args:
             update: The update.
@@ -382,7 +382,7 @@
             self.callers[caller] = now
 
     def drop_node(self, node: str, instance_id: int | None = None) -> None:
-        """Drops the counts of a node's ended instance; keeps those of the instance given, which is running.
+        """Drops the counts of a node that has ended; keeps those of the running instance ``instance_id``.
 
         >>> InFlightCounts(timedelta(1)).drop_node("p")
         """
--- a/sparloom/load_balancing/cached_prefixes.py
+++ b/sparloom/load_balancing/cached_prefixes.py
@@ -85,7 +85,7 @@
             self.used -= self.prefixes.popitem(last=False)[1]
 
     def add_recalled(self, prefix: int, tokens: int) -> None:
-        """Adds a part from before this router started, as the least recently used, if capacity is left.
+        """Adds a part that was sent before all known ones, as the least recently used, if capacity is left.
 
         >>> cached = CachedPrefixes(10)
         >>> cached.add((("a", 6),))
--- a/sparloom/load_balancing/zone_reachability.py
+++ b/sparloom/load_balancing/zone_reachability.py
@@ -42,7 +42,7 @@
 
 @define(eq=False, slots=True)
 class AwaitedSign:
-    """A call that wait_starts for its runner to open a connection or send data.
+    """A call that waits for its runner to open a connection or send data.
 
     Attributes
     ----------
--- a/sparloom/prefix_cache/memory.py
+++ b/sparloom/prefix_cache/memory.py
@@ -17,7 +17,7 @@
 
 # Maximum number of placements in a table.
 MAXIMUM_PLACEMENTS = 1024
-# Number of placements that fit into one datagram.
+# Maximum number of placements per datagram.
 PLACEMENTS_PER_DATAGRAM = 48
 
 # File format: a CRC-32 of the rest, then resource, prefix and tokens of each placement.
@@ -40,7 +40,7 @@
 
 @define(slots=True)
 class PlacementTable:
-    """Placements of prefixes with LRU eviction. They are hints: the runner may have evicted the prefix.
+    """Placements of prefixes with LRU eviction. They are hints without a guarantee.
 
     A runner's number identifies one instance. Placements of an ended instance
     match no runner and are eventually evicted.
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -268,7 +268,7 @@
         self.assertTrue(all(fleet.fleet_sizes[fleet.nodes[name].instance_id].admitting for name in fleet.running()))
 
     def test_joining_routers_wait_for_all_peers_with_a_relay_tier(self):
-        """Up to six routers join at once; the sum of the shares stays below the total less an eighth."""
+        """Up to six routers join at once; the sum of the shares does not exceed seven eighths of the total."""
         self.check_relay_tier(1, 4, 960 * 7 // 8, lambda fleet, rng: [fleet.join() for _ in range(rng.randrange(1, 7))])
 
     def test_the_shares_never_exceed_the_total_with_a_relay_tier_crashes_and_partitions(self):
--- a/tests/load_balancing/test_rank.py
+++ b/tests/load_balancing/test_rank.py
@@ -8,7 +8,7 @@
 from tests.support.load_balancing_fleet import Fleet
 from tests.support.router_fixture import Rig
 
-# Weights with little preference for cached prefixes, for comparison.
+# Weights with a weaker preference for cached prefixes and warm runners, for comparison.
 BASELINE = Weights(recompute=0.6, home=1.0, same_zone=48, warm=0)
 
 
