--- a/sparloom/configuration/__init__.py
+++ b/sparloom/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: checked, patched, compared and looked up."""
+"""The operators' configuration: validation, patches, deltas and the snapshot that routers look routes up in."""
 
 from .additions import (
     ROLLOUTS,
--- a/sparloom/configuration/additions.py
+++ b/sparloom/configuration/additions.py
@@ -1,7 +1,9 @@
-"""What the control state adds to the operators' configuration: the feed carries all of it in one document.
+"""Additions: the parts of the published configuration that come from the control state instead of the operators.
 
-Each addition has a key of its own. A key that stands in what operators send
-means nothing, and programs that don't know a key leave it alone.
+The feed carries the operators' configuration and all additions in one
+document. Each addition has its own top-level key. Such a key is ignored in a
+document that an operator submits, and a program ignores keys that it doesn't
+know.
 """
 
 from __future__ import annotations
@@ -13,7 +15,8 @@
 
     from .check import ConfigurationDocument
 
-# Zones whose runners are to be sent nothing, the roll-outs of services, and the routers that share rates.
+# Top-level keys of the additions: zones whose runners get no requests, roll-outs of services, and the routers
+# that share a rate.
 EVACUATED_ZONES = "evacuatedZones"
 ROLLOUTS = "rollouts"
 RATE_HOLDERS = "rateHolders"
@@ -21,7 +24,7 @@
 
 
 def operators_part(document: ConfigurationDocument) -> ConfigurationDocument:
-    """The document without any addition.
+    """Return a document without its additions.
 
     Examples
     --------
@@ -32,19 +35,19 @@
 
 
 def with_additions(document: ConfigurationDocument, additions: Mapping[str, Any]) -> ConfigurationDocument:
-    """The operators' part of a document with these additions and no others; empty ones are left out.
+    """Return a document with its additions replaced by the given ones; empty ones are omitted.
 
     Examples
     --------
     >>> with_additions({"revision": 1, "rollouts": [1]}, {"evacuatedZones": ["z"], "rollouts": []})
     {'revision': 1, 'evacuatedZones': ['z']}
     """
-    found = {key: additions[key] for key in ADDITIONS if additions.get(key)}
-    return {**operators_part(document), **found}
+    present = {key: additions[key] for key in ADDITIONS if additions.get(key)}
+    return {**operators_part(document), **present}
 
 
 def additions_of(document: ConfigurationDocument) -> dict[str, Any]:
-    """The additions in a document, an empty list for each that it lacks.
+    """Return the additions of a document, with an empty list for each missing one.
 
     Examples
     --------
@@ -55,7 +58,7 @@
 
 
 def changed_additions(old: ConfigurationDocument, new: ConfigurationDocument) -> dict[str, Any]:
-    """The additions of a document that differ from those of an earlier one.
+    """Return the additions of a document that differ from those of an earlier one.
 
     Examples
     --------
@@ -67,7 +70,7 @@
 
 
 def patched_additions(old: ConfigurationDocument, patch: Mapping[str, Any]) -> dict[str, Any]:
-    """The additions after a patch of the feed, which names those that have changed.
+    """Return the additions after a patch from the feed, which contains only the changed ones.
 
     Examples
     --------
@@ -79,7 +82,7 @@
 
 
 def evacuated_zones_addition(zones: Iterable[str]) -> dict[str, Any]:
-    """The addition that tells of evacuated zones.
+    """Return the addition that lists the evacuated zones.
 
     Examples
     --------
@@ -90,7 +93,7 @@
 
 
 def evacuated_zones(document: ConfigurationDocument) -> frozenset[str]:
-    """The zones whose runners are to be sent nothing.
+    """Return the evacuated zones, whose runners get no requests.
 
     Examples
     --------
--- a/sparloom/configuration/check.py
+++ b/sparloom/configuration/check.py
@@ -1,7 +1,8 @@
-"""Checks a configuration document; a fault is described in one sentence.
+"""Validates a configuration document and describes the first fault in one sentence.
 
-The sentences go out over HTTP. Those of the schema library show the name of a
-failed condition, so the conditions of the schemas stay lambdas.
+The sentences are sent to clients over HTTP. The schema library puts the name
+of a failed condition into its message, so the conditions of the schemas must
+stay lambdas.
 """
 
 from __future__ import annotations
@@ -19,17 +20,18 @@
 # A JSON object: a whole configuration, or the body of a PATCH.
 ConfigurationDocument = dict[str, Any]
 
-# The lists of a configuration whose items have names, so that a PATCH can change them one by one.
+# The lists whose items have names; a PATCH changes their items by name.
 NAMED_LISTS = ("routes", "services", "tenants")
 
-# Beyond this many milliseconds a duration is no timedelta; it also excludes a number that was read as infinite.
+# Upper bound of every number. It keeps durations in milliseconds within the range of a timedelta, and it rejects
+# JSON literals that parse as infinity.
 MAXIMUM_NUMBER = 1e12
-# The control state stores a revision in eight bytes.
+# Largest revision: the control state stores it in eight bytes.
 MAXIMUM_REVISION = 2**63 - 1
-# Characters of a sentence from the schema library.
-_MAXIMUM_DETAIL = 200
+# Longest message of the schema library that is passed on, in characters.
+_MAXIMUM_DETAIL_LENGTH = 200
 
-# The library's types allow only callables in ``And``; it takes schemas too.
+# The library's type hints allow only callables in ``And``, but it accepts schemas too.
 _ANY_NUMBER: Any = Or(int, float)
 _NUMBER: Any = And(_ANY_NUMBER, lambda value: type(value) is not bool and value <= MAXIMUM_NUMBER)
 _INTEGER: Any = And(int, lambda value: type(value) is not bool)
@@ -66,12 +68,12 @@
         Optional("connectionLimit"): And(_INTEGER, lambda value: value > 0),
         Optional("coldPerS"): And(_NUMBER, lambda value: value >= 0),
         Optional("engine"): Or(
-            None, And(dict, lambda engine: _has_numbers(engine), error="engine: slots, cacheTokens")
+            None, And(dict, lambda engine: _has_valid_numbers(engine), error="engine: slots, cacheTokens")
         ),
         Optional("scaling"): And(
             object,
             lambda scaling: _is_scaling(scaling),
-            error="scaling must name minimum and maximum, whole numbers of runners in a zone",
+            error="scaling must name minimum and maximum as integers (runners per zone)",
         ),
         Optional(str): object,
     }
@@ -87,7 +89,7 @@
 )
 
 
-# The priority of a tenant goes before that of a route.
+# The priority of a tenant overrides that of a route.
 TENANT = Schema(
     {
         "name": _NAME,
@@ -98,8 +100,8 @@
 )
 
 
-def _is_instance(kind: type) -> Callable[[Any], bool]:
-    return lambda value: type(value) is kind
+def _is_instance(expected: type) -> Callable[[Any], bool]:
+    return lambda value: type(value) is expected
 
 
 def _is_name(value: Any) -> bool:
@@ -118,13 +120,13 @@
     return lambda value: type(value) is int and value >= minimum
 
 
-def _has_numbers(engine: dict[str, Any]) -> bool:
-    """Whether the figures that routers read of an engine are numbers, where they are given."""
+def _has_valid_numbers(engine: dict[str, Any]) -> bool:
+    """Return whether the engine fields that routers read are numbers where present."""
     return all(engine.get(key) is None or _is_non_negative(engine[key]) for key in ("slots", "cacheTokens"))
 
 
 def _is_engine(value: Any) -> bool:
-    return value is None or (type(value) is dict and _has_numbers(value))
+    return value is None or (type(value) is dict and _has_valid_numbers(value))
 
 
 def _is_path_prefix(value: Any) -> bool:
@@ -144,7 +146,7 @@
 
 
 def _is_scaling(value: Any) -> bool:
-    """Whether the limits of a service's runners in a zone are numbers, the lower one first."""
+    """Return whether the limits on a service's runners per zone are integers with minimum <= maximum."""
     if value is None:
         return True
     if type(value) is not dict or not all(_is_integer_from(0)(value.get(key)) for key in ("minimum", "maximum")):
@@ -152,9 +154,9 @@
     return bool(value["minimum"] <= value["maximum"]) and _is_non_negative(value.get("bootTimeS", 0))
 
 
-# The schema library takes over a millisecond for a route, and a controller that checks thousands of routes
-# sends no heartbeat meanwhile. An item that passes these checks is valid by its schema too; one that does
-# not is left to its schema, which alone refuses and says why.
+# Fast checks. The schema library takes over a millisecond per route, and a controller sends no heartbeats while
+# it validates thousands of routes. An item that passes these checks is valid by its schema too. Any other item is
+# validated with its schema, which alone rejects items and gives the reason.
 _REQUIRED_KEYS = {
     "route": ("name", "hostname", "pathPrefix", "routeKind"),
     "service": ("name",),
@@ -192,8 +194,8 @@
 }
 
 
-def _passes_quick_checks(item: Any, kind: str) -> bool:
-    """Whether an item of a kind (``route``, ``service``, ``tenant``, ``limits``) is valid without its schema."""
+def _passes_fast_checks(item: Any, kind: str) -> bool:
+    """Return whether an item of a kind (``route``, ``service``, ``tenant``, ``limits``) passes the fast checks."""
     if kind not in _FIELD_CHECKS or type(item) is not dict:
         return False
     checks = _FIELD_CHECKS[kind]
@@ -201,23 +203,26 @@
     return has_required and all(checks[key](value) for key, value in item.items() if key in checks)
 
 
-def _shape_fault(schema: Schema, item: Any, kind: str) -> str | None:
-    """What is wrong with an item on its own, or None."""
-    if _passes_quick_checks(item, kind):
+def _schema_fault(schema: Schema, item: Any, kind: str) -> str | None:
+    """Return the schema fault of a single item, or None."""
+    if _passes_fast_checks(item, kind):
         return None
     try:
         schema.validate(item)
     except SchemaError as error:
         name = item.get("name", "?") if isinstance(item, dict) else "?"
-        return f"{kind} {name}: {' '.join(str(error).split())[:_MAXIMUM_DETAIL]}"
+        return f"{kind} {name}: {' '.join(str(error).split())[:_MAXIMUM_DETAIL_LENGTH]}"
     return None
 
 
 def _split_fault(route: dict[str, Any]) -> str | None:
-    """What is wrong with how a route names its services, or None."""
+    """Return the fault in how a route names its services, or None."""
     if ("service" in route) == ("weightedServices" in route):
         return f"route {route['name']}: it must name either service or weightedServices"
-    if "weightedServices" in route and sum(part["weight"] for part in route["weightedServices"]) <= 0:
+    if (
+        "weightedServices" in route
+        and sum(weighted_service["weight"] for weighted_service in route["weightedServices"]) <= 0
+    ):
         return f"route {route['name']}: its weights add up to 0"
     return None
 
@@ -225,11 +230,11 @@
 def _service_names(route: dict[str, Any]) -> list[str]:
     if "service" in route:
         return [route["service"]]
-    return [part["service"] for part in route["weightedServices"]]
+    return [weighted_service["service"] for weighted_service in route["weightedServices"]]
 
 
 def first_duplicate(values: Iterable[Hashable]) -> Any:
-    """The first value that occurs for the second time, or None."""
+    """Return the first value that repeats an earlier one, or None."""
     seen = set()
     for value in values:
         if value in seen:
@@ -239,7 +244,7 @@
 
 
 def _top_level_fault(document: Any) -> str | None:
-    """What is wrong with the kinds of the document and its parts, or None."""
+    """Return the fault in the types of the document and its top-level lists, or None."""
     if not isinstance(document, dict):
         return "the policy must be an object"
     revision = document.get("revision")
@@ -251,19 +256,19 @@
     return None
 
 
-def _shape_faults(document: ConfigurationDocument) -> Iterator[str | None]:
-    """What is wrong with each part on its own; None for each that is valid."""
+def _item_faults(document: ConfigurationDocument) -> Iterator[str | None]:
+    """Yield the fault of each item on its own, and None for each valid item."""
     for route in document.get("routes", []):
-        yield _shape_fault(ROUTE, route, "route")
+        yield _schema_fault(ROUTE, route, "route")
     for service in document.get("services", []):
-        yield _shape_fault(SERVICE, service, "service")
+        yield _schema_fault(SERVICE, service, "service")
     for tenant in document.get("tenants", []):
-        yield _shape_fault(TENANT, tenant, "tenant")
-    yield _shape_fault(LIMITS, document.get("limits", {}), "limits")
+        yield _schema_fault(TENANT, tenant, "tenant")
+    yield _schema_fault(LIMITS, document.get("limits", {}), "limits")
 
 
 def _reference_faults(document: ConfigurationDocument) -> Iterator[str | None]:
-    """What is wrong between the parts, each of which is valid on its own."""
+    """Yield faults between items, such as unknown services and duplicates; each item is valid on its own."""
     routes, services = document.get("routes", []), document.get("services", [])
     yield from map(_split_fault, routes)
     known = {service["name"] for service in services}
@@ -275,13 +280,13 @@
         yield f"two services are named {name}"
     if name := first_duplicate(route["name"] for route in routes):
         yield f"two routes are named {name}"
-    if shared := first_duplicate((route["hostname"].lower(), route["pathPrefix"]) for route in routes):
-        yield f"two routes share host and prefix {' '.join(shared)}"
+    if duplicate := first_duplicate((route["hostname"].lower(), route["pathPrefix"]) for route in routes):
+        yield f"two routes share host and prefix {' '.join(duplicate)}"
     yield from _tenant_faults(document.get("tenants", []))
 
 
 def _tenant_faults(tenants: list[dict[str, Any]]) -> Iterator[str]:
-    """What is wrong between tenants; no sentence shows a key."""
+    """Yield faults between tenants; no message contains a key."""
     if name := first_duplicate(tenant["name"] for tenant in tenants):
         yield f"two tenants are named {name}"
     owners: dict[str, str] = {}
@@ -293,24 +298,24 @@
 
 def _first_fault(document: Any) -> str | None:
     fault = _top_level_fault(document)
-    fault = fault or next(filter(None, _shape_faults(document)), None)
+    fault = fault or next(filter(None, _item_faults(document)), None)
     return fault or next(filter(None, _reference_faults(document)), None)
 
 
 def check(document: Any, above: int = 0) -> Result[ConfigurationDocument, str]:
-    """Checks a whole configuration.
+    """Validate a complete configuration.
 
     Parameters
     ----------
     document
-        What was received.
+        The parsed JSON document.
     above
-        The current revision; that of the document must be higher.
+        The current revision; the revision of the document must be higher.
 
     Returns
     -------
     Result
-        The document, or a sentence about the first fault that was found.
+        The document, or a sentence that describes the first fault.
 
     Examples
     --------
@@ -327,12 +332,12 @@
     return Success(document)
 
 
-def _refuse_constant(name: str) -> NoReturn:
-    raise ValueError(f"{name} is no JSON number")
+def _reject_constant(name: str) -> NoReturn:
+    raise ValueError(f"{name} is not a JSON number")
 
 
 def parse(raw: bytes) -> Result[Any, str]:
-    """Reads JSON; NaN and infinite numbers are refused.
+    """Parse JSON; NaN and Infinity are rejected.
 
     Examples
     --------
@@ -340,6 +345,6 @@
     True
     """
     try:
-        return Success(json.loads(raw, parse_constant=_refuse_constant))
+        return Success(json.loads(raw, parse_constant=_reject_constant))
     except (ValueError, RecursionError) as error:
         return Failure(f"the body is not JSON: {error}")
--- a/sparloom/configuration/patch.py
+++ b/sparloom/configuration/patch.py
@@ -1,4 +1,4 @@
-"""Applies a PATCH to a configuration document, and finds the PATCH that leads from one to another."""
+"""Applies a PATCH to a configuration document, and computes the PATCH between two documents."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
     from .check import ConfigurationDocument
 
-# A patched document has these lists even where its base had none. No other list comes into being without an
-# item: a list of tenants, even an empty one, means that requests need keys.
+# A patched document always has these lists, even if the base document lacks them. Any other list is created only
+# with an item in it: a list of tenants, even an empty one, makes keys mandatory for requests.
 _ALWAYS_PRESENT = ("routes", "services")
 
 
-def _edited(items: list[Any], upsert: list[Any], remove: Collection[str]) -> list[Any]:
-    """A list after a patch: items keep their places, new ones follow."""
+def _apply_edits(items: list[Any], upsert: list[Any], remove: Collection[str]) -> list[Any]:
+    """Return a list after a patch: existing items keep their positions, new ones are appended."""
     new = {item["name"]: item for item in upsert}
     edited = [new.pop(item["name"], item) for item in items if item["name"] not in remove]
     return edited + list(new.values())
 
 
 def _patch_fault(patch: Any) -> str | None:
-    """What is wrong with the sections of a patch, or None."""
+    """Return the fault in the sections of a patch, or None."""
     if not isinstance(patch, dict):
         return "the change must be an object"
     upsert, remove = patch.get("upsert", {}), patch.get("remove", {})
@@ -39,7 +39,7 @@
 
 
 def _edit_fault(key: str, upsert: Any, remove: Any) -> str | None:
-    """What is wrong with the edits of one list of a patch, or None."""
+    """Return the fault in a patch's edits of one list, or None."""
     if not isinstance(upsert, list) or not all(
         isinstance(item, dict) and isinstance(item.get("name"), str) for item in upsert
     ):
@@ -51,19 +51,19 @@
 
 
 def apply_patch(base: ConfigurationDocument, patch: Any) -> Result[ConfigurationDocument, str]:
-    """The whole configuration that a PATCH body makes of another; ``check`` must follow.
+    """Return the complete configuration after a PATCH; the caller must validate it with ``check``.
 
     Parameters
     ----------
     base
-        The current configuration; it is left as it is.
+        The current configuration; it is not modified.
     patch
-        What was received: ``revision``, ``upsert``, ``remove`` and ``limits``.
+        The parsed PATCH body: ``revision``, ``upsert``, ``remove`` and ``limits``.
 
     Returns
     -------
     Result
-        The new configuration, or a sentence about the first fault of the patch.
+        The new configuration, or a sentence that describes the first fault of the patch.
 
     Examples
     --------
@@ -85,12 +85,12 @@
         if fault:
             return Failure(fault)
         if key in base or key in _ALWAYS_PRESENT or upsert:
-            new[key] = _edited(base.get(key, []), upsert, set(remove))
+            new[key] = _apply_edits(base.get(key, []), upsert, set(remove))
     return Success(new)
 
 
 def delta(old: ConfigurationDocument, new: ConfigurationDocument) -> ConfigurationDocument | None:
-    """The PATCH body from which ``apply_patch`` makes exactly ``new`` of ``old``; None where there is none.
+    """Return the PATCH body with which ``apply_patch`` turns ``old`` into exactly ``new``; None if there is none.
 
     Examples
     --------
--- a/sparloom/configuration/rate_holders.py
+++ b/sparloom/configuration/rate_holders.py
@@ -1,10 +1,10 @@
-"""Which routers share a rate that can't be split evenly, such as what a cold runner bears.
+"""The table of routers that share a rate too small to split evenly, such as the request rate of a cold runner.
 
-The primary decides it, and the control state records it, so that all shares add
-up, whatever the routers see of each other. A router goes by the table only
-while it knows that it is the newest one; the primary changes it only once each
-router that has an older one has surely stopped using it
-(``controller/rate_planner.py``).
+The primary decides the table and the control state stores it, so that the
+shares add up even if the routers disagree about each other's membership. A
+router uses its table only under a lease, while it knows that the table is the
+newest one. The primary replaces the table only after the lease of every router
+with an older table has expired (``controller/rate_planner.py``).
 """
 
 from __future__ import annotations
@@ -20,61 +20,62 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-# The fraction of the whole that is never granted.
+# Fraction of the rate that is never granted.
 SPARE = 1 / 8
-# A router goes by the table for so many contact bounds after it was known to be the newest.
+# Lease on the table, in multiples of the contact bound, from the moment at which it was known to be the newest.
 LEASE_BOUNDS = 5
-# What is sent within this time counts together: a second, and what requests may take longer or shorter on their way.
+# Window over which sent requests are counted against a rate per second: one second plus the variation of their
+# network delay.
 RATE_WINDOW = timedelta(milliseconds=1100)
 _SALT_BYTES = 8
 _SALT_MASK = (1 << 8 * _SALT_BYTES) - 1
 
 
 def _rank(router: str, salt: bytes) -> tuple[bytes, str]:
-    """Orders the routers anew for each salt, so that one that joins or leaves changes the order of no others."""
+    """Return a sort key that depends on the salt; a router that joins or leaves doesn't reorder the others."""
     return blake2b(router.encode(), digest_size=8, salt=salt).digest(), router
 
 
-def _share_among(routers: Collection[str], router: str, whole: int, salt: int) -> int:
+def _share_of_total(routers: Collection[str], router: str, total: int, salt: int) -> int:
     if router not in routers:
         return 0
-    each, rest = divmod(int(whole * (1 - SPARE)), len(routers))
-    if not rest:
+    each, remainder = divmod(int(total * (1 - SPARE)), len(routers))
+    if not remainder:
         return each
-    packed = (salt & _SALT_MASK).to_bytes(_SALT_BYTES)
-    own = _rank(router, packed)
-    return each + (sum(_rank(other, packed) < own for other in routers) < rest)
+    salt_bytes = (salt & _SALT_MASK).to_bytes(_SALT_BYTES)
+    own = _rank(router, salt_bytes)
+    return each + (sum(_rank(other, salt_bytes) < own for other in routers) < remainder)
 
 
 @define(frozen=True, slots=True)
 class RateHolders:
-    """The table.
+    """The routers that hold a share of a rate, now and in the previous table.
 
     Attributes
     ----------
     routers
         The internal HOST:PORT of each router that has a share. An address belongs to one machine at a time, so a
-        router that starts anew there may go on with the share.
+        router that restarts there may continue to use the share.
     before
-        The same of the table before this one, by which others may still go.
+        The routers of the previous table, which other routers may still use.
     """
 
     routers: frozenset[str] = frozenset()
     before: frozenset[str] = frozenset()
 
-    def share(self, router: str, whole: int, salt: int) -> int:
-        """Return a router's share of a whole number of things; all shares add up to the whole less an eighth.
+    def share(self, router: str, total: int, salt: int) -> int:
+        """Return a router's share of a total, which is split into integers; all shares add up to 7/8 of the total.
 
-        Others may still go by the table before this one, so nobody takes more than by either.
+        Other routers may still use the previous table, so the share is the smaller one of both tables.
 
         Parameters
         ----------
         router
-            Its internal HOST:PORT.
-        whole
-            What is shared.
+            The router's internal HOST:PORT.
+        total
+            The total to share.
         salt
-            Differs between things of a kind, so that the remainder of the division goes to other routers for each.
+            Differs between the shared rates, so that each gives the remainder of its division to other routers.
 
         Examples
         --------
@@ -84,23 +85,23 @@
         >>> RateHolders(four | {"e"}, four).share("e", 8, salt=1)
         0
         """
-        share = _share_among(self.routers, router, whole, salt)
+        share = _share_of_total(self.routers, router, total, salt)
         if not share or self.before == self.routers:
             return share
-        return min(share, _share_among(self.before, router, whole, salt))
+        return min(share, _share_of_total(self.before, router, total, salt))
 
     @staticmethod
-    def is_usable(age: timedelta, up_for: timedelta, contact_bound: timedelta) -> bool:
-        """Return whether a router may go by the table now.
+    def is_usable(age: timedelta, uptime: timedelta, contact_bound: timedelta) -> bool:
+        """Return whether a router may use the table now.
 
         Parameters
         ----------
         age
-            How long ago the table was known to be the newest.
-        up_for
-            How long ago the router's process started: one before it at the same address may have sent until then.
+            Time since the table was last known to be the newest.
+        uptime
+            Time since the router's process started. A previous process at the address may have sent until then.
         contact_bound
-            The contact bound.
+            The bound within which a loss of contact is noticed.
 
         Examples
         --------
@@ -108,10 +109,10 @@
         >>> [RateHolders.is_usable(age * second, 9 * second, 4 * second) for age in (19, 20)]
         [True, False]
         """
-        return age < contact_bound * LEASE_BOUNDS and up_for >= RATE_WINDOW
+        return age < contact_bound * LEASE_BOUNDS and uptime >= RATE_WINDOW
 
     def to_json(self) -> dict[str, Any]:
-        """Return what is stored and published.
+        """Return the JSON object that is stored and published.
 
         >>> table = RateHolders(frozenset("ab"), frozenset("bc"))
         >>> table.to_json()
@@ -124,13 +125,13 @@
 
     @classmethod
     def from_json(cls, item: dict[str, Any]) -> RateHolders:
-        """Return the table in a JSON object that ``to_json`` made."""
+        """Return the table from a JSON object made by ``to_json``."""
         routers = frozenset(item["routers"])
         return cls(routers, (routers - frozenset(item["joined"])) | frozenset(item["left"]))
 
 
 def rate_holders_addition(holders: RateHolders) -> dict[str, Any]:
-    """Return the addition to the published configuration that tells of the table.
+    """Return the addition to the published configuration that contains the table.
 
     >>> rate_holders_addition(RateHolders(frozenset("a"), frozenset("a")))
     {'rateHolders': {'routers': ['a'], 'joined': [], 'left': []}}
--- a/sparloom/configuration/rollouts.py
+++ b/sparloom/configuration/rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs as routers are told of them, in an addition to the operators' configuration."""
+"""Roll-outs as published to routers in an addition to the operators' configuration."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from .check import ConfigurationDocument
 
-# Names of the keys of one entry.
+# JSON keys of one entry.
 SERVICE = "service"
 POOLS = "pools"
 BASE = "base"
@@ -24,20 +24,20 @@
 
 @define(frozen=True, slots=True)
 class Trial:
-    """A roll-out that is under way.
+    """A roll-out in progress.
 
     Attributes
     ----------
     number
-        Its number.
+        The number of the roll-out.
     pool
         The pool of the new version's runners.
     step
-        How far it has come, a number of ``sparloom.rollouts.Step``.
+        The current step, a number of ``sparloom.rollouts.Step``.
     share
-        The part of the requests that may go to the new version.
+        The fraction of the requests that may go to the new version.
     collector
-        HOST:PORT of the controller that takes votes; "" while none does.
+        HOST:PORT of the controller that collects votes; "" if there is none.
     """
 
     number: int
@@ -49,16 +49,16 @@
 
 @define(frozen=True, slots=True)
 class ServiceVersions:
-    """Which pools of a service requests go to.
+    """The pools of a service that receive requests.
 
     Attributes
     ----------
     pools
-        The pools that serve.
+        The pools that serve requests.
     base
-        Those that served before the newest roll-out; they serve while nothing of ``pools`` is listed.
+        The pools that served before the latest roll-out. They serve while no runner of ``pools`` is listed.
     trial
-        The roll-out that is under way, if any.
+        The roll-out in progress, or None.
     """
 
     pools: frozenset[str]
@@ -66,20 +66,20 @@
     trial: Trial | None = None
 
 
-def _trial(item: dict[str, Any]) -> Trial | None:
+def _parse_trial(item: dict[str, Any]) -> Trial | None:
     if TRIAL not in item:
         return None
     return Trial(item[NUMBER], item[TRIAL], item[STEP], item[SHARE], item[COLLECTOR])
 
 
 def service_versions(document: ConfigurationDocument) -> dict[str, ServiceVersions]:
-    """The services that have had a roll-out, by name.
+    """Return the versions of each service that has had a roll-out, by service name.
 
     Examples
     --------
     >>> service_versions({"revision": 1, "rollouts": [{"service": "s", "pools": ["s"], "base": ["s"]}]})["s"].trial
     """
     return {
-        item[SERVICE]: ServiceVersions(frozenset(item[POOLS]), frozenset(item[BASE]), _trial(item))
+        item[SERVICE]: ServiceVersions(frozenset(item[POOLS]), frozenset(item[BASE]), _parse_trial(item))
         for item in document.get(ROLLOUTS, ())
     }
--- a/sparloom/configuration/table.py
+++ b/sparloom/configuration/table.py
@@ -1,4 +1,4 @@
-"""The configuration as routers use it: an immutable snapshot that is replaced as a whole."""
+"""The configuration as routers use it: an immutable snapshot, replaced atomically with each revision."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 DEFAULT_PRIORITY = 5
 DEFAULT_CONNECTION_LIMIT = 64
 SUPPORTED_PROTOCOL = "h1"
-# The latency target of a route without one, as a part of its timeout.
+# Default latency target of a route, as a fraction of its timeout.
 DEFAULT_TARGET_RATIO = 1 / 4
 
 
 @define(frozen=True, slots=True)
 class Scaling:
-    """How many runners of a service may be ordered in each zone.
+    """Limits on the number of a service's runners that may be ordered per zone.
 
     Attributes
     ----------
     minimum, maximum
-        The limits, for each zone.
+        The limits per zone.
     boot_time
-        From the order of a runner until it serves.
+        Time from the order of a runner until it serves requests.
     """
 
     minimum: int
@@ -42,26 +42,26 @@
 
 @define(frozen=True, slots=True)
 class Service:
-    """A service, and what each of its runners can take.
+    """A service and the capacity of each of its runners.
 
     Attributes
     ----------
     name
         Its name in the configuration and in the endpoint list.
     connection_limit
-        How many connections a runner accepts.
+        Maximum number of connections to a runner.
     slots
-        Requests that a runner works on at once; 0 where it is not given.
+        Requests that a runner processes concurrently; 0 if not configured.
     cache_tokens
-        Tokens that a runner's prefix cache holds; 0 where it is not given.
+        Capacity of a runner's prefix cache in tokens; 0 if not configured.
     health_path
-        ``healthPath`` of the configuration; kept, but routers don't probe runners.
+        ``healthPath`` of the configuration; not used, since routers don't probe runners.
     cold_rate
-        Requests that a cold runner bears each second; 0 where it is not given.
+        Requests per second that a cold runner can serve; 0 if not configured.
     supported
-        Whether its runners speak what this program speaks: HTTP/1.1 without TLS.
+        Whether its runners use the only supported protocol, HTTP/1.1 without TLS.
     scaling
-        How many of its runners may be ordered; None where their number is not ours to order.
+        Limits on its number of runners; None if the controller doesn't order their number.
     """
 
     name: str
@@ -76,34 +76,34 @@
 
 @define(frozen=True, slots=True)
 class Route:
-    """Requests of one host and path prefix, and how they are treated.
+    """How requests with a given host and path prefix are handled.
 
     Attributes
     ----------
     name
         Its name in the configuration.
     host
-        Host name, in lower case.
+        Host name in lower case.
     prefix
-        Beginning of the path; begins and ends with a slash.
+        Path prefix; begins and ends with a slash.
     kind
         ``safe``, ``unsafe`` or ``streaming``.
     split
         (service, weight) of each service that serves the route.
     timeout
-        From the arrival of a request to the end of its response.
+        Time limit from the arrival of a request to the end of its response.
     target
-        Latency target of the first byte.
+        Latency target of the first byte of the response.
     gap_target
-        Latency target between two parts of a stream.
+        Latency target between two chunks of a stream.
     priority
-        More important requests have the lower number.
+        Priority of the requests; a lower number is more important.
     max_attempts
-        How often a request may be sent, with the first attempt.
+        Maximum number of attempts, including the first one.
     resume
-        Whether an interrupted stream is resumed at another runner.
+        Whether an interrupted stream is resumed on another runner.
     sticky
-        ``stickySessions`` of the configuration; kept, but nothing depends on it.
+        ``stickySessions`` of the configuration; not used.
     public
         Whether a request needs no tenant's key.
     """
@@ -124,7 +124,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may be carried out more than once (is idempotent).
+        """Whether a request may be executed more than once (is idempotent).
 
         Examples
         --------
@@ -137,17 +137,17 @@
 
 @define(frozen=True, slots=True)
 class RequestLimits:
-    """What a client may send.
+    """Limits on the requests of clients.
 
     Attributes
     ----------
     maximum_header_bytes, maximum_body_bytes
-        The largest size of all headers together, and of the body.
+        Maximum size of all headers together, and of the body.
     header_timeout
-        ``headerTimeoutMs`` of the configuration; not applied yet.
+        ``headerTimeoutMs`` of the configuration; not enforced yet.
     idle_timeout
-        How long the whole body may take; also how long a connection may rest
-        between requests, but there never less than 75 s.
+        Time limit for receiving the entire body. Also the keep-alive timeout
+        of a connection between requests, which is at least 75 s.
     """
 
     maximum_header_bytes: int = 16384
@@ -163,23 +163,23 @@
     Attributes
     ----------
     revision
-        Its number, given by the operator; it only rises.
+        The revision number that the operators assign; it only increases.
     routes
         All routes, in the order of the document.
     services
         Services by name.
     limits
-        What clients may send.
+        Limits on the requests of clients.
     hosts
-        The routes of each host, the longest prefix first.
+        The routes of each host, sorted by prefix length, longest first.
     evacuated_zones
-        Zones whose runners are to be sent nothing.
+        Zones whose runners get no requests.
     tenants
-        The tenants by their keys; None where requests need no key.
+        The tenants by their keys; None if requests need no key.
     versions
-        The services that have had a roll-out, by name.
+        The versions of each service that has had a roll-out, by service name.
     rate_holders
-        Which routers share what can't be split evenly; None before the primary has decided it.
+        The routers that share rates too small to split evenly; None until the primary has decided.
     """
 
     revision: int
@@ -193,14 +193,14 @@
     rate_holders: RateHolders | None = None
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route of a host with the longest prefix that begins the path; None where there is none.
+        """Return the route of a host whose prefix is the longest match of the path, or None.
 
         Parameters
         ----------
         host
             Host name in any case, with or without a port.
         path
-            Path of the request.
+            The request path.
 
         Examples
         --------
@@ -211,26 +211,26 @@
         return next((route for route in self.hosts.get(name.lower(), ()) if path.startswith(route.prefix)), None)
 
 
-def _milliseconds(item: dict[str, Any], key: str, default: timedelta) -> timedelta:
+def _duration(item: dict[str, Any], key: str, default: timedelta) -> timedelta:
     return timedelta(milliseconds=item[key]) if key in item else default
 
 
-def _split(item: dict[str, Any]) -> tuple[tuple[str, float], ...]:
+def _parse_split(item: dict[str, Any]) -> tuple[tuple[str, float], ...]:
     if "service" in item:
         return ((item["service"], 1.0),)
-    return tuple((part["service"], float(part["weight"])) for part in item["weightedServices"])
+    return tuple((entry["service"], float(entry["weight"])) for entry in item["weightedServices"])
 
 
-def _route(item: dict[str, Any]) -> Route:
+def _parse_route(item: dict[str, Any]) -> Route:
     timeout = item.get("timeoutMs", DEFAULT_TIMEOUT_MS)
-    # A target of 0 stands for none.
+    # A target of 0 means that none is configured.
     target = item.get("targetMs") or timeout * DEFAULT_TARGET_RATIO
     return Route(
         name=item["name"],
         host=item["hostname"].lower(),
         prefix=item["pathPrefix"],
         kind=item["routeKind"],
-        split=_split(item),
+        split=_parse_split(item),
         timeout=timedelta(milliseconds=timeout),
         target=timedelta(milliseconds=target),
         gap_target=timedelta(milliseconds=item.get("gapTargetMs", target / 2)),
@@ -242,7 +242,7 @@
     )
 
 
-def _service(item: dict[str, Any]) -> Service:
+def _parse_service(item: dict[str, Any]) -> Service:
     engine = item.get("engine") or {}
     return Service(
         name=item["name"],
@@ -252,78 +252,78 @@
         health_path=item.get("healthPath", ""),
         cold_rate=float(item.get("coldPerS") or 0),
         supported=item.get("protocol", SUPPORTED_PROTOCOL) == SUPPORTED_PROTOCOL and not item.get("tls", False),
-        scaling=_scaling(item.get("scaling")),
+        scaling=_parse_scaling(item.get("scaling")),
     )
 
 
-def _scaling(item: dict[str, Any] | None) -> Scaling | None:
+def _parse_scaling(item: dict[str, Any] | None) -> Scaling | None:
     if item is None:
         return None
     return Scaling(item["minimum"], item["maximum"], timedelta(seconds=item.get("bootTimeS", 0)))
 
 
-def _request_limits(item: dict[str, Any]) -> RequestLimits:
+def _parse_request_limits(item: dict[str, Any]) -> RequestLimits:
     default = RequestLimits()
     return RequestLimits(
         maximum_header_bytes=item.get("maxHeaderBytes", default.maximum_header_bytes),
         maximum_body_bytes=item.get("maxBodyBytes", default.maximum_body_bytes),
-        header_timeout=_milliseconds(item, "headerTimeoutMs", default.header_timeout),
-        idle_timeout=_milliseconds(item, "idleTimeoutMs", default.idle_timeout),
+        header_timeout=_duration(item, "headerTimeoutMs", default.header_timeout),
+        idle_timeout=_duration(item, "idleTimeoutMs", default.idle_timeout),
     )
 
 
-def _tenant_keys(document: ConfigurationDocument) -> TenantKeys | None:
+def _parse_tenant_keys(document: ConfigurationDocument) -> TenantKeys | None:
     if "tenants" not in document:
         return None
-    # Routers without tenants don't spend time and memory of a start on it.
+    # Imported here to save startup time and memory in routers without tenants.
     from .tenants import TenantKeys
 
     return TenantKeys.of(document["tenants"])
 
 
-def _versions(document: ConfigurationDocument) -> dict[str, ServiceVersions]:
+def _parse_versions(document: ConfigurationDocument) -> dict[str, ServiceVersions]:
     if ROLLOUTS not in document:
         return {}
-    # Routers without roll-outs don't spend time and memory of a start on it.
+    # Imported here to save startup time and memory in routers without roll-outs.
     from .rollouts import service_versions
 
     return service_versions(document)
 
 
-def _by_host(routes: tuple[Route, ...]) -> dict[str, tuple[Route, ...]]:
-    """The routes of each host, the longest prefix first."""
+def _group_by_host(routes: tuple[Route, ...]) -> dict[str, tuple[Route, ...]]:
+    """Group routes by host, sorted by prefix length, longest first."""
     hosts: dict[str, list[Route]] = {}
     for route in sorted(routes, key=lambda route: -len(route.prefix)):
         hosts.setdefault(route.host, []).append(route)
-    return {host: tuple(found) for host, found in hosts.items()}
+    return {host: tuple(group) for host, group in hosts.items()}
 
 
-def _rate_holders(document: ConfigurationDocument) -> RateHolders | None:
+def _parse_rate_holders(document: ConfigurationDocument) -> RateHolders | None:
     if not document.get(RATE_HOLDERS):
         return None
-    # Deployments without cold rates don't spend time and memory of a start on it.
+    # Imported here to save startup time and memory in deployments without cold rates.
     from .rate_holders import RateHolders
 
     return RateHolders.from_json(document[RATE_HOLDERS])
 
 
 def build(document: ConfigurationDocument) -> Configuration:
-    """The snapshot of a configuration document that ``check`` has passed.
+    """Return the snapshot of a configuration document that ``check`` has accepted.
 
     Examples
     --------
     >>> build({"revision": 3, "routes": [], "services": []}).revision
     3
     """
-    routes = tuple(map(_route, document.get("routes", [])))
+    routes = tuple(map(_parse_route, document.get("routes", [])))
     return Configuration(
         revision=document["revision"],
         routes=routes,
-        services={item["name"]: _service(item) for item in document.get("services", [])},
-        limits=_request_limits(document.get("limits", {})),
-        hosts=_by_host(routes),
+        services={item["name"]: _parse_service(item) for item in document.get("services", [])},
+        limits=_parse_request_limits(document.get("limits", {})),
+        hosts=_group_by_host(routes),
         evacuated_zones=evacuated_zones(document),
-        tenants=_tenant_keys(document),
-        versions=_versions(document),
-        rate_holders=_rate_holders(document),
+        tenants=_parse_tenant_keys(document),
+        versions=_parse_versions(document),
+        rate_holders=_parse_rate_holders(document),
     )
--- a/sparloom/configuration/tenants.py
+++ b/sparloom/configuration/tenants.py
@@ -1,8 +1,8 @@
-"""The tenants of a configuration, found by the key that a request carries.
+"""The tenants of a configuration, looked up by the API key of a request.
 
-Keys are looked up by a digest under a secret of the process: how long a look-up
-takes tells nothing about a key, and no table or message of this module holds
-one that could be used.
+Keys are looked up by a digest keyed with a secret of the process. The duration
+of a lookup reveals nothing about a key, and no table or message of this module
+contains a usable key.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Of the ``Authorization`` header.
+# Authentication scheme in the ``Authorization`` header.
 SCHEME = "token"
 DIGEST_BYTES = 16
 _SECRET = os.urandom(32)
@@ -26,10 +26,10 @@
     return blake2b(key.encode("utf-8", "surrogateescape"), digest_size=DIGEST_BYTES, key=_SECRET).digest()
 
 
-def key_in(authorization: str | None) -> str | None:
-    """Return the key in the value of an ``Authorization`` header; None where there is none.
+def parse_key(authorization: str | None) -> str | None:
+    """Return the key in the value of an ``Authorization`` header, or None.
 
-    >>> key_in("Token abc"), key_in("token  abc "), key_in("Basic abc"), key_in(None)
+    >>> parse_key("Token abc"), parse_key("token  abc "), parse_key("Basic abc"), parse_key(None)
     ('abc', 'abc', None, None)
     """
     scheme, _, key = (authorization or "").strip().partition(" ")
@@ -38,14 +38,14 @@
 
 @define(frozen=True, slots=True)
 class Tenant:
-    """One tenant.
+    """A tenant and its priority.
 
     Attributes
     ----------
     name
-        Its name, which runners are told.
+        The name of the tenant, which is forwarded to runners.
     priority
-        Goes before the priority of a route; None where the tenant has none.
+        Overrides the priority of a route; None if the tenant has none.
     """
 
     name: str
@@ -65,7 +65,7 @@
 
     @classmethod
     def of(cls, tenants: Iterable[dict[str, Any]]) -> TenantKeys:
-        """Return the table of the tenants of a document that ``check`` has passed."""
+        """Return the lookup table for the tenants of a document that ``check`` has accepted."""
         by_digest: dict[bytes, Tenant] = {}
         for item in tenants:
             tenant = Tenant(item["name"], item.get("priority"))
@@ -73,6 +73,6 @@
         return cls(by_digest)
 
     def find(self, authorization: str | None) -> Tenant | None:
-        """Return the tenant that holds the key in an ``Authorization`` header; None where none does."""
-        key = key_in(authorization)
+        """Return the tenant whose key is in an ``Authorization`` header, or None."""
+        key = parse_key(authorization)
         return None if key is None else self._by_digest.get(_digest(key))
