--- a/sparloom/configuration/check.py
+++ b/sparloom/configuration/check.py
@@ -39,7 +39,7 @@
 _NON_NEGATIVE: Any = And(_NUMBER, lambda value: value >= 0)
 _WEIGHTED_SERVICE = Schema({"service": _NAME, "weight": _NON_NEGATIVE, Optional(str): object})
 
-ROUTE = Schema(
+ROUTE_SCHEMA = Schema(
     {
         "name": _NAME,
         "hostname": _NAME,
@@ -61,7 +61,7 @@
         Optional(str): object,
     }
 )
-SERVICE = Schema(
+SERVICE_SCHEMA = Schema(
     {
         "name": _NAME,
         Optional("healthPath"): str,
@@ -78,7 +78,7 @@
         Optional(str): object,
     }
 )
-LIMITS = Schema(
+LIMITS_SCHEMA = Schema(
     {
         Optional("maxHeaderBytes"): And(_INTEGER, lambda value: value > 0),
         Optional("maxBodyBytes"): And(_INTEGER, lambda value: value > 0),
@@ -90,7 +90,7 @@
 
 
 # The priority of a tenant overrides that of a route.
-TENANT = Schema(
+TENANT_SCHEMA = Schema(
     {
         "name": _NAME,
         "apiKeys": [_NAME],
@@ -259,12 +259,12 @@
 def _item_faults(document: ConfigurationDocument) -> Iterator[str | None]:
     """Yield the fault of each item on its own, and None for each valid item."""
     for route in document.get("routes", []):
-        yield _schema_fault(ROUTE, route, "route")
+        yield _schema_fault(ROUTE_SCHEMA, route, "route")
     for service in document.get("services", []):
-        yield _schema_fault(SERVICE, service, "service")
+        yield _schema_fault(SERVICE_SCHEMA, service, "service")
     for tenant in document.get("tenants", []):
-        yield _schema_fault(TENANT, tenant, "tenant")
-    yield _schema_fault(LIMITS, document.get("limits", {}), "limits")
+        yield _schema_fault(TENANT_SCHEMA, tenant, "tenant")
+    yield _schema_fault(LIMITS_SCHEMA, document.get("limits", {}), "limits")
 
 
 def _reference_faults(document: ConfigurationDocument) -> Iterator[str | None]:
--- a/tests/configuration/test_check.py
+++ b/tests/configuration/test_check.py
@@ -8,7 +8,7 @@
 from returns.pipeline import is_successful
 
 from sparloom.configuration import apply_patch, build, check, parse
-from sparloom.configuration.check import _FIELD_CHECKS, ROUTE, SERVICE, _passes_fast_checks
+from sparloom.configuration.check import _FIELD_CHECKS, ROUTE_SCHEMA, SERVICE_SCHEMA, _passes_fast_checks
 from tests.support.router_fixture import POLICY, route
 
 ROUTE_KEYS = list(_FIELD_CHECKS["route"])
@@ -82,8 +82,8 @@
         )
         counts = {True: 0, False: 0}
         for kind, schema, keys in (
-            ("route", ROUTE, [*ROUTE_KEYS, "other"]),
-            ("service", SERVICE, ["name", "healthPath", "connectionLimit", "engine", "other"]),
+            ("route", ROUTE_SCHEMA, [*ROUTE_KEYS, "other"]),
+            ("service", SERVICE_SCHEMA, ["name", "healthPath", "connectionLimit", "engine", "other"]),
         ):
             for _ in range(1500):
                 item = copy.deepcopy(POLICY["routes"][0] if kind == "route" else POLICY["services"][0])
@@ -103,7 +103,7 @@
             "services": [{"name": "s"}],
             "routes": [route(f"r{i}", f"/{i}/") for i in range(3000)],
         }
-        with mock.patch("sparloom.configuration.check.ROUTE", None):
+        with mock.patch("sparloom.configuration.check.ROUTE_SCHEMA", None):
             self.assertTrue(is_successful(check(document)), "a valid route must not need the schema")
 
     def test_outdated_revisions_are_rejected(self):
--- a/tests/configuration/test_tenants.py
+++ b/tests/configuration/test_tenants.py
@@ -3,7 +3,7 @@
 import unittest
 
 from sparloom.configuration import apply_patch, build, check, delta
-from sparloom.configuration.check import TENANT, _passes_fast_checks
+from sparloom.configuration.check import TENANT_SCHEMA, _passes_fast_checks
 from tests.support.router_fixture import POLICY
 
 FIRST = {"name": "a", "apiKeys": ["secret-1", "secret-2"], "priority": 1}
@@ -35,7 +35,7 @@
         self.assertEqual(check(DOCUMENT).unwrap(), DOCUMENT)
         for tenant in (FIRST, SECOND, {"name": "c", "apiKeys": []}, {**FIRST, "ratePerS": 3}):
             self.assertTrue(_passes_fast_checks(tenant, "tenant"))
-            self.assertEqual(TENANT.validate(tenant), tenant)
+            self.assertEqual(TENANT_SCHEMA.validate(tenant), tenant)
 
     def test_scaling_limits_are_checked(self):
         def check_scaling(scaling):
