--- a/sparloom/transport/__init__.py
+++ b/sparloom/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Connections and datagrams for the project's own records, HTTP client sessions, and the monotonic clock."""
+"""Transport of records over TCP and UDP, HTTP client sessions, and the clocks."""
 
 from .clock import monotonic, wall_clock_ms, wall_clock_us
 from .sockets import Datagrams, DialTimeout, Frames, bind, dial, tune
--- a/sparloom/transport/clock.py
+++ b/sparloom/transport/clock.py
@@ -1,4 +1,4 @@
-"""The monotonic clock, as a timedelta, and the wall clock."""
+"""The monotonic clock as a timedelta, and the wall clock as an integer."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def monotonic() -> timedelta:
-    """Time on the system's monotonic clock.
+    """Return the time of the system's monotonic clock.
 
-    No decision depends on the time of day, which may be set at any moment.
+    Decisions use this clock, because the wall clock can be set at any moment.
 
     Examples
     --------
@@ -20,7 +20,7 @@
 
 
 def wall_clock_us() -> int:
-    """The machine's time of day in microseconds since 1970; it may jump, and no decision rests on it alone.
+    """Return the wall clock in microseconds since 1970; it can jump, so no decision depends on it alone.
 
     Examples
     --------
@@ -31,7 +31,7 @@
 
 
 def wall_clock_ms() -> int:
-    """The same in milliseconds.
+    """Return the wall clock in milliseconds since 1970; see ``wall_clock_us``.
 
     Examples
     --------
--- a/sparloom/transport/http_client.py
+++ b/sparloom/transport/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP client sessions that send each request once and never match a response to the wrong request."""
+"""HTTP client sessions that send each request once and never assign a response to the wrong request."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Connector(aiohttp.TCPConnector):
-    """Reuses idle connections, except those on which bytes arrived that belong to no request."""
+    """Reuses idle connections, except those that received bytes while no request was in flight."""
 
     async def _get(self, key: ConnectionKey, traces: list[Trace]) -> Connection | None:
         while (connection := await super()._get(key, traces)) is not None:
@@ -24,46 +24,46 @@
         return None
 
     def has_idle(self) -> bool:
-        """Whether the connection that became idle last can carry the next request.
+        """Return whether the most recently used idle connection is reusable.
 
-        Asked for each backend at each choice, so it looks at one connection only.
+        Load balancing calls this for each backend and each request, so it checks only one connection.
         """
-        # Only a connector that closes each connection after its response has no limit; none here does.
+        # The timeout is None only in a connector that closes each connection after its response.
         assert self._keepalive_timeout is not None
-        oldest = monotonic() - self._keepalive_timeout
+        idle_cutoff = monotonic() - self._keepalive_timeout
         for idle in self._conns.values():
             protocol, idle_since = idle[-1]
-            if idle_since > oldest and not protocol.should_close:
+            if idle_since > idle_cutoff and not protocol.should_close:
                 return True
         return False
 
     def keep_idle(self, seconds: float) -> None:
-        """Sets for how many seconds an idle connection is kept."""
+        """Set the keep-alive timeout of idle connections in seconds."""
         self._keepalive_timeout = seconds
 
 
 def open_session(connector: aiohttp.BaseConnector, **options: Any) -> aiohttp.ClientSession:
-    """A client session without cookies, in which the library retries nothing by itself.
+    """Return a client session that stores no cookies and never retries.
 
-    The library sends a GET again when the server closed a reused connection.
-    The request may have been carried out by then, so only the caller may
-    decide on a retry. The switch has no public name: a version of the library
-    without it must not be used unnoticed.
+    By default aiohttp retries a GET when the server closes a reused
+    connection. The server may have executed the request by then, so only the
+    caller may decide on a retry. The option has no public name, so a version
+    of aiohttp without it raises an error.
 
     Parameters
     ----------
     connector
-        Opens and keeps the connections; the session closes it.
+        Opens and pools the connections; the session closes it.
     options
         Further arguments of ``aiohttp.ClientSession``.
 
     Raises
     ------
     RuntimeError
-        This version of aiohttp has no such switch.
+        This version of aiohttp has no option to disable its retries.
     """
     session = aiohttp.ClientSession(connector=connector, cookie_jar=aiohttp.DummyCookieJar(), **options)
     if not hasattr(session, "_retry_connection"):
-        raise RuntimeError("this version of aiohttp has no switch for its own retries")
+        raise RuntimeError("this version of aiohttp has no option to disable its retries")
     session._retry_connection = False
     return session
--- a/sparloom/transport/sockets.py
+++ b/sparloom/transport/sockets.py
@@ -1,4 +1,8 @@
-"""Datagrams, and connections that carry records in frames; every connection notices an unresponsive peer."""
+"""Records over UDP datagrams and over framed TCP connections.
+
+``Datagrams`` is a UDP socket, ``Frames`` a TCP connection that detects an
+unresponsive peer, and ``DialTimeout`` the growing timeout for opening one.
+"""
 
 from __future__ import annotations
 
@@ -20,22 +24,26 @@
     from sparloom.codec import Record
     from sparloom.settings import Address
 
-_FRAME_SIZE = struct.Struct("!I")
-MAXIMUM_FRAME_SIZE = 1 << 25
-READ_SIZE = 1 << 16
-DIAL_BACKOFF = 1.5
+# Length prefix of a frame.
+_FRAME_LENGTH = struct.Struct("!I")
+# Largest frame that is accepted.
+MAXIMUM_FRAME_BYTES = 1 << 25
+# Most bytes of a frame that one read returns.
+READ_CHUNK_BYTES = 1 << 16
+# Growth of the connect timeout after each timeout.
+DIAL_BACKOFF_FACTOR = 1.5
 _MILLISECOND = timedelta(milliseconds=1)
 
 
-def tune(sock: socket.socket, dead: timedelta = timedelta(seconds=2)) -> None:
-    """Makes a TCP socket notice a dead peer, and send small writes at once.
+def tune(sock: socket.socket, user_timeout: timedelta = timedelta(seconds=2)) -> None:
+    """Set the options of a TCP socket: detection of a dead peer, and no delay of small writes.
 
     Parameters
     ----------
     sock
-        A listening or connected socket; connections inherit the options of a listening one.
-    dead
-        How long sent data may remain unacknowledged before the connection is given up (TCP_USER_TIMEOUT).
+        A listening or connected socket; accepted connections inherit the options of the listening socket.
+    user_timeout
+        How long sent data may remain unacknowledged before the connection fails (TCP_USER_TIMEOUT).
 
     Examples
     --------
@@ -47,14 +55,14 @@
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(dead / _MILLISECOND))
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, max(1, int(dead.total_seconds() / 2)))
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(user_timeout / _MILLISECOND))
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, max(1, int(user_timeout.total_seconds() / 2)))
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
 
 
 def bind(address: Address) -> socket.socket:
-    """A listening socket at an address: the one bound early in the start, if there is one.
+    """Return a listening socket for an address: the one that was bound early during startup, if any.
 
     Raises
     ------
@@ -75,11 +83,11 @@
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """Sends and receives records as UDP datagrams; a datagram that holds no record is dropped.
+    """Sends and receives records as UDP datagrams; a datagram without a valid record is dropped.
 
-    A datagram may be lost, duplicated, late or out of order, and may come from
-    an earlier process at the same address: receivers check the instance and
-    the sequence that a record names.
+    A datagram may be lost, duplicated, delayed or reordered, and it may come
+    from an earlier process at the same address. Receivers therefore check the
+    instance and the sequence number in the record.
 
     Examples
     --------
@@ -105,14 +113,14 @@
 
     @classmethod
     async def open(cls, host: str, port: int, receive: Callable[[str, Any], None]) -> Datagrams:
-        """Opens a socket.
+        """Open a socket.
 
         Parameters
         ----------
         host, port
-            Where it is bound.
+            The address to bind.
         receive
-            Called with the sender's HOST:PORT and the record for each that arrives.
+            Called with the sender's HOST:PORT and the record for each datagram received.
 
         Raises
         ------
@@ -124,11 +132,11 @@
         return protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The event loop has opened the socket."""
+        """Store the transport when the event loop has opened the socket."""
         self.transport = cast("asyncio.DatagramTransport", transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """A datagram has arrived from ``addr``."""
+        """Decode a datagram from ``addr`` and pass its record on."""
         try:
             message = unpack(data)
         except DecodeError:
@@ -138,31 +146,31 @@
         self.receive(f"{addr[0]}:{addr[1]}", message)
 
     def error_received(self, exc: Exception) -> None:
-        """An ICMP error for an earlier datagram; a datagram may be lost without one too."""
+        """Ignore an ICMP error for an earlier datagram; a datagram may be lost without an error too."""
 
     def send(self, to: str | tuple[str, ...], message: Record) -> None:
-        """Sends a record, without knowing whether it arrives.
+        """Send a record without confirmation of delivery.
 
         Parameters
         ----------
         to
-            HOST:PORT, or a tuple of them; what is not of that form is left out.
+            HOST:PORT, or a tuple of them; malformed addresses are skipped.
         message
-            The record.
+            The record to send.
         """
         if self.transport is None or self.transport.is_closing():
             return
         raw = pack(message)
         for target in (to,) if isinstance(to, str) else to:
-            address = self._addresses.get(target) or self._parse(target)
+            address = self._addresses.get(target) or self._parse_address(target)
             if address is None:
                 continue
             if self.meter is not None:
                 self.meter.add(f"datagram out {type(message).__name__}", len(raw))
             self.transport.sendto(raw, address)
 
-    def _parse(self, target: str) -> tuple[str, int] | None:
-        """The address in HOST:PORT, which is remembered; None where it is none."""
+    def _parse_address(self, target: str) -> tuple[str, int] | None:
+        """Parse HOST:PORT and cache the result; None if it is malformed."""
         host, _, port = target.rpartition(":")
         if not host or not port.isdigit():
             return None
@@ -170,7 +178,7 @@
         return address
 
     def close(self) -> None:
-        """Closes the socket.
+        """Close the socket.
 
         Examples
         --------
@@ -181,12 +189,12 @@
 
 
 class Frames:
-    """Records over a TCP connection, each behind its size in four bytes.
+    """Records over a TCP connection, each prefixed with its size in four bytes.
 
     Attributes
     ----------
     reader, writer
-        The two directions of the connection.
+        The streams of the connection.
 
     Examples
     --------
@@ -198,8 +206,8 @@
     ...     await client.write(record, stall_timeout=timedelta(seconds=1))
     ...     connection = await accepted
     ...     received = await connection.read()
-    ...     for end in (client, connection, server):
-    ...         end.close()
+    ...     for opened in (client, connection, server):
+    ...         opened.close()
     ...     return received.node
     >>> asyncio.run(send(Subscribe("router-1", 0, 0, 0, 0)))
     'router-1'
@@ -212,13 +220,13 @@
             self.meter.add("pipe opened")
 
     async def read(self, progress: Callable[[], object] | None = None) -> Any:
-        """The next record.
+        """Read the next record.
 
         Parameters
         ----------
         progress
-            Called before each part of an announced record is read, so that the
-            caller can allow more time for one that is on its way.
+            Called before each chunk of a record is read, so that the caller can
+            extend its deadline while a record arrives.
 
         Raises
         ------
@@ -227,53 +235,53 @@
         OSError
             The connection is lost.
         DecodeError
-            The frame is too long or holds no record.
+            The frame is too large or contains no valid record.
         """
-        (size,) = _FRAME_SIZE.unpack(await self.reader.readexactly(_FRAME_SIZE.size))
-        if size > MAXIMUM_FRAME_SIZE:
-            raise DecodeError(f"found a frame of {size} bytes, expected at most {MAXIMUM_FRAME_SIZE}")
-        missing, parts = size, []
+        (size,) = _FRAME_LENGTH.unpack(await self.reader.readexactly(_FRAME_LENGTH.size))
+        if size > MAXIMUM_FRAME_BYTES:
+            raise DecodeError(f"found a frame of {size} bytes, expected at most {MAXIMUM_FRAME_BYTES}")
+        missing, chunks = size, []
         while missing:
             if progress:
                 progress()
-            part = await self.reader.read(min(missing, READ_SIZE))
-            if not part:
+            chunk = await self.reader.read(min(missing, READ_CHUNK_BYTES))
+            if not chunk:
                 raise EOFError(f"the connection ended {missing} bytes before the end of a frame")
-            parts.append(part)
-            missing -= len(part)
-        message = unpack(b"".join(parts))
+            chunks.append(chunk)
+            missing -= len(chunk)
+        message = unpack(b"".join(chunks))
         if self.meter is not None:
-            self.meter.add(f"frame in {type(message).__name__}", size + _FRAME_SIZE.size)
+            self.meter.add(f"frame in {type(message).__name__}", size + _FRAME_LENGTH.size)
         return message
 
     async def write(self, message: Record, stall_timeout: timedelta | None = None) -> None:
-        """Writes a record and waits until the buffer has room again.
+        """Write a record and wait until the send buffer has space again.
 
         Parameters
         ----------
         message
-            The record.
+            The record to write.
         stall_timeout
-            How long the peer may take nothing at all; None for no limit.
+            How long the peer may accept no data at all; None for no limit.
 
         Raises
         ------
         OSError
             The connection is lost.
         TimeoutError
-            The peer took nothing for ``stall_timeout``.
+            The peer accepted no data for ``stall_timeout``.
         """
         raw = pack(message)
         if self.meter is not None:
-            self.meter.add(f"frame out {type(message).__name__}", len(raw) + _FRAME_SIZE.size)
-        self.writer.write(_FRAME_SIZE.pack(len(raw)) + raw)
+            self.meter.add(f"frame out {type(message).__name__}", len(raw) + _FRAME_LENGTH.size)
+        self.writer.write(_FRAME_LENGTH.pack(len(raw)) + raw)
         if stall_timeout is None:
             await self.writer.drain()
         else:
             await self._drain(stall_timeout)
 
     async def _drain(self, stall_timeout: timedelta) -> None:
-        """Waits for room in the buffer for as long as the peer takes anything."""
+        """Wait for space in the send buffer while the peer keeps accepting data."""
         while True:
             unsent = self.writer.transport.get_write_buffer_size()
             try:
@@ -284,7 +292,7 @@
                     raise
 
     def close(self) -> None:
-        """Closes the connection at once; what is not yet sent is dropped."""
+        """Close the connection immediately; unsent data is dropped."""
         if self.meter is not None:
             self.meter.add("pipe closed")
             self.meter = None
@@ -293,20 +301,21 @@
 
 @define(slots=True)
 class DialTimeout:
-    """How long connections may take to open: short at first, growing after each time-out.
+    """A connect timeout with backoff: short at first, longer after each timeout.
 
-    A machine without power swallows the opening packet, and the system sends
-    it again only after a second. A new attempt is cheap and finds the machine
-    as soon as it listens; a distant peer gets the time that it needs.
+    A machine that is powered off drops the SYN packet, and the kernel
+    retransmits it only after a second. Short attempts are cheap and reach the
+    machine as soon as it listens. The backoff gives a distant peer enough time
+    to answer.
 
     Attributes
     ----------
     initial
-        The limit at first, and after each connection that opened.
+        The timeout of the first attempt and after each opened connection.
     maximum
-        The largest limit.
+        The longest timeout.
     current
-        The limit of the next attempt.
+        The timeout of the next attempt.
 
     Examples
     --------
@@ -327,22 +336,22 @@
         self.current = self.initial
 
     def on_open(self) -> None:
-        """A connection opened in time."""
+        """Reset the timeout after a connection was opened."""
         self.current = self.initial
 
     def on_timeout(self) -> None:
-        """A connection was not open in time."""
-        self.current = min(self.current * DIAL_BACKOFF, self.maximum)
+        """Extend the timeout after an attempt timed out."""
+        self.current = min(self.current * DIAL_BACKOFF_FACTOR, self.maximum)
 
     async def dial(self, host: str, port: int) -> Frames:
-        """Opens a connection within the current limit.
+        """Open a connection within the current timeout.
 
         Raises
         ------
         OSError
             The connection is refused, or the host cannot be reached.
         TimeoutError
-            The limit passed; the next one is longer.
+            The attempt timed out; the next timeout is longer.
         """
         try:
             frames = await dial(host, port, self.current)
@@ -354,16 +363,16 @@
 
 
 async def dial(host: str, port: int, timeout: timedelta) -> Frames:
-    """Opens a connection for records.
+    """Open a connection for records.
 
     Raises
     ------
     OSError
         The connection is refused, or the host cannot be reached.
     TimeoutError
-        It was not open within ``timeout``.
+        The connection was not opened within ``timeout``.
     """
     async with asyncio.timeout(timeout.total_seconds()):
-        reader, writer = await asyncio.open_connection(host, port, limit=MAXIMUM_FRAME_SIZE)
+        reader, writer = await asyncio.open_connection(host, port, limit=MAXIMUM_FRAME_BYTES)
     tune(writer.get_extra_info("socket"))
     return Frames(reader, writer)
