--- a/sparloom/__init__.py
+++ b/sparloom/__init__.py
@@ -1,8 +1,8 @@
 """sparloom: a router fleet for a language model.
 
-Two programs, ``sparloom.router`` (data plane) and ``sparloom.controller``
-(control plane), stand on a workspace of small libraries, each a package beside
-them. ``docs/architecture.md`` lists the packages from bottom to top.
+The two programs ``sparloom.router`` (data plane) and ``sparloom.controller``
+(control plane) are built from small libraries, each a subpackage.
+``docs/architecture.md`` lists them, lowest layer first.
 
 >>> from sparloom.configuration import Configuration
 """
--- a/sparloom/errors.py
+++ b/sparloom/errors.py
@@ -1,5 +1,5 @@
-"""The base of all errors that sparloom raises on its own account."""
+"""The base class of all errors that sparloom defines."""
 
 
 class SparloomError(Exception):
-    """Something that sparloom was given, or met, does not hold; the message says what was found."""
+    """Base class of errors about invalid input or state; the message describes the fault."""
--- a/sparloom/metrics/__init__.py
+++ b/sparloom/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counts what a process sends, receives and opens, by kind; off unless asked for."""
+"""Counters of the records and connections of a process, by kind; disabled by default."""
 
 from .meter import Meter, count_event, current_meter, report_interval, start_meter
 
--- a/sparloom/metrics/meter.py
+++ b/sparloom/metrics/meter.py
@@ -1,9 +1,9 @@
-"""The counters, and the one set of them that a process may keep.
+"""Counters of events and bytes, and the optional meter of the process.
 
-Growth of the fleet shows in what a node sends for the sake of others, which no
-request shows. The counters sit where records meet sockets, so that each kind
-of record is counted, also one that is added later. A process that is not asked
-to count keeps none, and pays one comparison for each record.
+The counters show the traffic between nodes, which grows with the fleet and is
+not visible in any request. Records are counted where they are written to and
+read from sockets, so a new kind of record is counted too. In a process without
+a meter, each record costs one comparison.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 _SECONDS_PER_DAY = 86400
 
-# Empty, or the meter of this process.
+# The meter of this process; empty while metering is disabled.
 _process_meter: list[Meter] = []
 
 
@@ -46,16 +46,16 @@
     tallies: dict[str, list[int]] = field(factory=dict)
 
     def add(self, name: str, size: int = 0, times: int = 1) -> None:
-        """Counts events.
+        """Count events.
 
         Parameters
         ----------
         name
-            The kind of the events.
+            The name of the events.
         size
-            Their bytes together.
+            Their total size in bytes.
         times
-            How many they are.
+            The number of events.
 
         Examples
         --------
@@ -71,7 +71,7 @@
         tally[1] += size
 
     def figures(self) -> dict[str, list[int]]:
-        """[events, bytes] since the start, sorted by name.
+        """Return [events, bytes] since the start, sorted by name.
 
         Examples
         --------
@@ -82,7 +82,7 @@
 
 
 def current_meter() -> Meter | None:
-    """The meter of this process; None when it keeps none.
+    """Return the meter of this process, or None if metering is disabled.
 
     Examples
     --------
@@ -93,7 +93,7 @@
 
 
 def count_event(name: str, times: int = 1) -> None:
-    """Counts events, if this process counts at all.
+    """Count events if metering is enabled.
 
     Examples
     --------
@@ -104,7 +104,7 @@
 
 
 def start_meter(on: bool = True) -> None:
-    """Starts the meter of this process, or ends it; to be called before sockets are opened.
+    """Start or stop the meter of this process; must be called before sockets are opened.
 
     Examples
     --------
@@ -121,11 +121,11 @@
 def report_interval(
     environ: Mapping[str, str] = os.environ, options: Mapping[str, str | bool] = sys._xoptions
 ) -> timedelta | None:
-    """How often the figures are logged; None when nothing is counted.
+    """Return how often the meter is logged, or None if metering is disabled.
 
-    The interval is given in seconds, less than a day, in ``SPARLOOM_METER``, or
-    after ``-X meter=`` where only the command line can be set. What is no
-    number above 0 means off.
+    ``SPARLOOM_METER`` gives the interval in seconds, less than a day. Where
+    only the command line can be set, ``-X meter=`` gives it. A value that is
+    not a number above 0 disables metering.
 
     Examples
     --------
--- a/sparloom/metrics/reporter.py
+++ b/sparloom/metrics/reporter.py
@@ -1,4 +1,4 @@
-"""Logs the meter of a program, at an interval and when it stops."""
+"""Logs the meter of a program at an interval and when the program stops."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 if TYPE_CHECKING:
     from datetime import timedelta
 
-# Stands for a figure that the system does not give.
+# Reported for a value that the operating system does not provide.
 _UNKNOWN = -1
 
 
 def process_figures() -> dict[str, Any] | None:
-    """The figures of the meter and of the process; None when nothing is counted.
+    """Return the counters of the meter and the resource usage of the process, or None if metering is disabled.
 
-    ``cpu`` is in seconds of processor time, ``memory`` in KiB resident,
-    ``descriptors`` the number of open files; -1 where the system gives none.
+    ``cpu`` is the processor time in seconds, ``memory`` the resident memory in
+    KiB, ``descriptors`` the number of open files. A value that the operating
+    system does not provide is -1.
 
     Examples
     --------
@@ -58,14 +59,14 @@
 
 
 class MetricsReporter(Service):
-    """Logs a line ``meter: JSON`` at each interval, and a last one at the stop.
+    """Logs a line ``meter: JSON`` at each interval and once more when the service stops.
 
     Parameters
     ----------
     node
-        The name of the node, shown in each line.
+        The node name to log.
     interval
-        The time between two lines.
+        The time between two log lines.
     """
 
     def __init__(self, node: str, interval: timedelta) -> None:
@@ -79,10 +80,10 @@
             self.report()
 
     async def on_stop(self) -> None:
-        """Logs the last line."""
+        """Log the final counters."""
         self.report()
 
     def report(self) -> None:
-        """Logs the figures of this moment."""
+        """Log the current counters and resource usage."""
         figures = {"node": self.node, **(process_figures() or {})}
         logging.info("meter: %s", json.dumps(figures, separators=(",", ":")))
--- a/tests/metrics/test_meter.py
+++ b/tests/metrics/test_meter.py
@@ -1,4 +1,4 @@
-"""What a process counts of its records and connections, and what it shows."""
+"""The meter: counted records and connections, and where the counters are shown."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 
 
 async def _exchange_records():
-    """Sends a ping by datagram; a subscription and two heartbeats over a connection."""
+    """Send a ping by datagram, and a subscription and two heartbeats over a connection."""
     received, served = asyncio.Event(), asyncio.Event()
 
     async def serve(reader, writer):
@@ -42,32 +42,32 @@
     server.close()
 
 
-class Counted(unittest.IsolatedAsyncioTestCase):
+class MeterEnabled(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         metrics.start_meter()
         self.addCleanup(metrics.start_meter, False)
 
     async def test_records_and_connections_are_counted_by_kind(self):
         await _exchange_records()
-        size, got = len(pack(PING)), metrics.current_meter().figures()
-        self.assertEqual(got["datagram out Ping"], [1, size])
-        self.assertEqual(got["datagram in Ping"], [1, size])
-        self.assertEqual(got["frame out FeedHeartbeat"], [2, 2 * (4 + len(pack(FeedHeartbeat(1, 1, 2, 0))))])
-        self.assertEqual(got["frame in FeedHeartbeat"], got["frame out FeedHeartbeat"])
-        self.assertEqual(got["frame in Subscribe"][0], 1)
-        self.assertEqual((got["pipe opened"][0], got["pipe closed"][0]), (2, 2))
+        size, figures = len(pack(PING)), metrics.current_meter().figures()
+        self.assertEqual(figures["datagram out Ping"], [1, size])
+        self.assertEqual(figures["datagram in Ping"], [1, size])
+        self.assertEqual(figures["frame out FeedHeartbeat"], [2, 2 * (4 + len(pack(FeedHeartbeat(1, 1, 2, 0))))])
+        self.assertEqual(figures["frame in FeedHeartbeat"], figures["frame out FeedHeartbeat"])
+        self.assertEqual(figures["frame in Subscribe"][0], 1)
+        self.assertEqual((figures["pipe opened"][0], figures["pipe closed"][0]), (2, 2))
 
-    async def test_attempts_weighed_runners_and_runner_connections_are_counted(self):
+    async def test_attempts_compared_runners_and_runner_connections_are_counted(self):
         async with Rig(runners=2) as rig:
-            for i in range(3):
-                self.assertEqual((await rig.send("/safe/", id=f"a{i}")).status, 200)
-            got = rig.front.beliefs()["meter"]
-        self.assertEqual(got["attempts"][0], 3)
-        self.assertEqual(got["weighed runners"][0], 6)
-        self.assertLessEqual(1, got["opened runner"][0])
-        self.assertLess(0, got["memory"])
+            for index in range(3):
+                self.assertEqual((await rig.send("/safe/", id=f"a{index}")).status, 200)
+            figures = rig.front.beliefs()["meter"]
+        self.assertEqual(figures["attempts"][0], 3)
+        self.assertEqual(figures["weighed runners"][0], 6)
+        self.assertLessEqual(1, figures["opened runner"][0])
+        self.assertLess(0, figures["memory"])
 
-    async def test_the_log_line_holds_all_figures(self):
+    async def test_the_log_entry_contains_all_counters(self):
         metrics.count_event("attempts")
         with self.assertLogs("absl", "INFO") as log:
             MetricsReporter("front-1", SECOND).report()
@@ -75,7 +75,7 @@
         self.assertIn('"attempts":[1,0]', log.output[0])
 
 
-class Off(unittest.IsolatedAsyncioTestCase):
+class MeterDisabled(unittest.IsolatedAsyncioTestCase):
     async def test_nothing_is_counted_or_shown(self):
         await _exchange_records()
         self.assertIsNone(metrics.current_meter())
