--- a/sparloom/configuration/check.py
+++ b/sparloom/configuration/check.py
@@ -17,7 +17,7 @@
     from collections.abc import Callable, Hashable, Iterable, Iterator
     from typing import NoReturn
 
-# A JSON object: a whole configuration, or the body of a PATCH.
+# A JSON object: a complete configuration, or the body of a PATCH.
 ConfigurationDocument = dict[str, Any]
 
 # The lists whose items have names; a PATCH changes their items by name.
@@ -219,10 +219,7 @@
     """Return the fault in how a route names its services, or None."""
     if ("service" in route) == ("weightedServices" in route):
         return f"route {route['name']}: it must name either service or weightedServices"
-    if (
-        "weightedServices" in route
-        and sum(weighted_service["weight"] for weighted_service in route["weightedServices"]) <= 0
-    ):
+    if "weightedServices" in route and sum(entry["weight"] for entry in route["weightedServices"]) <= 0:
         return f"route {route['name']}: its weights add up to 0"
     return None
 
@@ -230,7 +227,7 @@
 def _service_names(route: dict[str, Any]) -> list[str]:
     if "service" in route:
         return [route["service"]]
-    return [weighted_service["service"] for weighted_service in route["weightedServices"]]
+    return [entry["service"] for entry in route["weightedServices"]]
 
 
 def first_duplicate(values: Iterable[Hashable]) -> Any:
--- a/sparloom/configuration/rate_holders.py
+++ b/sparloom/configuration/rate_holders.py
@@ -1,4 +1,4 @@
-"""The table of routers that share a rate too small to split evenly, such as the request rate of a cold runner.
+"""The table of routers that share a rate that can't be split evenly, such as the request rate of a cold runner.
 
 The primary decides the table and the control state stores it, so that the
 shares add up even if the routers disagree about each other's membership. A
@@ -22,7 +22,7 @@
 
 # Fraction of the rate that is never granted.
 SPARE = 1 / 8
-# Lease on the table, in multiples of the contact bound, from the moment at which it was known to be the newest.
+# Lease on the table, in multiples of the contact bound. It starts when the table is known to be the newest.
 LEASE_BOUNDS = 5
 # Window over which sent requests are counted against a rate per second: one second plus the variation of their
 # network delay.
@@ -64,7 +64,7 @@
     before: frozenset[str] = frozenset()
 
     def share(self, router: str, total: int, salt: int) -> int:
-        """Return a router's share of a total, which is split into integers; all shares add up to 7/8 of the total.
+        """Return a router's share of a total, which is split into integers; the shares add up to at most 7/8 of it.
 
         Other routers may still use the previous table, so the share is the smaller one of both tables.
 
--- a/sparloom/configuration/table.py
+++ b/sparloom/configuration/table.py
@@ -179,7 +179,7 @@
     versions
         The versions of each service that has had a roll-out, by service name.
     rate_holders
-        The routers that share rates too small to split evenly; None until the primary has decided.
+        The routers that share rates that can't be split evenly; None until the primary has decided.
     """
 
     revision: int
--- a/sparloom/settings/model.py
+++ b/sparloom/settings/model.py
@@ -117,7 +117,7 @@
     budget_ratio
         Retries allowed per request.
     budget_slack
-        Retries allowed in addition to the ratio.
+        Retries allowed in addition to the ratio, for all nodes together.
     pass_time
         ``passMs`` of the startup file; not used.
     recovery
@@ -204,7 +204,7 @@
     lease
         Minimum time between the calls of two different holders of a duty.
     thaw_slack
-        How long after the end of its lease a holder that was suspended may still act.
+        How long after the end of its lease a holder whose process was suspended may still act.
     usage_window
         Length of a usage window.
     usage_error
@@ -309,7 +309,7 @@
     cloud
         The platform's runner list; None if there is none.
     members
-        Declared members (of admission), each with reserved capacity.
+        Members declared for admission, each with a reserve of the capacity.
     isolation
         Which members may share a runner; None if all may.
     deployment
--- a/sparloom/transport/http_client.py
+++ b/sparloom/transport/http_client.py
@@ -28,7 +28,8 @@
 
         Load balancing calls this for each backend and each request, so it checks only one connection.
         """
-        # The timeout is None only in a connector that closes each connection after its response.
+        # The timeout is None only in a connector that closes each connection after its response. No connector here
+        # is configured that way.
         assert self._keepalive_timeout is not None
         idle_cutoff = monotonic() - self._keepalive_timeout
         for idle in self._conns.values():
--- a/sparloom/transport/sockets.py
+++ b/sparloom/transport/sockets.py
@@ -201,7 +201,9 @@
     >>> from sparloom.feed import Subscribe
     >>> async def send(record):
     ...     accepted = asyncio.get_running_loop().create_future()
-    ...     server = await asyncio.start_server(lambda r, w: accepted.set_result(Frames(r, w)), "127.0.0.1", 0)
+    ...     server = await asyncio.start_server(
+    ...         lambda reader, writer: accepted.set_result(Frames(reader, writer)), "127.0.0.1", 0
+    ...     )
     ...     client = await dial(*server.sockets[0].getsockname(), timedelta(seconds=1))
     ...     await client.write(record, stall_timeout=timedelta(seconds=1))
     ...     connection = await accepted
