--- a/sparloom/cli.py
+++ b/sparloom/cli.py
@@ -1,4 +1,4 @@
-"""The command line that both programs share."""
+"""Command line of the ``router`` and ``controller`` programs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from absl import logging
 
 from sparloom import __version__, metrics
-from sparloom.launch.bytecode_archive import release
+from sparloom.launch.bytecode_archive import uninstall
 from sparloom.settings import read, startup_path
 
 if TYPE_CHECKING:
@@ -21,16 +21,16 @@
     from sparloom.settings import Settings
 
 EXIT_OK, EXIT_FAILED, EXIT_USAGE = 0, 1, 2
-# For how long an operator's order is repeated, in seconds.
-ORDER_PATIENCE_S = 15.0
+# An operator's command is resent for at most this long until a controller acknowledges it.
+COMMAND_RETRY_TIMEOUT_S = 15.0
 
 
-def _set_up_logging() -> None:
+def _configure_logging() -> None:
     from mode import Service
 
     Service.mundane_level = "debug"
     logging.use_absl_handler()
-    logging._warn_preinit_stderr = False  # type: ignore[attr-defined]  # absl warns of early messages otherwise; it has no public switch
+    logging._warn_preinit_stderr = False  # type: ignore[attr-defined]  # disables absl's warning about messages logged before its initialisation; there is no public option
     logging.set_verbosity(os.environ.get("SPARLOOM_LOG", "info").lower())
     logging.set_stderrthreshold("info")
 
@@ -39,64 +39,64 @@
     print(text, file=sys.stderr)
 
 
-def _missing_setting(name: str, settings: Settings) -> str | None:
-    """The sentence that names a setting which this program needs and the file lacks; None where it has all."""
+def _missing_setting_error(name: str, settings: Settings) -> str | None:
+    """Returns an error message for the first required setting that the startup file lacks; None if it has them all."""
     if name == "router":
-        needed: dict[str, object] = {
+        required: dict[str, object] = {
             "listenAddresses.front": settings.listen.front,
             "listenAddresses.readiness": settings.listen.readiness,
         }
     else:
-        needed = {"listenAddresses.control": settings.listen.control, "dataDirectory": settings.data}
-    return next((f"{key} is missing." for key, value in needed.items() if not value), None)
+        required = {"listenAddresses.control": settings.listen.control, "dataDirectory": settings.data}
+    return next((f"{key} is missing." for key, value in required.items() if not value), None)
 
 
 def run(name: str, config: str | None = None) -> int:
-    """Reads the startup file and serves until the program is told to stop.
+    """Reads the startup file and serves until SIGTERM or SIGINT.
 
     Parameters
     ----------
     name
         ``router`` or ``controller``.
     config
-        The path of the startup file; by default the one that ``SPARLOOM_CONFIG`` names.
+        Path of the startup file; defaults to the path in ``SPARLOOM_CONFIG``.
 
     Returns
     -------
     int
-        The exit status: 0 after a planned stop, 1 when the program can't serve, 2 when its settings are unsound.
+        Exit status: 0 after a graceful shutdown, 1 if an address can't be bound, 2 if the settings are invalid.
     """
     path = config or startup_path()
     settings = read(path)
     if settings.value_or(None) is None:
         _print_error(f"{name}: {settings.failure()}")
         return EXIT_USAGE
-    missing = _missing_setting(name, settings.unwrap())
+    missing = _missing_setting_error(name, settings.unwrap())
     if missing:
         _print_error(f"{name}: {path}: {missing}")
         return EXIT_USAGE
-    _set_up_logging()
+    _configure_logging()
     metrics.start_meter(metrics.report_interval() is not None)
     if name == "router":
         from sparloom.router.program import serve
     else:
         from sparloom.controller.program import serve
-    release()
+    uninstall()
     gc.freeze()
     gc.enable()
     try:
         asyncio.run(serve(settings.unwrap(), path))
     except OSError as error:
-        _print_error(f"{name}: it can't serve ({error}).")
+        _print_error(f"{name}: can't serve ({error}).")
         return EXIT_FAILED
     except (TimeoutError, KeyboardInterrupt):
-        # The stop took longer than its bound, or came from the keyboard; the process ends either way.
+        # The shutdown exceeded its timeout or was interrupted from the keyboard. The process exits either way.
         pass
     return EXIT_OK
 
 
-def _configuration_fault(path: str) -> str | None:
-    """What is wrong with a configuration file, in one sentence; None where it is sound."""
+def _configuration_error(path: str) -> str | None:
+    """Returns an error message for an invalid configuration file; None if it is valid."""
     from sparloom.configuration import check, parse
 
     try:
@@ -112,42 +112,42 @@
     def serve(*, config: str = "") -> int:
         """Serve until SIGTERM.
 
-        :param config: path of the startup file; SPARLOOM_CONFIG names it otherwise
+        :param config: path of the startup file; defaults to the path in SPARLOOM_CONFIG
         """
         return run(name, config or None)
 
     def check(*, startup: str = "", policy: str = "") -> int:
-        """Say whether a startup file or a policy file is sound.
+        """Validate a startup file or a policy file.
 
         :param startup: path of a startup file (TOML)
         :param policy: path of a policy file (JSON)
         """
         if not startup and not policy:
-            _print_error("check: name a file with --startup or --policy.")
+            _print_error("check: --startup or --policy is required.")
             return EXIT_USAGE
-        fault = None
+        error = None
         if startup:
             settings = read(startup)
-            fault = None if settings.value_or(None) is not None else str(settings.failure())
-        if policy and not fault:
-            fault = _configuration_fault(policy)
-        print(fault or "sound")
-        return EXIT_FAILED if fault else EXIT_OK
+            error = None if settings.value_or(None) is not None else str(settings.failure())
+        if policy and not error:
+            error = _configuration_error(policy)
+        print(error or "sound")
+        return EXIT_FAILED if error else EXIT_OK
 
     return [serve, check, *_node_commands(), *(_controller_commands() if name == "controller" else ())]
 
 
 def _node_commands() -> list[Callable[..., int]]:
-    """The commands that ask running nodes what they believe."""
+    """Commands that query the state of running nodes."""
 
     def beliefs(address: str) -> int:
-        """Print what a running node believes, as JSON.
+        """Print a running node's view of the fleet (its beliefs) as JSON.
 
         :param address: HOST:PORT of its control or readiness address
         """
-        from sparloom.compare.beliefs import fetch
+        from sparloom.compare.beliefs import fetch_beliefs
 
-        fetched = fetch(address)
+        fetched = fetch_beliefs(address)
         if fetched.value_or(None) is None:
             _print_error(str(fetched.failure()))
             return EXIT_FAILED
@@ -155,16 +155,16 @@
         return EXIT_OK
 
     def zones(*addresses: str) -> int:
-        """Print what running nodes believe of the zones, a line for each zone.
+        """Print the zone states that running nodes report, one line per zone.
 
         :param addresses: HOST:PORT of control or readiness addresses
         """
-        from sparloom.compare.beliefs import fetch
+        from sparloom.compare.beliefs import fetch_beliefs
         from sparloom.compare.zones import zone_lines
 
         status = EXIT_OK
         for address in addresses:
-            fetched = fetch(address)
+            fetched = fetch_beliefs(address)
             if fetched.value_or(None) is None:
                 _print_error(str(fetched.failure()))
                 status = EXIT_FAILED
@@ -176,16 +176,16 @@
 
 
 def _call_controllers(addresses: tuple[str, ...], method: str, path: str, body: Any = None) -> Any:
-    """The body of controllers' answer; None, and a sentence on standard error, where there is none."""
+    """Returns the response body of the first controller that answers; prints an error and returns None if none does."""
     from sparloom.controller.operator_client import call_until_answered
 
     if not addresses:
-        _print_error("name at least one control address, HOST:PORT.")
+        _print_error("at least one control address (HOST:PORT) is required.")
         return None
-    called = call_until_answered(addresses, method, path, ORDER_PATIENCE_S, body)
-    if called.value_or(None) is None:
-        _print_error(f"{called.failure()}.")
-    return called.value_or(None)
+    response = call_until_answered(addresses, method, path, COMMAND_RETRY_TIMEOUT_S, body)
+    if response.value_or(None) is None:
+        _print_error(f"{response.failure()}.")
+    return response.value_or(None)
 
 
 def _controller_commands() -> list[Callable[..., int]]:
@@ -194,10 +194,10 @@
     from sparloom.controller.operator_client import EVACUATIONS_PATH
 
     def evacuate(zone: str, *addresses: str) -> int:
-        """Have nothing more sent to the runners of a zone, until it is taken back with restore.
+        """Stop sending requests to the runners of a zone until the zone is restored.
 
         :param zone: the zone's name
-        :param addresses: HOST:PORT of control addresses; the order is repeated until it is acknowledged
+        :param addresses: HOST:PORT of control addresses; the command is resent until one acknowledges it
         """
         answer = _call_controllers(addresses, "POST", f"{EVACUATIONS_PATH}/{quote(zone, safe='')}")
         if answer is None:
@@ -208,10 +208,10 @@
         return EXIT_OK
 
     def restore(zone: str, *addresses: str) -> int:
-        """Take back a zone that was evacuated.
+        """Return an evacuated zone to service.
 
         :param zone: the zone's name
-        :param addresses: HOST:PORT of control addresses; the order is repeated until it is acknowledged
+        :param addresses: HOST:PORT of control addresses; the command is resent until one acknowledges it
         """
         answer = _call_controllers(addresses, "DELETE", f"{EVACUATIONS_PATH}/{quote(zone, safe='')}")
         if answer is None:
@@ -220,7 +220,7 @@
         return EXIT_OK
 
     def evacuated(*addresses: str) -> int:
-        """Print the zones that are evacuated, a line each.
+        """Print the evacuated zones, one per line.
 
         :param addresses: HOST:PORT of control addresses
         """
@@ -240,12 +240,12 @@
     from sparloom.controller.operator_client import ROLLOUTS_PATH
 
     def roll_out(service: str, version: str, seconds: float, *addresses: str) -> int:
-        """Move a service's requests to the runners of another version, if it proves good in time.
+        """Move a service's requests to the runners of another version, as long as that version proves healthy.
 
         :param service: the service's name
-        :param version: the version, as the platform lists it
-        :param seconds: within this time it is to be done; a version that isn't shown good by then is rolled back
-        :param addresses: HOST:PORT of control addresses; the order is repeated until it is acknowledged
+        :param version: the target version, as listed by the platform
+        :param seconds: deadline of the roll-out; a version that is not proven healthy by then is rolled back
+        :param addresses: HOST:PORT of control addresses; the command is resent until one acknowledges it
         """
         order = {"service": service, "targetVersion": version, "durationS": seconds}
         if _call_controllers(addresses, "POST", ROLLOUTS_PATH, order) is None:
@@ -254,7 +254,7 @@
         return EXIT_OK
 
     def rollout(service: str, *addresses: str) -> int:
-        """Print what has become of a service's newest roll-out.
+        """Print the state of a service's latest roll-out.
 
         :param service: the service's name
         :param addresses: HOST:PORT of control addresses
@@ -270,10 +270,10 @@
 
 
 def main(name: str) -> None:
-    """Runs a program and exits with its status; with no arguments it serves at once.
+    """Runs a program and exits with its status; without arguments it serves.
 
-    The argument parser is loaded only when there are arguments: it costs more
-    time and memory than all else that a start needs.
+    The argument parser is imported only if there are arguments, because it takes
+    more time and memory than everything else that a start needs.
     """
     if len(sys.argv) < 2:
         sys.exit(run(name))
--- a/sparloom/compare/__init__.py
+++ b/sparloom/compare/__init__.py
@@ -1,1 +1,1 @@
-"""Compares what two running nodes believe."""
+"""Compares the views that two running nodes have of the fleet."""
--- a/sparloom/compare/beliefs.py
+++ b/sparloom/compare/beliefs.py
@@ -1,4 +1,7 @@
-"""Fetches what running nodes believe and finds where two of them differ."""
+"""Fetches the beliefs of running nodes and compares them.
+
+A node's beliefs are its view of the fleet, which it serves at ``/-/beliefs``.
+"""
 
 from __future__ import annotations
 
@@ -18,16 +21,16 @@
 
 @define(frozen=True, slots=True)
 class Difference:
-    """One item that two nodes see differently.
+    """One item whose values differ between two nodes.
 
     Attributes
     ----------
     topic
-        A key of the beliefs.
+        A top-level key of the beliefs.
     item
-        A key within the topic; empty where the topic is one value.
+        A key within the topic; empty if the topic is a single value.
     here, there
-        The value at the first and at the second node; None where it has none.
+        The values at the first and the second node; None if the node has no such item.
 
     Examples
     --------
@@ -51,37 +54,37 @@
     return value if isinstance(value, (str, int)) else json.dumps(value, sort_keys=True)
 
 
-def fetch(address: str, timeout_s: float = FETCH_TIMEOUT_S) -> Result[dict[str, Any], str]:
-    """A node's beliefs, from its readiness or control address (HOST:PORT); a failure is a sentence.
+def fetch_beliefs(address: str, timeout_s: float = FETCH_TIMEOUT_S) -> Result[dict[str, Any], str]:
+    """Fetches a node's beliefs from its readiness or control address (HOST:PORT); a failure is an error message.
 
-    >>> fetch("127.0.0.1:1").failure().startswith("127.0.0.1:1 can't be asked")
+    >>> fetch_beliefs("127.0.0.1:1").failure().startswith("127.0.0.1:1 is unreachable")
     True
     """
     try:
         with urlopen(f"http://{address}/-/beliefs", timeout=timeout_s) as response:
             beliefs = json.load(response)
     except (OSError, ValueError) as error:
-        return Failure(f"{address} can't be asked: {error}")
-    return Success(beliefs) if isinstance(beliefs, dict) else Failure(f"{address} tells no beliefs")
+        return Failure(f"{address} is unreachable: {error}")
+    return Success(beliefs) if isinstance(beliefs, dict) else Failure(f"{address} did not return a JSON object")
 
 
 def relay_position(beliefs: Mapping[str, Any]) -> str | None:
-    """A router's position in the tier of relays, in one line; None for other nodes.
+    """Describes a router's position in the relay tier in one line; returns None for other nodes.
 
     >>> tier = {"follows": "b:1", "depth": 2, "ageMs": 90, "relay": False, "followers": []}
     >>> relay_position({"key": "a:1", "tier": tier})
-    'a:1 follows b:1 (depth 2), its news is 90 ms old, 0 follow it'
+    'a:1 follows b:1 (depth 2), data age 90 ms, 0 followers'
     """
     tier = beliefs.get("tier")
     if not isinstance(tier, dict):
         return None
-    age = "of unknown age" if tier.get("ageMs") is None else f"{tier['ageMs']} ms old"
-    followers = len(tier.get("followers", ()))
-    source = f"{tier.get('follows') or 'nobody'} (depth {tier.get('depth')})"
-    return f"{beliefs.get('key')} follows {source}, its news is {age}, {followers} follow it"
+    age = "unknown" if tier.get("ageMs") is None else f"{tier['ageMs']} ms"
+    follower_count = len(tier.get("followers", ()))
+    upstream = f"{tier.get('follows') or 'nobody'} (depth {tier.get('depth')})"
+    return f"{beliefs.get('key')} follows {upstream}, data age {age}, {follower_count} followers"
 
 
-def _differences(topic: str, here: Any, there: Any, ignored: set[str]) -> list[Difference]:
+def _topic_differences(topic: str, here: Any, there: Any, ignored: set[str]) -> list[Difference]:
     if isinstance(here, dict) and isinstance(there, dict):
         keys = sorted((set(here) | set(there)) - ignored)
         return [
@@ -91,10 +94,11 @@
 
 
 def compare(here: Mapping[str, Any], there: Mapping[str, Any], slack: int = 0) -> list[Difference]:
-    """Where two nodes' beliefs differ; only topics that both tell are compared.
+    """Returns the differences between two nodes' beliefs in the topics that both report.
 
-    A node does not list itself among its members, and in-flight counts may
-    lag: they differ only by more than ``slack`` calls.
+    A node does not list itself among its members, so the keys of both nodes are
+    ignored there. In-flight counts propagate with a delay, so differences of up
+    to ``slack`` calls are ignored.
 
     >>> [str(difference) for difference in compare({"revision": 3}, {"revision": 4, "counts": {}})]
     ['revision: 3 here, 4 there']
@@ -102,12 +106,14 @@
     []
     """
     own_keys = {key for key in (here.get("key"), there.get("key")) if key}
-    found = []
+    differences = []
     for topic in TOPICS:
         if topic in here and topic in there:
-            found += _differences(topic, here[topic], there[topic], own_keys if topic == "members" else set())
-    return [difference for difference in found if not _is_lag(difference, slack)]
+            differences += _topic_differences(
+                topic, here[topic], there[topic], own_keys if topic == "members" else set()
+            )
+    return [difference for difference in differences if not _is_within_slack(difference, slack)]
 
 
-def _is_lag(difference: Difference, slack: int) -> bool:
+def _is_within_slack(difference: Difference, slack: int) -> bool:
     return difference.topic == "counts" and abs((difference.here or 0) - (difference.there or 0)) <= slack
--- a/sparloom/launch/__init__.py
+++ b/sparloom/launch/__init__.py
@@ -1,1 +1,1 @@
-"""Starts the programs quickly: early listening sockets, and modules from a byte-code archive."""
+"""Fast program start: listening sockets are bound early, and modules are loaded from a bytecode archive."""
--- a/sparloom/launch/__main__.py
+++ b/sparloom/launch/__main__.py
@@ -1,7 +1,7 @@
-"""Starts a program: ``python3 -S -m sparloom.launch router`` runs it from the archive that the build made.
+"""Starts a program from the bytecode archive: ``python3 -S -m sparloom.launch router``.
 
-A deployment starts its programs this way; ``python -m sparloom.router`` runs
-the same program from the sources.
+Deployments start the programs this way. ``python -m sparloom.router`` runs the
+same program from its source files.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from sparloom.launch.launcher import LISTEN_ADDRESSES, launch
 
 
-def start() -> None:
-    """Runs the program that the first argument names, from the archive where there is one."""
+def main() -> None:
+    """Runs the program named by the first argument, from the archive if it is usable."""
     name = sys.argv[1] if len(sys.argv) > 1 else ""
     if name not in LISTEN_ADDRESSES:
         sys.exit(f"usage: python3 -m sparloom.launch {{{'|'.join(LISTEN_ADDRESSES)}}} [ARGUMENTS]")
@@ -23,4 +23,4 @@
 
 
 if __name__ == "__main__":
-    start()
+    main()
--- a/sparloom/launch/build_archive.py
+++ b/sparloom/launch/build_archive.py
@@ -1,8 +1,9 @@
-"""Makes the archive that ``sparloom.launch.bytecode_archive`` loads: ``python3 -S -m sparloom.launch.build_archive``.
+"""Builds the archive that ``sparloom.launch.bytecode_archive`` loads: ``python3 -S -m sparloom.launch.build_archive``.
 
-The build calls it. It loads both programs as they load themselves, notes which
-modules that took and which source texts were generated and compiled on the
-way, and writes the byte code of all of them to one file.
+The deployment build runs this module. It imports both programs in the same way
+as a program start does, and records the imported modules, the source code that
+libraries generate and compile, and the compiled regular expressions. Everything
+is written to one file.
 """
 
 from __future__ import annotations
@@ -17,7 +18,14 @@
 import sys
 from typing import TYPE_CHECKING, Any
 
-from sparloom.launch.bytecode_archive import GENERATORS, MAGIC, PATH, SIZE_BYTES, version, without_salt
+from sparloom.launch.bytecode_archive import (
+    ARCHIVE_MAGIC,
+    ARCHIVE_PATH,
+    CODE_GENERATING_MODULES,
+    INDEX_SIZE_FIELD_BYTES,
+    interpreter_version,
+    strip_hash_salt,
+)
 from sparloom.launch.early_listen import block_unused_modules, skip_mime_files
 
 if TYPE_CHECKING:
@@ -25,12 +33,12 @@
     from importlib.machinery import ModuleSpec
     from types import CodeType, ModuleType
 
-COMPILE_PATTERN = pattern_compiler.compile
-PROGRAMS = (
+ORIGINAL_COMPILE_PATTERN = pattern_compiler.compile
+PROGRAM_MODULES = (
     "sparloom.cli",
     "sparloom.router.program",
     "sparloom.controller.program",
-    # Loaded only where there are tenants, or the platform expects duties.
+    # Imported only if tenants are configured or the platform expects duties.
     "sparloom.configuration.tenants",
     "sparloom.router.access",
     "sparloom.controller.duty_updates",
@@ -38,7 +46,7 @@
     "sparloom.controller.duty_service",
     "sparloom.controller.scaled_services",
 )
-LOADED_BEFORE = frozenset(
+ALWAYS_LOADED_MODULES = frozenset(
     (
         "__main__",
         "sparloom",
@@ -51,12 +59,12 @@
 
 
 class SourceRecorder:
-    """Runs the generators of source with a ``compile`` that keeps what it made.
+    """Meta path finder that imports the code-generating modules with a ``compile`` that records its results.
 
     Attributes
     ----------
     generated
-        Byte code by (source without salt, file name).
+        Compiled code by (source without the hash salt, file name).
     """
 
     def __init__(self) -> None:
@@ -66,41 +74,41 @@
     def find_spec(
         self, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        """The ordinary spec of a generator, with this recorder in its loader's place; else None."""
-        if name not in GENERATORS:
+        """Returns a code-generating module's regular spec with this recorder as its loader; None for other modules."""
+        if name not in CODE_GENERATING_MODULES:
             return None
         spec = importlib.machinery.PathFinder.find_spec(name, path, target)
         if spec is not None:
-            self._loader, spec.loader = spec.loader, self  # type: ignore[assignment]  # a loader by protocol
+            self._loader, spec.loader = spec.loader, self  # type: ignore[assignment]  # implements the loader protocol
         return spec
 
     def create_module(self, spec: ModuleSpec) -> None:
-        """Leaves the making of the module to the import system."""
+        """Returns None: the import system creates the module."""
 
     def exec_module(self, module: ModuleType) -> None:
-        """Runs the generator's own code."""
+        """Executes the module with the recording ``compile``."""
         module.__dict__["compile"] = self.compile
-        exec(self._loader.get_code(module.__name__), module.__dict__)  # noqa: S102 - what an importer is for
+        exec(self._loader.get_code(module.__name__), module.__dict__)  # noqa: S102 - a loader executes module code
 
     def compile(self, source: str, filename: str, mode: str) -> CodeType:
-        """The built-in ``compile``, and a note of the result."""
+        """Calls the built-in ``compile`` and records the result."""
         code: CodeType = compile(source, filename, mode)
-        self.generated[without_salt(source), filename] = code
+        self.generated[strip_hash_salt(source), filename] = code
         return code
 
 
 class PatternRecorder:
-    """Stands for the matcher towards the compiler of patterns, and keeps what it was handed.
+    """Replaces ``_sre`` within ``re._compiler`` and records the arguments of ``_sre.compile``.
 
     Attributes
     ----------
     patterns
-        What the matcher was handed, by (pattern, flags).
+        The arguments that ``_sre.compile`` received, by (pattern, flags).
     """
 
     def __init__(self) -> None:
         self.patterns: dict[tuple[str | bytes, int], tuple[Any, ...] | None] = {}
-        self._handed: tuple[Any, ...] | None = None
+        self._compile_arguments: tuple[Any, ...] | None = None
 
     def __getattr__(self, name: str) -> Any:
         return getattr(_sre, name)
@@ -114,103 +122,106 @@
         group_index: dict[str, int],
         index_group: Sequence[str | None],
     ) -> re.Pattern[Any]:
-        """The matcher's ``compile``, and a note of its arguments as plain numbers and strings."""
-        self._handed = (
+        """Calls ``_sre.compile`` and records its arguments as plain integers and strings, which can be marshalled."""
+        self._compile_arguments = (
             int(flags),
-            [int(word) for word in code],
+            [int(code_word) for code_word in code],
             int(groups),
             {name: int(number) for name, number in group_index.items()},
             tuple(index_group),
         )
-        matcher: re.Pattern[Any] = _sre.compile(pattern, flags, code, groups, group_index, index_group)
-        return matcher
+        compiled: re.Pattern[Any] = _sre.compile(pattern, flags, code, groups, group_index, index_group)
+        return compiled
 
     def compile_pattern(self, pattern: Any, flags: int = 0) -> re.Pattern[Any]:
-        """The compiler of patterns, and a note of the result."""
-        compiled: re.Pattern[Any] = COMPILE_PATTERN(pattern, flags)
+        """Calls the regular pattern compiler and records the result."""
+        compiled: re.Pattern[Any] = ORIGINAL_COMPILE_PATTERN(pattern, flags)
         if isinstance(pattern, (str, bytes)):
-            self.patterns[pattern, int(flags)] = self._handed
+            self.patterns[pattern, int(flags)] = self._compile_arguments
         return compiled
 
     def install(self) -> None:
-        """Records every pattern that is compiled from now on, also those that were compiled before."""
-        replaced: Any = pattern_compiler
-        replaced._sre, replaced.compile = self, self.compile_pattern
+        """Records every pattern compiled from now on.
+
+        The cache of ``re`` is purged, so patterns that were compiled before are recorded too.
+        """
+        patched: Any = pattern_compiler
+        patched._sre, patched.compile = self, self.compile_pattern
         re.purge()
 
 
 class CodeWriter:
-    """Collects marshalled byte code and gives the location of each piece.
+    """Collects marshalled code objects and assigns their locations in the archive.
 
     Attributes
     ----------
-    pieces
-        The marshalled code objects in the order in which they were added.
-    size
-        The sum of their sizes in bytes.
+    chunks
+        The marshalled code objects in the order of addition.
+    size_bytes
+        The total size of all chunks.
     """
 
     def __init__(self) -> None:
-        self.pieces: list[bytes] = []
-        self.size = 0
+        self.chunks: list[bytes] = []
+        self.size_bytes = 0
 
     def add(self, code: CodeType) -> tuple[int, int]:
-        """Takes a code object; gives its offset and size in bytes."""
-        piece = marshal.dumps(code)
-        location = (self.size, len(piece))
-        self.pieces.append(piece)
-        self.size += len(piece)
+        """Adds a code object; returns its offset and size in bytes."""
+        chunk = marshal.dumps(code)
+        location = (self.size_bytes, len(chunk))
+        self.chunks.append(chunk)
+        self.size_bytes += len(chunk)
         return location
 
 
 def project_path(file: str) -> str:
-    """A file's path from the root of the project where it lies below it; else its absolute path."""
+    """Returns a path relative to the working directory if the file is below it, and the absolute path otherwise."""
     return os.path.abspath(file).removeprefix(os.getcwd() + os.sep)
 
 
 def compile_file(file: str) -> CodeType:
-    """The byte code of a source file."""
+    """Compiles a source file."""
     with open(file, "rb") as source:
         code: CodeType = compile(source.read(), project_path(file), "exec", dont_inherit=True)
     return code
 
 
-def loaded_modules() -> dict[str, ModuleSpec]:
-    """The specs of the modules that were loaded from files, by name.
+def file_module_specs() -> dict[str, ModuleSpec]:
+    """Returns the specs of all modules that were loaded from files, by name.
 
     >>> import json
-    >>> loaded_modules()["json"].origin.endswith("__init__.py")
+    >>> file_module_specs()["json"].origin.endswith("__init__.py")
     True
     """
     specs = {name: getattr(module, "__spec__", None) for name, module in sys.modules.items() if module is not None}
     return {
         name: spec
         for name, spec in sorted(specs.items())
-        if spec is not None and spec.name == name and spec.has_location and name not in LOADED_BEFORE
+        if spec is not None and spec.name == name and spec.has_location and name not in ALWAYS_LOADED_MODULES
     }
 
 
-def load_programs() -> tuple[SourceRecorder, PatternRecorder]:
-    """Loads the programs as a start does; gives what was generated and compiled on the way."""
+def import_programs() -> tuple[SourceRecorder, PatternRecorder]:
+    """Imports both programs as a program start does; returns the recorders of generated sources and patterns."""
     gc.disable()
     sources, patterns = SourceRecorder(), PatternRecorder()
     sys.meta_path.insert(0, sources)
     patterns.install()
     block_unused_modules()
     skip_mime_files()
-    for name in PROGRAMS:
+    for name in PROGRAM_MODULES:
         importlib.import_module(name)
     return sources, patterns
 
 
-def build(path: str = PATH) -> int:
-    """Loads the programs and writes the archive; gives how many modules are in it."""
-    sources, patterns = load_programs()
-    writer, specs = CodeWriter(), loaded_modules()
+def build(path: str = ARCHIVE_PATH) -> int:
+    """Imports both programs and writes the archive; returns the number of archived modules."""
+    sources, patterns = import_programs()
+    writer, specs = CodeWriter(), file_module_specs()
     origins = {name: spec.origin or "" for name, spec in specs.items()}
     from_source = {name for name, origin in origins.items() if origin.endswith(".py")}
     index = {
-        "version": version(),
+        "version": interpreter_version(),
         "modules": {
             name: (
                 project_path(origins[name]),
@@ -224,19 +235,19 @@
         "generated": {key: writer.add(code) for key, code in sources.generated.items()},
         "patterns": patterns.patterns,
     }
-    write(path, marshal.dumps(index), writer.pieces)
+    write(path, marshal.dumps(index), writer.chunks)
     return len(specs)
 
 
-def write(path: str, index: bytes, pieces: Iterable[bytes]) -> None:
-    """Writes the archive beside its path and then puts it there, so that a start never reads half of one."""
+def write(path: str, index: bytes, chunks: Iterable[bytes]) -> None:
+    """Writes the archive to a temporary file and renames it, so that a start never reads a partial archive."""
     os.makedirs(os.path.dirname(path) or ".", exist_ok=True)
     with open(f"{path}.new", "wb") as file:
-        file.write(MAGIC + len(index).to_bytes(SIZE_BYTES))
+        file.write(ARCHIVE_MAGIC + len(index).to_bytes(INDEX_SIZE_FIELD_BYTES))
         file.write(index)
-        file.writelines(pieces)
+        file.writelines(chunks)
     os.replace(f"{path}.new", path)
 
 
 if __name__ == "__main__":
-    print(f"build_archive: {build()} modules are in {PATH}.")
+    print(f"build_archive: wrote {build()} modules to {ARCHIVE_PATH}.")
--- a/sparloom/launch/bytecode_archive.py
+++ b/sparloom/launch/bytecode_archive.py
@@ -1,14 +1,16 @@
-"""Loads modules from one archive that the build has made.
-
-A start loads some four hundred modules. Looking each of them up on the disk,
-and compiling again what libraries generate as source text and their regular
-expressions, takes a third of its processor time, and after a loss of all power
-every machine of a fleet spends that time while clients wait. The archive holds
-the byte code of all these modules and of generated source texts, the paths of
-the extension modules, and compiled patterns. It is made by
-``sparloom.launch.build_archive`` and bound to one build of Python, since
-compiled patterns are internal to that build; where it is missing or made for
-another one, modules are loaded in the ordinary way.
+"""Imports modules from a single bytecode archive.
+
+A program start imports about four hundred modules. Finding each of them on disk,
+and compiling the source code that libraries generate and their regular
+expressions, takes a third of the CPU time of a start. After a complete power
+loss, every machine of a fleet spends that time while clients wait.
+
+``Archive`` is a meta path importer. The archive file holds the bytecode of all
+these modules and of generated source code, the paths of extension modules, and
+compiled regular expressions. ``sparloom.launch.build_archive`` writes it. An
+archive is valid only for the Python build that wrote it, because compiled
+patterns are internal to that build. If the archive is missing or was written by
+another build, the regular import system loads the modules.
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
 import sys
 from importlib.machinery import ExtensionFileLoader, ModuleSpec
 
-# Importing ``typing`` here would load it before the archive is in use; type checkers take this name for true.
+# Importing ``typing`` would load it before the archive is installed. Type checkers treat this name as true.
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     import re
@@ -27,24 +29,24 @@
     from types import CodeType, ModuleType
     from typing import Any
 
-PATH = os.path.join("target", "programs.bin")
-GENERATORS = ("attr._make",)
-MAGIC = b"sparloom programs 1\n"
-SIZE_BYTES = 8
+ARCHIVE_PATH = os.path.join("target", "programs.bin")
+CODE_GENERATING_MODULES = ("attr._make",)
+ARCHIVE_MAGIC = b"sparloom programs 1\n"
+INDEX_SIZE_FIELD_BYTES = 8
 
 
-def version() -> tuple[str | None, str, str]:
-    """What the archive must have been made for: the interpreter, its library and its byte code."""
+def interpreter_version() -> tuple[str | None, str, str]:
+    """Identifies the Python build of an archive: bytecode tag, interpreter version and standard library path."""
     return (sys.implementation.cache_tag, sys.version, os.path.dirname(os.__file__))
 
 
-def without_salt(source: str) -> str:
-    """Generated source without the lines that hold only a number.
+def strip_hash_salt(source: str) -> str:
+    """Removes the lines that hold only a number from generated source code.
 
-    Such a line is the salt of a generated ``__hash__``; each process draws it
-    anew, so two of them never generate quite the same text.
+    Such a line is the salt of a generated ``__hash__`` method. Each process picks
+    a random salt, so the generated source differs between processes.
 
-    >>> without_salt("return hash((\\n    -17,\\n    self.a,\\n))")
+    >>> strip_hash_salt("return hash((\\n    -17,\\n    self.a,\\n))")
     'return hash((\\n    self.a,\\n))'
     """
     lines = source.split("\n")
@@ -54,33 +56,32 @@
 class Archive:
     """An importer for ``sys.meta_path``.
 
-    Byte code is read when it is asked for, so that what is never used takes no
-    memory.
+    Bytecode is read from the file on demand, so unused modules take no memory.
 
     Parameters
     ----------
     descriptor
-        The archive, open for reading; the importer closes it.
-    base
-        The offset at which the byte code begins, in bytes.
+        File descriptor of the archive, open for reading. The importer closes it.
+    bytecode_offset
+        Offset of the bytecode section in the file, in bytes.
     index
         ``modules`` (name: file, whether it is a package, location),
-        ``extensions`` (name: file), ``generated`` (source without salt, file
-        name: location), ``patterns`` (pattern, flags: what the pattern's
-        compiler hands to the matcher).
+        ``extensions`` (name: file), ``generated`` (source without the hash salt,
+        file name: location), ``patterns`` (pattern, flags: arguments of
+        ``_sre.compile``). A location is an offset and a size in bytes.
     """
 
-    def __init__(self, descriptor: int, base: int, index: Mapping[str, Any]) -> None:
-        self._descriptor, self._base = descriptor, base
+    def __init__(self, descriptor: int, bytecode_offset: int, index: Mapping[str, Any]) -> None:
+        self._descriptor, self._bytecode_offset = descriptor, bytecode_offset
         self._modules: dict[str, tuple[str, bool, tuple[int, int]]] = index["modules"]
         self._extensions: dict[str, str] = index["extensions"]
         self._generated: dict[tuple[str, str], tuple[int, int]] = index["generated"]
         self._patterns: dict[tuple[str | bytes, int], Sequence[Any]] = index["patterns"]
-        self._compile_pattern: Callable[..., re.Pattern[Any]] | None = None
+        self._original_compile_pattern: Callable[..., re.Pattern[Any]] | None = None
 
     @classmethod
-    def open(cls, path: str = PATH) -> Archive | None:
-        """The archive at a path; None where there is none, or one for another version of Python.
+    def open(cls, path: str = ARCHIVE_PATH) -> Archive | None:
+        """Opens the archive at a path; returns None if it is missing, damaged or from another Python build.
 
         >>> Archive.open("/nowhere") is None
         True
@@ -90,38 +91,38 @@
         except OSError:
             return None
         try:
-            head = os.pread(descriptor, len(MAGIC) + SIZE_BYTES, 0)
-            if head.startswith(MAGIC):
-                size = int.from_bytes(head[len(MAGIC) :])
-                index = marshal.loads(os.pread(descriptor, size, len(head)))
-                if index["version"] == version():
-                    return cls(descriptor, len(head) + size, index)
+            header = os.pread(descriptor, len(ARCHIVE_MAGIC) + INDEX_SIZE_FIELD_BYTES, 0)
+            if header.startswith(ARCHIVE_MAGIC):
+                size = int.from_bytes(header[len(ARCHIVE_MAGIC) :])
+                index = marshal.loads(os.pread(descriptor, size, len(header)))
+                if index["version"] == interpreter_version():
+                    return cls(descriptor, len(header) + size, index)
         except (EOFError, ValueError, TypeError, KeyError, OSError):
-            # A damaged archive is no archive: the modules are loaded from the sources.
+            # A damaged archive is ignored; the modules are loaded from their source files.
             pass
         os.close(descriptor)
         return None
 
     def close(self) -> None:
-        """Frees what it holds; nothing is read from it any more."""
+        """Drops the index and closes the file; the archive can't be used afterwards."""
         self._modules, self._extensions, self._generated, self._patterns = {}, {}, {}, {}
         os.close(self._descriptor)
 
-    def _code(self, location: tuple[int, int]) -> CodeType:
+    def _read_code(self, location: tuple[int, int]) -> CodeType:
         offset, size = location
-        code: CodeType = marshal.loads(os.pread(self._descriptor, size, self._base + offset))
+        code: CodeType = marshal.loads(os.pread(self._descriptor, size, self._bytecode_offset + offset))
         return code
 
-    # -- the importer's protocol ----------------------------------------------
+    # -- importer protocol ------------------------------------------------------
     def find_spec(
         self, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        """The spec of a module that the archive has; else None."""
+        """Returns the spec of an archived module; None for other modules."""
         entry = self._modules.get(name)
         if entry is not None:
             file, is_package, _ = entry
             origin = os.path.abspath(file)
-            spec = ModuleSpec(name, self, origin=origin, is_package=is_package)  # type: ignore[arg-type]  # a loader by protocol
+            spec = ModuleSpec(name, self, origin=origin, is_package=is_package)  # type: ignore[arg-type]  # implements the loader protocol
             spec.has_location = True
             if spec.submodule_search_locations is not None:
                 spec.submodule_search_locations.append(os.path.dirname(origin))
@@ -133,65 +134,65 @@
         return None
 
     def create_module(self, spec: ModuleSpec) -> None:
-        """Leaves the making of the module to the import system."""
+        """Returns None: the import system creates the module."""
 
     def exec_module(self, module: ModuleType) -> None:
-        """Runs a module's byte code; one that generates source gets a ``compile`` that uses the archive."""
+        """Executes a module; a code-generating module gets a ``compile`` that reads from the archive."""
         name = module.__name__
-        if name in GENERATORS:
+        if name in CODE_GENERATING_MODULES:
             module.__dict__["compile"] = self.compile
-        exec(self._code(self._modules[name][2]), module.__dict__)  # noqa: S102 - what an importer is for
+        exec(self._read_code(self._modules[name][2]), module.__dict__)  # noqa: S102 - a loader executes module code
 
     def compile(self, source: Any, filename: str, mode: str, **options: Any) -> CodeType:
-        """The built-in ``compile``, without the work where the archive holds the result."""
+        """Returns the archived code of generated source; calls the built-in ``compile`` if there is none."""
         cacheable = isinstance(source, str) and mode == "exec" and not options
-        location = self._generated.get((without_salt(source), filename)) if cacheable else None
+        location = self._generated.get((strip_hash_salt(source), filename)) if cacheable else None
         if location is not None:
-            return self._code(location)
+            return self._read_code(location)
         compiled: CodeType = compile(source, filename, mode, **options)
         return compiled
 
     def compile_pattern(self, pattern: Any, flags: int = 0) -> re.Pattern[Any]:
-        """What ``re`` compiles a pattern with, without the work where the archive holds the result."""
-        compiled = self._patterns.get((pattern, int(flags))) if isinstance(pattern, (str, bytes)) else None
-        if compiled is None:
-            assert self._compile_pattern is not None, "the archive is not in use"
-            return self._compile_pattern(pattern, flags)
-        matcher: re.Pattern[Any] = _sre.compile(pattern, *compiled)
-        return matcher
-
-    # -- in use ---------------------------------------------------------------
-    def enter(self) -> None:
-        """Lets modules and patterns come from here from now on."""
+        """Returns an archived regular expression; calls the compiler of ``re`` if there is none."""
+        compile_arguments = self._patterns.get((pattern, int(flags))) if isinstance(pattern, (str, bytes)) else None
+        if compile_arguments is None:
+            assert self._original_compile_pattern is not None, "the archive is not installed"
+            return self._original_compile_pattern(pattern, flags)
+        compiled: re.Pattern[Any] = _sre.compile(pattern, *compile_arguments)
+        return compiled
+
+    # -- installation -----------------------------------------------------------
+    def activate(self) -> None:
+        """Adds the archive to the import system and to the compiler of ``re``."""
         sys.meta_path.insert(0, self)
         import re._compiler
 
-        self._compile_pattern = re._compiler.compile
+        self._original_compile_pattern = re._compiler.compile
         re._compiler.compile = self.compile_pattern
 
-    def leave(self) -> None:
-        """Takes back what ``enter`` did and closes the archive."""
+    def deactivate(self) -> None:
+        """Reverts ``activate`` and closes the archive."""
         sys.meta_path.remove(self)
-        sys.modules["re._compiler"].__dict__["compile"] = self._compile_pattern
+        sys.modules["re._compiler"].__dict__["compile"] = self._original_compile_pattern
         self.close()
 
 
-def install(path: str = PATH) -> Archive | None:
-    """Lets modules come from the archive from now on; gives the archive, or None where it can't be used.
+def install(path: str = ARCHIVE_PATH) -> Archive | None:
+    """Activates the archive at a path; returns None if it can't be used.
 
     >>> install("/nowhere") is None
     True
     """
     archive = Archive.open(path)
     if archive is not None:
-        archive.enter()
+        archive.activate()
     return archive
 
 
-def release() -> None:
-    """Closes the archives in use, once a program is loaded.
+def uninstall() -> None:
+    """Deactivates and closes all active archives, once a program is loaded.
 
-    >>> release()
+    >>> uninstall()
     """
     for archive in [finder for finder in sys.meta_path if isinstance(finder, Archive)]:
-        archive.leave()
+        archive.deactivate()
--- a/sparloom/launch/early_listen.py
+++ b/sparloom/launch/early_listen.py
@@ -1,9 +1,9 @@
-"""Listens before anything heavy is loaded.
+"""Binds the listening sockets before the large imports of a program.
 
-Clients that still have the address of a program that starts again call it at
-once. Its sockets listen within a few milliseconds of the start, so such calls
-wait in the backlog while the rest is loaded; otherwise the machine would
-reject them.
+Clients that still hold the address of a restarting program connect to it
+immediately. The sockets listen within a few milliseconds of the process start,
+so these connections wait in the backlog during the imports. Without them the
+operating system would refuse the connections.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
 
-DEFAULT_SETTINGS_PATH = "/etc/sparloom/node.toml"
+DEFAULT_STARTUP_PATH = "/etc/sparloom/node.toml"
 LISTEN_BACKLOG = 512
 UNUSED_MODULES = ("ssl", "_ssl", "_hashlib")
 PLACEHOLDER_MODULES = {
@@ -28,29 +28,29 @@
 }
 
 _early_sockets: dict[tuple[str, int], socket.socket] = {}
-_pending_hangups: list[int] = []
+_deferred_hangups: list[int] = []
 
 
 def block_unused_modules(
     unused: Iterable[str] = UNUSED_MODULES, placeholders: Mapping[str, Sequence[str]] = PLACEHOLDER_MODULES
 ) -> None:
-    """Keeps modules that are never used from being loaded.
+    """Prevents imports of modules that the programs never use.
 
-    Libraries do without the ``unused`` ones. Neither program speaks TLS:
-    loading it all the same costs a fifth of a start, since two contexts read
-    the machine's certificates, and a tenth of the memory. The digests in use
-    are Python's own.
+    Importing a module in ``unused`` fails; the libraries that import them treat
+    them as optional. Neither program uses TLS. Importing ``ssl`` would take a
+    fifth of the start time, because two contexts read the system's certificates,
+    and a tenth of the memory. Digests use Python's built-in implementations.
 
-    A placeholder stands for a module that a library imports without need:
-    ``mode`` loads a parser of cron tables, which loads time zones and starts
-    another program to learn what machine this is; ``absl.flags`` loads a parser
-    of XML for a help text that nobody asks for. The placeholder has the given
-    attributes, each of them None.
+    ``placeholders`` maps modules that a library imports but does not need to the
+    attributes that the library expects; each attribute is None. ``mode`` imports
+    a cron parser, which loads time zones and starts a subprocess to detect the
+    platform. ``absl.flags`` imports an XML parser for a help text that is never
+    printed.
 
     >>> block_unused_modules((), {})
     """
     for name in unused:
-        # None makes an import of that name fail (documented in ``sys.modules``); the type stubs don't allow it.
+        # An entry of None makes the import fail, as documented for ``sys.modules``. The type stubs don't allow it.
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
     for name, attributes in placeholders.items():
         module = sys.modules.setdefault(name, ModuleType(name))
@@ -60,56 +60,57 @@
 
 
 def skip_mime_files() -> None:
-    """Uses the built-in table of file types: no file is served, and the machine's lists are long."""
+    """Limits ``mimetypes`` to its built-in table: the programs serve no files, and the system's tables are large."""
     import mimetypes
 
     mimetypes.knownfiles.clear()
 
 
 def defer_hangups() -> None:
-    """Keeps SIGHUP from ending a program that is still being loaded; see ``hangup_came``."""
-    signal.signal(signal.SIGHUP, lambda number, frame: _pending_hangups.append(number))
+    """Records SIGHUP during the imports, when its default action would end the process; see ``hangup_received``."""
+    signal.signal(signal.SIGHUP, lambda number, frame: _deferred_hangups.append(number))
 
 
-def hangup_came() -> bool:
-    """Whether SIGHUP came while the program was loaded: its settings may have changed since they were read.
+def hangup_received() -> bool:
+    """Whether SIGHUP arrived during the imports; the startup file may have changed since it was read.
 
-    >>> hangup_came()
+    >>> hangup_received()
     False
     """
-    return bool(_pending_hangups)
+    return bool(_deferred_hangups)
 
 
-def listen(names: Iterable[str]) -> None:
-    """Binds the named listen addresses of the startup file, where that works.
+def listen_early(names: Iterable[str]) -> None:
+    """Binds the named listen addresses of the startup file.
 
-    Faults are left to the checked reading of the file that follows.
+    Errors are ignored here. The program validates the file later, binds the
+    addresses that are still unbound and reports any error then.
 
-    >>> listen(())
+    >>> listen_early(())
     """
     import tomllib
 
     try:
-        with open(os.environ.get("SPARLOOM_CONFIG", DEFAULT_SETTINGS_PATH), "rb") as file:
+        with open(os.environ.get("SPARLOOM_CONFIG", DEFAULT_STARTUP_PATH), "rb") as file:
             addresses = tomllib.load(file)["listenAddresses"]
         for name in names:
             host, _, port = addresses[name].rpartition(":")
-            _early_sockets[host, int(port)] = listening_socket(host, int(port))
+            _early_sockets[host, int(port)] = open_listening_socket(host, int(port))
     except (OSError, ValueError, KeyError, TypeError, AttributeError):
         return
 
 
-def listening_socket(host: str, port: int, backlog: int = LISTEN_BACKLOG) -> socket.socket:
-    """A non-blocking listening socket.
+def open_listening_socket(host: str, port: int, backlog: int = LISTEN_BACKLOG) -> socket.socket:
+    """Opens a non-blocking listening socket.
 
     Raises
     ------
     OSError
-        The address is in use or not this machine's.
+        The address is in use or not local.
 
     Examples
     --------
-    >>> listening_socket("127.0.0.1", 0).close()
+    >>> open_listening_socket("127.0.0.1", 0).close()
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -124,8 +125,8 @@
 
 
 def take(host: str, port: int) -> socket.socket:
-    """The socket that was bound early, or a new one.
+    """Returns the socket that was bound early for an address, or opens a new one.
 
     >>> take("127.0.0.1", 0).close()
     """
-    return _early_sockets.pop((host, port), None) or listening_socket(host, port)
+    return _early_sockets.pop((host, port), None) or open_listening_socket(host, port)
--- a/sparloom/serving_program.py
+++ b/sparloom/serving_program.py
@@ -1,7 +1,8 @@
-"""What the router's and the controller's programs share: signals, and a startup file that is read again.
+"""Base of the router and controller programs: signal handling and reloading of the startup file.
 
-Each program is one root service. It serves until SIGTERM or SIGINT, and reads
-its startup file again on SIGHUP or when the file has changed.
+Each program is a ``ServingProgram``, the root of its tree of services. It serves
+until SIGTERM or SIGINT and reloads its startup file on SIGHUP or after a change
+of the file, which ``FileWatch`` detects.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from attrs import define, field
 from mode import Service
 
-from sparloom.launch.early_listen import hangup_came
+from sparloom.launch.early_listen import hangup_received
 from sparloom.metrics import report_interval
 from sparloom.settings import Settings, read
 
@@ -24,12 +25,12 @@
 
 @define(slots=True)
 class FileWatch:
-    """Compares a file with how it was when last looked at.
+    """Detects changes of a file between checks.
 
     Attributes
     ----------
     path
-        The file; it need not exist.
+        Path of the file, which need not exist.
 
     Examples
     --------
@@ -44,7 +45,7 @@
         self._fingerprint = self._read_fingerprint()
 
     def _read_fingerprint(self) -> tuple[int, ...]:
-        """Time of modification, size and inode; empty where there is no such file."""
+        """Returns the modification time, size and inode of the file; empty if it does not exist."""
         try:
             status = os.stat(self.path)
         except OSError:
@@ -52,7 +53,7 @@
         return (status.st_mtime_ns, status.st_size, status.st_ino)
 
     def changed(self) -> bool:
-        """Whether the file was changed, made or removed since the last call, or since the watch began.
+        """Whether the file was changed, created or removed since the last call, or since construction.
 
         Examples
         --------
@@ -65,14 +66,14 @@
 
 
 class ServingProgram(Service):
-    """A program's root service, which owns all others.
+    """Root service of a program; all other services are its dependencies.
 
     Attributes
     ----------
     settings : Settings
-        The settings in force.
+        The current settings.
     path : str
-        The startup file that they were read from.
+        Path of the startup file that they were read from.
     """
 
     def __init__(self, settings: Settings, path: str) -> None:
@@ -81,28 +82,28 @@
         self.file_watch = FileWatch(path)
 
     async def start_metrics_reporter(self) -> None:
-        """Starts to log the process's metrics, if the environment asks for it."""
+        """Starts the periodic logging of metrics, if an environment variable enables it."""
         interval = report_interval()
         if interval:
             from sparloom.metrics.reporter import MetricsReporter
 
             await self.add_runtime_dependency(MetricsReporter(self.settings.node, interval))
 
-    def reread(self) -> None:
-        """Reads the startup file again; a file that can't be used is logged and changes nothing."""
-        found = read(self.path)
-        if found.value_or(None) is None:
-            logging.warning("startup: file rejected error=%r", found.failure())
+    def reload_startup_file(self) -> None:
+        """Reloads the startup file; an invalid file is logged and ignored."""
+        loaded = read(self.path)
+        if loaded.value_or(None) is None:
+            logging.warning("startup: file rejected error=%r", loaded.failure())
             return
-        self.apply_settings(found.unwrap())
-        logging.info("startup: file reread path=%s", self.path)
+        self.apply_settings(loaded.unwrap())
+        logging.info("startup: file reloaded path=%s", self.path)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Goes by other checked settings from now on."""
+        """Switches to new, validated settings."""
         raise NotImplementedError
 
     async def graceful_shutdown(self) -> None:
-        """Hands over what rests on this process, before its services stop."""
+        """Drains this process and hands over its responsibilities, before its services stop."""
         raise NotImplementedError
 
     @Service.task
@@ -110,30 +111,31 @@
         while not self.should_stop:
             await asyncio.sleep(WATCH_INTERVAL_S)
             if self.file_watch.changed():
-                self.reread()
+                self.reload_startup_file()
 
 
 async def serve_until_signalled(program: ServingProgram) -> None:
-    """Runs a program until SIGTERM or SIGINT, then shuts it down.
+    """Runs a program until SIGTERM or SIGINT, then shuts it down gracefully.
 
     Raises
     ------
     OSError
-        An address of the settings can't be bound.
+        A listen address can't be bound.
     TimeoutError
         The services did not stop within ``STOP_TIMEOUT_S`` seconds.
     """
-    loop, end = asyncio.get_running_loop(), asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, end.set)
-    loop.add_signal_handler(signal.SIGHUP, program.reread)
+    loop, stop_requested = asyncio.get_running_loop(), asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    loop.add_signal_handler(signal.SIGHUP, program.reload_startup_file)
     await program.start()
-    # A SIGHUP that came while the modules were loaded has not been acted on yet.
-    if hangup_came():
-        program.reread()
-    await end.wait()
+    # A SIGHUP that arrived during the imports has not been handled yet.
+    if hangup_received():
+        program.reload_startup_file()
+    await stop_requested.wait()
     await program.graceful_shutdown()
     async with asyncio.timeout(STOP_TIMEOUT_S):
         await program.stop()
-    # The event loop takes its handlers along as it closes; what comes behind them must not end the process by itself.
+    # The event loop removes its signal handlers when it closes. A signal after that must not end the process by its
+    # default action.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM})
--- a/tests/launch/test_bytecode_archive.py
+++ b/tests/launch/test_bytecode_archive.py
@@ -1,4 +1,4 @@
-"""The archive of modules: what a start loads from it, and what happens where it can't be used."""
+"""Bytecode archive: what a program start loads from it, and the fallback if it is unusable."""
 
 import json
 import os
@@ -10,25 +10,25 @@
 from sparloom.launch.bytecode_archive import Archive
 from tests.support.paths import ROOT
 
-LOAD = """
+IMPORT_SCRIPT = """
 import gc, json, sys
 events = {"compile": 0, "open": 0}
 opened = []
-def hook(event, args):
+def audit_hook(event, args):
     if event == "compile" and str(args[1]).startswith("<attrs"):
         events["compile"] += 1
     elif event == "open" and str(args[0]).endswith((".py", ".pyc")):
         opened.append(args[0])
-from sparloom.launch.bytecode_archive import Archive, install, release
+from sparloom.launch.bytecode_archive import Archive, install, uninstall
 archive = install(sys.argv[1])
 from sparloom.launch.early_listen import block_unused_modules, skip_mime_files
 block_unused_modules()
 skip_mime_files()
-sys.addaudithook(hook)
+sys.addaudithook(audit_hook)
 import sparloom.cli, sparloom.router.program
 modules = len(sys.modules)
-from sparloom.launch.bytecode_archive import release
-release()
+from sparloom.launch.bytecode_archive import uninstall
+uninstall()
 import re, inspect
 from sparloom.membership.records import Ping
 from sparloom.dynamic_timeout.buckets import Bucket
@@ -47,7 +47,7 @@
 """
 
 
-TIMED = """
+TIMING_SCRIPT = """
 import gc, sys, time
 if sys.argv[1] == "archive":
     gc.disable()
@@ -59,98 +59,103 @@
 import sparloom.cli, sparloom.router.program
 print(time.process_time())
 """
-# A start from the archive takes about 0.6 of the processor time of one from the sources.
-MOST_OF_A_PLAIN_START = 0.85
+# Largest CPU time of a start from the archive, relative to a start from source files. It takes about 0.6.
+MAXIMUM_CPU_TIME_RATIO = 0.85
 
 
-def python(*arguments):
-    """Runs Python at the root of the project; gives the finished process."""
+def run_python(*arguments):
+    """Runs Python in the project's root directory; returns the completed process."""
     return subprocess.run(
         [sys.executable, *arguments], cwd=ROOT, capture_output=True, text=True, timeout=120, check=False
     )
 
 
-def loaded_from(path):
-    """What a process tells that loads the router from an archive at a path."""
-    done = python("-c", LOAD, path)
-    if done.returncode:
-        raise AssertionError(done.stderr)
-    return json.loads(done.stdout)
+def import_report(path):
+    """Returns the report of a process that imports the router from the archive at a path."""
+    completed = run_python("-c", IMPORT_SCRIPT, path)
+    if completed.returncode:
+        raise AssertionError(completed.stderr)
+    return json.loads(completed.stdout)
 
 
-class Archives(unittest.TestCase):
+class BytecodeArchiveTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
         cls.folder = tempfile.TemporaryDirectory()
         cls.addClassCleanup(cls.folder.cleanup)
         cls.path = os.path.join(cls.folder.name, "programs.bin")
-        done = python(
+        completed = run_python(
             "-c", "import sys; from sparloom.launch.build_archive import build; print(build(sys.argv[1]))", cls.path
         )
-        if done.returncode:
-            raise AssertionError(done.stderr)
-        cls.packed = int(done.stdout)
+        if completed.returncode:
+            raise AssertionError(completed.stderr)
+        cls.module_count = int(completed.stdout)
 
-    def changed(self, name, change):
-        """The path of a copy of the archive after a change of its bytes."""
+    def modified_copy(self, name, change):
+        """Writes a modified copy of the archive; returns its path."""
         path = os.path.join(self.folder.name, name)
-        with open(self.path, "rb") as old, open(path, "wb") as new:
-            new.write(change(old.read()))
+        with open(self.path, "rb") as source, open(path, "wb") as copy:
+            copy.write(change(source.read()))
         return path
 
-    def test_a_start_from_the_archive_opens_no_source_and_compiles_nothing(self):
-        """Each of these costs a start its time, on every machine of a fleet at once."""
-        plain, packed = loaded_from("/nowhere"), loaded_from(self.path)
+    def test_start_from_archive_opens_no_source_file_and_compiles_nothing(self):
+        """Guards the start time, which matters when all machines of a fleet start at once."""
+        plain, archived = import_report("/nowhere"), import_report(self.path)
         self.assertFalse(plain["used"])
-        self.assertTrue(packed["used"])
-        self.assertGreater(plain["compiled"], 100, "libraries generate source as before")
-        self.assertEqual((packed["compiled"], packed["opened"]), (0, []))
-        self.assertEqual(packed["loader"], "Archive")
-        self.assertLessEqual(packed["modules"], 520)
-        self.assertGreater(self.packed, 300)
-
-    def test_a_start_from_the_archive_takes_less_processor_time(self):
-        """The least of several runs in turn, so that other work on the machine weighs on both alike."""
+        self.assertTrue(archived["used"])
+        self.assertGreater(plain["compiled"], 100, "libraries should still generate source code")
+        self.assertEqual((archived["compiled"], archived["opened"]), (0, []))
+        self.assertEqual(archived["loader"], "Archive")
+        self.assertLessEqual(archived["modules"], 520)
+        self.assertGreater(self.module_count, 300)
+
+    def test_start_from_archive_takes_less_cpu_time(self):
+        """Compares minimums of alternating runs, so that other load on the machine affects both modes equally."""
         times = {"plain": [], "archive": []}
         for _ in range(5):
-            for how, taken in times.items():
-                done = python("-c", TIMED, how, self.path)
-                self.assertEqual(done.returncode, 0, done.stderr)
-                taken.append(float(done.stdout))
-        self.assertLess(min(times["archive"]), MOST_OF_A_PLAIN_START * min(times["plain"]), times)
-
-    def test_what_is_loaded_is_the_same(self):
-        plain, packed = loaded_from("/nowhere"), loaded_from(self.path)
-        for what in ("record", "bucket", "pattern", "file"):
-            with self.subTest(what):
-                self.assertEqual(plain[what], packed[what])
-
-    def test_nothing_of_it_stays_once_the_program_is_loaded(self):
-        self.assertEqual(loaded_from(self.path)["left"], [])
-
-    def test_an_archive_that_does_not_fit_is_not_used(self):
-        cut = self.changed("cut", lambda raw: raw[:100])
-        empty = self.changed("empty", lambda raw: b"")
-        other = self.changed("other", lambda raw: raw.replace(sys.version.encode(), b"0" * len(sys.version.encode())))
-        noise = self.changed("noise", lambda raw: bytes(range(255, 0, -1)) * 16)
-        shorter = self.changed("shorter", lambda raw: raw[:5000])
-        for path in (cut, empty, other, noise, shorter, "/nowhere", self.folder.name):
+            for mode, durations in times.items():
+                completed = run_python("-c", TIMING_SCRIPT, mode, self.path)
+                self.assertEqual(completed.returncode, 0, completed.stderr)
+                durations.append(float(completed.stdout))
+        self.assertLess(min(times["archive"]), MAXIMUM_CPU_TIME_RATIO * min(times["plain"]), times)
+
+    def test_imported_modules_are_identical(self):
+        plain, archived = import_report("/nowhere"), import_report(self.path)
+        for key in ("record", "bucket", "pattern", "file"):
+            with self.subTest(key):
+                self.assertEqual(plain[key], archived[key])
+
+    def test_uninstall_removes_archive_from_import_system(self):
+        self.assertEqual(import_report(self.path)["left"], [])
+
+    def test_unusable_archive_is_ignored(self):
+        truncated = self.modified_copy("truncated", lambda raw: raw[:100])
+        empty = self.modified_copy("empty", lambda raw: b"")
+        other_python = self.modified_copy(
+            "other_python", lambda raw: raw.replace(sys.version.encode(), b"0" * len(sys.version.encode()))
+        )
+        garbage = self.modified_copy("garbage", lambda raw: bytes(range(255, 0, -1)) * 16)
+        incomplete = self.modified_copy("incomplete", lambda raw: raw[:5000])
+        for path in (truncated, empty, other_python, garbage, incomplete, "/nowhere", self.folder.name):
             with self.subTest(path):
                 self.assertIsNone(Archive.open(path))
-        self.assertEqual(loaded_from(other)["loader"], "SourceFileLoader")
+        self.assertEqual(import_report(other_python)["loader"], "SourceFileLoader")
 
-    def test_programs_start_alike_with_and_without_it(self):
+    def test_programs_behave_the_same_with_and_without_archive(self):
         for name in ("router", "controller"):
             for arguments in (["--version"], ["serve", "--config", "/nowhere"], ["nonsense"]):
                 with self.subTest(name=name, arguments=arguments):
-                    one, two = (
-                        python("-m", f"sparloom.{name}", *arguments),
-                        python("-m", "sparloom.launch", name, *arguments),
+                    from_source, from_archive = (
+                        run_python("-m", f"sparloom.{name}", *arguments),
+                        run_python("-m", "sparloom.launch", name, *arguments),
+                    )
+                    self.assertEqual(
+                        (from_source.returncode, from_source.stdout, from_source.stderr),
+                        (from_archive.returncode, from_archive.stdout, from_archive.stderr),
                     )
-                    self.assertEqual((one.returncode, one.stdout, one.stderr), (two.returncode, two.stdout, two.stderr))
 
-    def test_an_unknown_program_is_refused(self):
+    def test_unknown_program_name_is_rejected(self):
         for arguments in ([], ["relay"]):
-            done = python("-m", "sparloom.launch", *arguments)
-            self.assertEqual(done.returncode, 1)
-            self.assertIn("usage: python3 -m sparloom.launch {router|controller}", done.stderr)
+            completed = run_python("-m", "sparloom.launch", *arguments)
+            self.assertEqual(completed.returncode, 1)
+            self.assertIn("usage: python3 -m sparloom.launch {router|controller}", completed.stderr)
