--- a/fakes/__init__.py
+++ b/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what a fleet meets: runners, the platform, the operator. For tests and try-outs."""
+"""Fake runners and a fake platform for tests and local trials."""
--- a/fakes/duty_log.py
+++ b/fakes/duty_log.py
@@ -1,4 +1,7 @@
-"""What a platform has seen of the duties, and what in it must not happen."""
+"""Records the duty calls that a fake platform receives and detects violations.
+
+The duties are usage reports and scaling orders. ``DutyLog`` holds the calls.
+"""
 
 from __future__ import annotations
 
@@ -10,28 +13,28 @@
     from collections.abc import Callable
 
 OK = 200
-FENCED = 409
+CONFLICT = 409
 
 
 @define(frozen=True, slots=True)
 class DutyCall:
-    """A call of a duty, as it came.
+    """A received duty call.
 
     Attributes
     ----------
-    at
-        Seconds on the log's clock.
+    received_at
+        Time of arrival in seconds, on the log's clock.
     duty
         ``usage`` or ``scale``.
     subject
-        "" for usage; service and zone for scaling.
+        Empty for usage; service and zone for scaling.
     holder, fence
-        As the headers say.
+        Holder and fence number from the headers.
     body
-        The JSON object.
+        The JSON body.
     """
 
-    at: float
+    received_at: float
     duty: str
     subject: str
     holder: str
@@ -41,22 +44,22 @@
 
 @define(slots=True, eq=False)
 class DutyLog:
-    """Judges calls as a platform that checks fences, and remembers them.
+    """Accepts or rejects calls by their fence number, as a platform does, and records them.
 
     Attributes
     ----------
     clock
-        Gives the time in seconds.
+        Returns the time in seconds.
     lease_s
-        Two holders must not take turns within it.
+        Holders must not alternate within this many seconds.
     calls, accepted
-        All calls, and those that were answered 200.
+        All calls, and the calls that were answered with 200.
     usage
-        The counts of each window that were accepted.
+        The accepted counts by window number.
     desired
-        The number of runners that was ordered last, by service and zone.
+        The latest ordered number of runners, by service and zone.
     faults
-        Sentences about what must not happen.
+        A message for each violation.
 
     >>> log = DutyLog(lambda: 0.0)
     >>> log.take("usage", "a", 2, {"windowNumber": 7, "counts": {"t": 1}})
@@ -74,48 +77,48 @@
     usage: dict[int, dict[str, int]] = field(factory=dict)
     desired: dict[str, int] = field(factory=dict)
     faults: list[str] = field(factory=list)
-    _highest: dict[str, int] = field(factory=dict)
+    _highest_fences: dict[str, int] = field(factory=dict)
     _holders: dict[tuple[str, str, int], str] = field(factory=dict)
     _orders: dict[tuple[str, int], int] = field(factory=dict)
 
     def take(self, duty: str, holder: str, fence: int, body: dict[str, Any]) -> int:
-        """Take a call; return the status of its answer."""
+        """Handle a call; return the response status."""
         subject = "" if duty == "usage" else f"{body['service']} {body['zone']}"
         call = DutyCall(self.clock(), duty, subject, holder, fence, body)
         self.calls.append(call)
         if self._holders.setdefault((duty, subject, fence), holder) != holder:
-            self.faults.append(f"ONE fence {fence} of {duty} {subject} was sent by two holders")
+            self.faults.append(f"ONE fence {fence} of {duty} {subject} was used by two holders")
         key = f"{duty} {subject}"
-        if fence < self._highest.get(key, 0):
-            return FENCED
-        self._highest[key] = fence
+        if fence < self._highest_fences.get(key, 0):
+            return CONFLICT
+        self._highest_fences[key] = fence
         self.accepted.append(call)
-        self._note_turns()
+        self._check_alternation()
         if duty == "usage":
-            self._note_usage(body)
+            self._record_usage(body)
         else:
-            self._note_order(subject, fence, body["desiredCount"])
+            self._record_order(subject, fence, body["desiredCount"])
         return OK
 
-    def _note_order(self, subject: str, fence: int, desired: int) -> None:
+    def _record_order(self, subject: str, fence: int, desired: int) -> None:
         if self._orders.setdefault((subject, fence), desired) != desired:
-            self.faults.append(f"ONE fence {fence} of {subject} orders {desired} and another number")
+            self.faults.append(f"ONE fence {fence} of {subject} orders {desired} and a different number")
         self.desired[subject] = desired
 
-    def _note_usage(self, body: dict[str, Any]) -> None:
+    def _record_usage(self, body: dict[str, Any]) -> None:
         window, counts = body["windowNumber"], body["counts"]
         if self.usage.setdefault(window, counts) != counts:
-            self.faults.append(f"ONE window {window} has two counts")
+            self.faults.append(f"ONE window {window} has two different counts")
 
-    def _note_turns(self) -> None:
-        """Whether the newest call makes holders act in the order A, B, A within the lease, on one subject."""
-        newest = self.accepted[-1]
-        subject = (newest.duty, newest.subject)
+    def _check_alternation(self) -> None:
+        """Record a violation if holders act in the order A, B, A on the latest subject within a lease."""
+        latest = self.accepted[-1]
+        subject = (latest.duty, latest.subject)
         recent = [
             call
             for call in self.accepted
-            if newest.at - call.at < self.lease_s and (call.duty, call.subject) == subject
+            if latest.received_at - call.received_at < self.lease_s and (call.duty, call.subject) == subject
         ]
-        others = [number for number, call in enumerate(recent) if call.holder != newest.holder]
-        if others and any(call.holder == newest.holder for call in recent[: others[0]]):
-            self.faults.append(f"ONE {newest.holder} acts before and after {recent[others[0]].holder}")
+        others = [index for index, call in enumerate(recent) if call.holder != latest.holder]
+        if others and any(call.holder == latest.holder for call in recent[: others[0]]):
+            self.faults.append(f"ONE {latest.holder} acted before and after {recent[others[0]].holder}")
--- a/fakes/platform.py
+++ b/fakes/platform.py
@@ -1,4 +1,4 @@
-"""A platform that lists runners, in pages, and takes the calls of duties."""
+"""Fake platform: serves a paginated list of runners and accepts duty calls."""
 
 from __future__ import annotations
 
@@ -15,31 +15,32 @@
 
 
 class Platform:
-    """Lists what ``entries`` holds.
+    """HTTP server that lists ``entries`` and records duty calls.
 
     Attributes
     ----------
     entries, page
-        The list, and how many entries a page has.
+        The listed entries, and the number of entries per page.
     calls, tokens
-        How many requests came, and the page token of each.
+        The number of list requests, and the page token of each.
     down
-        Whether every answer is a 500.
+        Whether every response is a 500.
     statuses
-        Those of the next answers; a page is sent with 200 only.
+        Statuses of the next list responses; a page is sent only with 200.
     meanwhile
-        Called while a request is at the platform.
+        Called while a list request is being handled.
     duties
-        The calls of duties that came.
+        The received duty calls.
     answer_s, late_s
-        How long the answer to a call of a duty takes, and how long it takes until the call is carried out.
+        Delays in seconds of the response to a duty call, and of the execution of the call.
     duty_statuses
-        Those of the next answers to calls of duties, which are then not carried out; 0 for none at all.
+        Statuses of the next duty calls, which are then not executed unless the status is 200; 0 closes the connection
+        without a response.
     """
 
     def __init__(self, entries: Iterable[dict[str, Any]], page: int = 50) -> None:
         self.entries, self.page, self.calls, self.down = list(entries), page, 0, False
-        self.run: web.ServerRunner | None = None
+        self.server: web.ServerRunner | None = None
         self.port = 0
         self.tokens: list[str | None] = []
         self.statuses: list[int] = []
@@ -47,13 +48,13 @@
         self.duties = DutyLog(time.monotonic)
         self.answer_s = self.late_s = 0.0
         self.duty_statuses: list[int] = []
-        self._late: set[asyncio.Future[int]] = set()
+        self._pending_duty_calls: set[asyncio.Future[int]] = set()
 
     @staticmethod
     def entry(
         id: str, service: str, address: str, state: str = "ready", zone: str = "z1", slots: int = 8
     ) -> dict[str, Any]:
-        """An entry of the list.
+        """Returns an entry of the list.
 
         >>> Platform.entry("i", "s", "h:1")["state"]
         'ready'
@@ -72,21 +73,21 @@
         }
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> Platform:
-        """Listens; gives itself."""
-        self.run = web.ServerRunner(web.Server(self._handle))
-        await self.run.setup()
-        site = web.TCPSite(self.run, host, port)
+        """Starts listening; returns itself."""
+        self.server = web.ServerRunner(web.Server(self._handle_request))
+        await self.server.setup()
+        site = web.TCPSite(self.server, host, port)
         await site.start()
-        self.port = self.run.addresses[0][1]
+        self.port = self.server.addresses[0][1]
         return self
 
     async def stop(self) -> None:
-        """Stops."""
-        if self.run is not None:
-            await self.run.cleanup()
+        """Stops the server."""
+        if self.server is not None:
+            await self.server.cleanup()
 
-    async def _duty(self, request: web.BaseRequest) -> web.Response:
-        """Take a call of a duty: carried out after a while, and answered after a while, whichever is first."""
+    async def _handle_duty_call(self, request: web.BaseRequest) -> web.Response:
+        """Handle a duty call: execute it after ``late_s`` and respond after both ``answer_s`` and the execution."""
         body = await request.json()
         status = self.duty_statuses.pop(0) if self.duty_statuses else 500 if self.down else 200
         if status == 0:
@@ -96,21 +97,21 @@
             return web.Response()
         if status != 200:
             return web.Response(status=status)
-        carried_out = asyncio.ensure_future(self._carry_out(request, body))
-        self._late.add(carried_out)
-        carried_out.add_done_callback(self._late.discard)
+        execution = asyncio.ensure_future(self._execute_duty_call(request, body))
+        self._pending_duty_calls.add(execution)
+        execution.add_done_callback(self._pending_duty_calls.discard)
         await asyncio.sleep(self.answer_s)
-        return web.Response(status=await asyncio.shield(carried_out))
+        return web.Response(status=await asyncio.shield(execution))
 
-    async def _carry_out(self, request: web.BaseRequest, body: dict[str, Any]) -> int:
+    async def _execute_duty_call(self, request: web.BaseRequest, body: dict[str, Any]) -> int:
         if self.late_s:
             await asyncio.sleep(self.late_s)
         holder, fence = request.headers["X-Sparloom-Duty-Holder"], int(request.headers["X-Sparloom-Fence-Number"])
         return self.duties.take(request.path.removeprefix("/"), holder, fence, body)
 
-    async def _handle(self, request: web.BaseRequest) -> web.Response:
+    async def _handle_request(self, request: web.BaseRequest) -> web.Response:
         if request.method == "POST":
-            return await self._duty(request)
+            return await self._handle_duty_call(request)
         self.calls += 1
         self.tokens.append(request.query.get("pageToken"))
         self.meanwhile()
--- a/fakes/task_runner.py
+++ b/fakes/task_runner.py
@@ -1,8 +1,8 @@
-"""A runner that starts tasks on order, holds them for a time, and lists their ends.
+"""Fake runner for tasks: it starts runs on order, holds them until a deadline and lists ended runs.
 
-All runners of a play share one ``RunLog``, which notes every start and end and
-names what must not happen: two runs of one task at once, or a start after an
-end ``done`` that is taken note of by then or later.
+All ``TaskRunner`` objects of a test share one ``RunLog``, which records every
+start and end and detects violations: two concurrent runs of a task, and a start
+after an end with outcome ``done`` that is acknowledged before or after the start.
 """
 
 from __future__ import annotations
@@ -19,84 +19,86 @@
     from collections.abc import Callable
 
 MAXIMUM_HOLD_WAIT_MS = 2000
-# What a runner asks before it begins a run, after the fence: it may ask in any order.
+# Checks of an order to start, after the check of the fence number. A runner may make them in any order.
 CHECKS = ("there", "old", "late", "room")
 DEFAULT_CAPACITY = {"cpu": 8000, "memoryRequestMb": 16000, "gpuCount": 0}
 
 
 @define(frozen=True, slots=True)
 class Work:
-    """What a task does once it is started.
+    """Behaviour of a started task.
 
     Attributes
     ----------
-    seconds
-        How long it works.
-    how
-        How it ends: ``done`` or ``failed``.
+    duration_s
+        Duration of the run.
+    outcome
+        Outcome: ``done`` or ``failed``.
     """
 
-    seconds: float = 0.05
-    how: str = "done"
+    duration_s: float = 0.05
+    outcome: str = "done"
 
 
 @define(slots=True, eq=False)
 class RunLog:
-    """What happened on all runners of a play.
+    """Records the runs on all runners of a test.
 
     Attributes
     ----------
     starts
-        (runner, task, run) of each start, in order.
+        (runner, task, run) of each start, in order of time.
     done
-        Tasks that ended ``done`` on a runner.
-    noted
-        Tasks whose end ``done`` was taken note of.
+        Tasks with a run that ended ``done``.
+    acknowledged
+        Tasks whose end ``done`` was acknowledged by a hold call.
     failed
-        Numbers of the runs that ended ``failed``, by task.
+        Numbers of the failed runs, by task.
     faults
-        Sentences about what must not happen.
+        A message for each violation.
     """
 
     starts: list[tuple[str, str, int]] = field(factory=list)
     done: set[str] = field(factory=set)
-    noted: set[str] = field(factory=set)
+    acknowledged: set[str] = field(factory=set)
     failed: dict[str, set[int]] = field(factory=dict)
     faults: list[str] = field(factory=list)
     _running: dict[str, tuple[str, int]] = field(factory=dict)
-    # How many starts there had been when a run ended ``done``, by task and run.
+    # Number of recorded starts at the time a run ended ``done``, by task and run.
     _starts_until_done: dict[tuple[str, int], int] = field(factory=dict)
 
-    def started(self, runner: str, task: str, run: int) -> None:
-        """Note a start, and what is wrong with it."""
+    def record_start(self, runner: str, task: str, run: int) -> None:
+        """Record a start and any violation."""
         if task in self._running:
-            self.faults.append(f"{task} run {run} starts at {runner} beside {self._running[task]}")
-        if task in self.noted:
-            self.faults.append(f"{task} run {run} starts at {runner} after it was done")
+            self.faults.append(f"{task} run {run} started on {runner} while running on {self._running[task]}")
+        if task in self.acknowledged:
+            self.faults.append(f"{task} run {run} started on {runner} after an acknowledged end")
         self.starts.append((runner, task, run))
         self._running[task] = (runner, run)
 
-    def ended(self, runner: str, task: str, run: int, how: str) -> None:
-        """Note an end."""
+    def record_end(self, runner: str, task: str, run: int, outcome: str) -> None:
+        """Record an end."""
         if self._running.get(task) == (runner, run):
             del self._running[task]
-        if how == "done":
+        if outcome == "done":
             self.done.add(task)
             self._starts_until_done[task, run] = len(self.starts)
-        if how == "failed":
+        if outcome == "failed":
             self.failed.setdefault(task, set()).add(run)
 
-    def note(self, task: str, run: int) -> None:
-        """Note that an end ``done`` is taken note of, and what is wrong with it."""
-        self.noted.add(task)
-        for runner, other, number in self.starts[self._starts_until_done[task, run] :]:
-            if other == task:
-                self.faults.append(f"{task} run {number} started at {runner} after run {run} was done, noted since")
+    def record_acknowledgement(self, task: str, run: int) -> None:
+        """Record the acknowledgement of an end ``done``, and any start of the task since that end as a violation."""
+        self.acknowledged.add(task)
+        for runner, started_task, started_run in self.starts[self._starts_until_done[task, run] :]:
+            if started_task == task:
+                self.faults.append(
+                    f"{task} run {started_run} started on {runner} after the acknowledged end of run {run}"
+                )
 
     def most_failures(self, job: str) -> int:
-        """Return how many runs of the task of a job that failed most have ended ``failed``.
+        """Return the largest number of failed runs of a single task of a job.
 
-        >>> log = RunLog(); log.ended("i", "ab.0.0.0", 1, "failed"); log.ended("i", "ab.0.0.0", 1, "failed")
+        >>> log = RunLog(); log.record_end("i", "ab.0.0.0", 1, "failed"); log.record_end("i", "ab.0.0.0", 1, "failed")
         >>> log.most_failures("ab")
         1
         """
@@ -105,7 +107,7 @@
 
 @define(slots=True, eq=False)
 class _Run:
-    """A run under way on a runner."""
+    """An active run on a runner."""
 
     number: int
     needs: dict[str, int]
@@ -119,29 +121,29 @@
     Attributes
     ----------
     id, service
-        Its instance id, and the service that it belongs to.
+        Instance id, and service of the runner.
     log
-        Shared by all runners of a play.
+        Log shared by all runners of a test.
     work
-        Gives what a task does, by its name.
+        Returns the behaviour of a task, by its name.
     needs
-        Gives the resources of a task, by its name; nothing by default.
+        Returns the resources that a task requires, by its name; none by default.
     capacity, labels
-        What the platform lists of it.
+        Values in the platform's list entry.
     refuses
-        Statuses of the next starts that are turned away; 0 leaves the order without an answer.
+        Statuses with which the next orders to start are rejected; 0 leaves the order unanswered.
     sick
-        Whether it fails all that it runs.
+        Whether all runs end with ``failed``.
     zone
-        Its zone.
+        Zone of the runner.
     late_s
-        By how many seconds a start that is left without an answer is carried out late.
+        Delay in seconds after which an unanswered order to start is executed.
     checks
-        ``CHECKS`` in the order in which it asks them.
+        ``CHECKS`` in the order in which this runner makes them.
     late_by_hold
-        Whether a start is late only once the hold in force is over, and not by its own deadline.
+        Whether an order to start is late only after the current hold has expired too, not by its own deadline alone.
     orders
-        How many orders to start have come.
+        Number of received orders to start.
     """
 
     id: str
@@ -164,34 +166,34 @@
     orders: int = 0
     running: dict[str, _Run] = field(factory=dict)
     ends: list[list[Any]] = field(factory=list)
-    _last_end: int = 0
-    _lapsed_through: int = 0
-    _stopped: dict[str, int] = field(factory=dict)
-    _changed: asyncio.Event = field(factory=asyncio.Event)
+    _last_end_sequence: int = 0
+    _void_through: int = 0
+    _last_finished_run: dict[str, int] = field(factory=dict)
+    _run_ended: asyncio.Event = field(factory=asyncio.Event)
     _server: web.ServerRunner | None = None
-    _lapse: asyncio.TimerHandle | None = None
+    _hold_timer: asyncio.TimerHandle | None = None
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> TaskRunner:
-        """Listen; gives itself."""
-        self._server = web.ServerRunner(web.Server(self._handle, access_log=None), shutdown_timeout=0.01)
+        """Start listening; return self."""
+        self._server = web.ServerRunner(web.Server(self._handle_request, access_log=None), shutdown_timeout=0.01)
         await self._server.setup()
         await web.TCPSite(self._server, host, port).start()
         self.port = self._server.addresses[0][1]
         return self
 
     async def stop(self) -> None:
-        """Stop at once: what runs here dies without an end."""
+        """Stop immediately: active runs die without a listed end."""
         for task in list(self.running):
             run = self.running.pop(task)
             run.timer.cancel()
-            self.log.ended(self.id, task, run.number, "died")
-        if self._lapse is not None:
-            self._lapse.cancel()
+            self.log.record_end(self.id, task, run.number, "died")
+        if self._hold_timer is not None:
+            self._hold_timer.cancel()
         if self._server is not None:
             await self._server.cleanup()
 
     def entry(self) -> dict[str, Any]:
-        """Return its entry in the platform's list."""
+        """Return the runner's entry in the platform's list."""
         return {
             "runnerId": self.id,
             "service": self.service,
@@ -206,128 +208,131 @@
         }
 
     # -- calls ------------------------------------------------------------------
-    async def _handle(self, request: web.BaseRequest) -> web.Response:
+    async def _handle_request(self, request: web.BaseRequest) -> web.Response:
         if request.headers.get("X-Sparloom-Expected-Instance", self.id) != self.id:
             return web.Response(status=421, headers={"X-Sparloom-Instance": self.id})
         call = json.loads(await request.read() or b"{}")
         if request.path == "/-/run-start":
-            return await self._order_start(call)
+            return await self._handle_start(call)
         if request.path == "/-/run-stop":
-            return self._order_stop(call)
+            return self._handle_stop(call)
         if request.path == "/-/hold":
-            return await self._order_hold(call)
+            return await self._handle_hold(call)
         return web.Response(status=404)
 
-    def _answer(self, status: int = 200, **body: Any) -> web.Response:
+    def _respond(self, status: int = 200, **body: Any) -> web.Response:
         return web.json_response({"clockMs": int(self._clock_ms()), **body}, status=status)
 
     def _clock_ms(self) -> float:
         return asyncio.get_running_loop().time() * 1000
 
-    def _fenced(self, call: dict[str, Any]) -> bool:
-        """Whether a call comes from one whose fence is no longer the highest."""
+    def _is_fenced(self, call: dict[str, Any]) -> bool:
+        """Whether a call has a stale fence number; records the number otherwise."""
         if call.get("fenceNumber", 0) < self.fence:
             return True
         self.fence = call.get("fenceNumber", 0)
         return False
 
-    async def _order_start(self, call: dict[str, Any]) -> web.Response:
+    async def _handle_start(self, call: dict[str, Any]) -> web.Response:
         self.orders += 1
         status = self.refuses.pop(0) if self.refuses else None
         if status == 0:
-            asyncio.get_running_loop().call_later(self.late_s, self._carry_out_start, call)
+            asyncio.get_running_loop().call_later(self.late_s, self._execute_start, call)
             await asyncio.sleep(60)
         if status is not None:
             return web.Response(status=status)
-        reason = self._carry_out_start(call)
-        return self._answer(409, reason=reason) if reason else self._answer()
+        reason = self._execute_start(call)
+        return self._respond(409, reason=reason) if reason else self._respond()
 
-    def _carry_out_start(self, call: dict[str, Any]) -> str | None:
-        """Start a run; return why not otherwise."""
-        if self._fenced(call):
+    def _execute_start(self, call: dict[str, Any]) -> str | None:
+        """Execute an order to start; return the reason if it is rejected, None otherwise."""
+        if self._is_fenced(call):
             return "fence"
         task, number = call["task"], call["runId"]
-        finding = next((check for check in self.checks if self._finds(check, call)), None)
-        if finding is not None:
-            if finding != "late" and self.running:
-                self._hold_until(call["deadlineMs"])
-            return None if finding == "there" else finding
-        self._hold_until(call["deadlineMs"])
+        failed_check = next((check for check in self.checks if self._rejects(check, call)), None)
+        if failed_check is not None:
+            if failed_check != "late" and self.running:
+                self._extend_hold(call["deadlineMs"])
+            return None if failed_check == "there" else failed_check
+        self._extend_hold(call["deadlineMs"])
         work = self.work(task)
-        how = "failed" if self.sick else work.how
-        timer = asyncio.get_running_loop().call_later(work.seconds, self._end, task, how)
+        outcome = "failed" if self.sick else work.outcome
+        timer = asyncio.get_running_loop().call_later(work.duration_s, self._end_run, task, outcome)
         self.running[task] = _Run(number, self.needs(task), timer)
-        self.log.started(self.id, task, number)
+        self.log.record_start(self.id, task, number)
         return None
 
-    def _finds(self, check: str, call: dict[str, Any]) -> bool:
-        """Whether a check of an order to start keeps a run from being begun."""
+    def _rejects(self, check: str, call: dict[str, Any]) -> bool:
+        """Whether a check prevents an order to start from beginning a run."""
         task, number = call["task"], call["runId"]
         run = self.running.get(task)
-        there = run is not None and run.number == number
+        is_running = run is not None and run.number == number
         if check == "there":
-            return there
+            return is_running
         if check == "old":
-            return not there and (run is not None or number <= self._stopped.get(task, 0))
+            return not is_running and (run is not None or number <= self._last_finished_run.get(task, 0))
         if check == "late":
             hold_ms = self.hold_until_ms if self.late_by_hold else 0.0
             return bool(max(call["deadlineMs"], hold_ms) <= self._clock_ms())
-        return not self._has_room(self.needs(task))
+        return not self._has_capacity(self.needs(task))
 
-    def _has_room(self, needs: dict[str, int]) -> bool:
+    def _has_capacity(self, needs: dict[str, int]) -> bool:
         used = [run.needs for run in self.running.values()]
-        return all(sum(u.get(k, 0) for u in used) + n <= self.capacity.get(k, 0) for k, n in needs.items())
-
-    def _order_stop(self, call: dict[str, Any]) -> web.Response:
-        if self._fenced(call):
-            return self._answer(409, reason="fence")
+        return all(
+            sum(resources.get(name, 0) for resources in used) + amount <= self.capacity.get(name, 0)
+            for name, amount in needs.items()
+        )
+
+    def _handle_stop(self, call: dict[str, Any]) -> web.Response:
+        if self._is_fenced(call):
+            return self._respond(409, reason="fence")
         run = self.running.get(call["task"])
         if run is not None and run.number == call["runId"]:
-            self._end(call["task"], "stopped")
+            self._end_run(call["task"], "stopped")
         else:
-            # A run that isn't there yet is turned away from now on.
-            self._stopped[call["task"]] = max(call["runId"], self._stopped.get(call["task"], 0))
-        return self._answer()
-
-    async def _order_hold(self, call: dict[str, Any]) -> web.Response:
-        if self._fenced(call):
-            return self._answer(409, reason="fence")
-        last_seen = call.get("lastSeen", 0)
-        for sequence, task, run, how, _ in self.ends:
-            # An end before the hold lapsed does not stand.
-            if self._lapsed_through < sequence <= last_seen and how == "done":
-                self.log.note(task, run)
-        self.ends = [end for end in self.ends if end[0] > last_seen]
+            # The run has not started here; a later order to start it will be rejected.
+            self._last_finished_run[call["task"]] = max(call["runId"], self._last_finished_run.get(call["task"], 0))
+        return self._respond()
+
+    async def _handle_hold(self, call: dict[str, Any]) -> web.Response:
+        if self._is_fenced(call):
+            return self._respond(409, reason="fence")
+        last_acknowledged = call.get("lastSeen", 0)
+        for sequence, task, run, outcome, _ in self.ends:
+            # Ends that were listed before the hold expired are void.
+            if self._void_through < sequence <= last_acknowledged and outcome == "done":
+                self.log.record_acknowledgement(task, run)
+        self.ends = [end for end in self.ends if end[0] > last_acknowledged]
         if "deadlineMs" in call and self.running:
-            self._hold_until(call["deadlineMs"])
+            self._extend_hold(call["deadlineMs"])
         if not self.ends and call.get("waitMs"):
-            self._changed.clear()
+            self._run_ended.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(min(call["waitMs"], MAXIMUM_HOLD_WAIT_MS) / 1000):
-                    await self._changed.wait()
+                    await self._run_ended.wait()
         running = [[task, run.number, "", 0] for task, run in self.running.items()]
-        return self._answer(running=running, endTime=self.ends[:500])
+        return self._respond(running=running, endTime=self.ends[:500])
 
-    # -- time -------------------------------------------------------------------
-    def _hold_until(self, deadline_ms: float) -> None:
+    # -- holds and ends of runs -------------------------------------------------
+    def _extend_hold(self, deadline_ms: float) -> None:
         self.hold_until_ms = max(self.hold_until_ms, deadline_ms)
-        if self._lapse is not None:
-            self._lapse.cancel()
-        left_s = (self.hold_until_ms - self._clock_ms()) / 1000
-        self._lapse = asyncio.get_running_loop().call_later(left_s, self._lapsed)
+        if self._hold_timer is not None:
+            self._hold_timer.cancel()
+        remaining_s = (self.hold_until_ms - self._clock_ms()) / 1000
+        self._hold_timer = asyncio.get_running_loop().call_later(remaining_s, self._end_held_runs)
 
-    def _lapsed(self) -> None:
-        self._lapsed_through = self._last_end
+    def _end_held_runs(self) -> None:
+        self._void_through = self._last_end_sequence
         for task in list(self.running):
-            self._end(task, "lapsed")
+            self._end_run(task, "lapsed")
 
-    def _end(self, task: str, how: str) -> None:
+    def _end_run(self, task: str, outcome: str) -> None:
         run = self.running.pop(task, None)
         if run is None:
             return
         run.timer.cancel()
-        self._stopped[task] = run.number
-        self._last_end += 1
-        self.ends.append([self._last_end, task, run.number, how, ""])
-        self.log.ended(self.id, task, run.number, how)
-        self._changed.set()
+        self._last_finished_run[task] = run.number
+        self._last_end_sequence += 1
+        self.ends.append([self._last_end_sequence, task, run.number, outcome, ""])
+        self.log.record_end(self.id, task, run.number, outcome)
+        self._run_ended.set()
