--- a/tests/launch/test_bytecode_archive.py
+++ b/tests/launch/test_bytecode_archive.py
@@ -129,13 +129,13 @@
         self.assertEqual(import_report(self.path)["left"], [])
 
     def test_unusable_archive_is_ignored(self):
-        truncated = self.modified_copy("truncated", lambda raw: raw[:100])
+        truncated = self.modified_copy("cut", lambda raw: raw[:100])
         empty = self.modified_copy("empty", lambda raw: b"")
         other_python = self.modified_copy(
-            "other_python", lambda raw: raw.replace(sys.version.encode(), b"0" * len(sys.version.encode()))
+            "other", lambda raw: raw.replace(sys.version.encode(), b"0" * len(sys.version.encode()))
         )
-        garbage = self.modified_copy("garbage", lambda raw: bytes(range(255, 0, -1)) * 16)
-        incomplete = self.modified_copy("incomplete", lambda raw: raw[:5000])
+        garbage = self.modified_copy("noise", lambda raw: bytes(range(255, 0, -1)) * 16)
+        incomplete = self.modified_copy("shorter", lambda raw: raw[:5000])
         for path in (truncated, empty, other_python, garbage, incomplete, "/nowhere", self.folder.name):
             with self.subTest(path):
                 self.assertIsNone(Archive.open(path))
--- a/tests/support/paths.py
+++ b/tests/support/paths.py
@@ -1,4 +1,4 @@
-"""Where the project lies."""
+"""Paths of the project."""
 
 import pathlib
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The examples in the comments of public functions hold, and functions stay short."""
+"""Doctests of public functions pass, and functions stay below the length limit."""
 
 import ast
 import doctest
@@ -9,30 +9,30 @@
 from tests.support.paths import ROOT
 
 
-def _sources(*tops):
+def _source_files(*packages):
     return sorted(
-        os.path.join(d, f)
-        for top in tops
-        for d, _, fs in os.walk(os.path.join(ROOT, top))
-        for f in fs
-        if f.endswith(".py")
+        os.path.join(directory, name)
+        for package in packages
+        for directory, _, names in os.walk(os.path.join(ROOT, package))
+        for name in names
+        if name.endswith(".py")
     )
 
 
-class Examples(unittest.TestCase):
-    def test_examples(self):
-        for path in _sources("sparloom", "simulator"):
-            rel = os.path.relpath(path, ROOT)[:-3].replace(os.sep, ".")
-            if rel.endswith("__main__"):
+class SourceChecks(unittest.TestCase):
+    def test_doctests_pass(self):
+        for path in _source_files("sparloom", "simulator"):
+            module_path = os.path.relpath(path, ROOT)[:-3].replace(os.sep, ".")
+            if module_path.endswith("__main__"):
                 continue
-            name = rel.removesuffix(".__init__")
+            name = module_path.removesuffix(".__init__")
             with self.subTest(name):
-                mod = importlib.import_module(name)
-                self.assertEqual(doctest.testmod(mod).failed, 0)
+                module = importlib.import_module(name)
+                self.assertEqual(doctest.testmod(module).failed, 0)
 
     def test_no_function_over_60_lines(self):
-        """The limit on the size of files is withdrawn; what costs a reader is a function that does several things."""
-        for path in _sources("sparloom", "tests", "simulator", "fakes"):
+        """Limits functions rather than files: a function that does several things is what makes code hard to read."""
+        for path in _source_files("sparloom", "tests", "simulator", "fakes"):
             with open(path, encoding="utf-8") as file:
                 tree = ast.parse(file.read())
             for node in ast.walk(tree):
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Packages import one way: each only from those that stand below it."""
+"""Layering of imports: each package imports only from lower layers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from tests.support.paths import ROOT
 
-# From bottom to top; what stands on one line doesn't import its neighbours. docs/architecture.md has the same list.
+# From bottom to top. Packages in one layer don't import each other. docs/architecture.md has the same list.
 LAYERS = (
     ("errors", "launch.early_listen", "launch.bytecode_archive"),
     ("codec", "metrics"),
@@ -33,21 +33,21 @@
     ("launch.launcher", "launch.build_archive"),
     ("launch", "router.__main__", "controller.__main__"),
 )
-LEVEL = {part: level for level, parts in enumerate(LAYERS) for part in parts}
+LEVELS = {component: level for level, components in enumerate(LAYERS) for component in components}
 
 
-def part_of(module: str) -> str:
-    """The part of the program that a module belongs to: the longest entry of ``LAYERS`` that names it.
+def component_of(module: str) -> str:
+    """Returns the component of a module: the longest entry of ``LAYERS`` that contains it.
 
-    >>> part_of("sparloom.launch.early_listen"), part_of("sparloom.router.request")
+    >>> component_of("sparloom.launch.early_listen"), component_of("sparloom.router.request")
     ('launch.early_listen', 'router')
     """
     names = module.removeprefix("sparloom.").split(".")
-    return next((".".join(names[:n]) for n in range(len(names), 0, -1) if ".".join(names[:n]) in LEVEL), names[0])
+    return next((".".join(names[:n]) for n in range(len(names), 0, -1) if ".".join(names[:n]) in LEVELS), names[0])
 
 
 def imported_modules(path: pathlib.Path, package: list[str]) -> set[str]:
-    """The modules of this project that a file imports anywhere, those for type checkers aside."""
+    """Returns the project modules that a file imports at any level, except imports for type checking."""
     tree = ast.parse(path.read_text(encoding="utf-8"))
     typing_only = {
         inner
@@ -68,8 +68,8 @@
     return found
 
 
-def neighbours(package: pathlib.Path) -> dict[str, set[str]]:
-    """For each module of a package the modules beside it that it imports, also those for type checkers."""
+def sibling_imports(package: pathlib.Path) -> dict[str, set[str]]:
+    """Returns the sibling imports of each module of a package, including imports for type checking."""
     modules = {path.stem: ast.parse(path.read_text(encoding="utf-8")) for path in package.glob("*.py")}
     modules.pop("__init__", None)
     return {
@@ -84,38 +84,38 @@
     }
 
 
-class Imports(unittest.TestCase):
-    def test_each_package_imports_only_from_lower_layers(self):
+class ImportLayersTest(unittest.TestCase):
+    def test_packages_import_only_from_lower_layers(self):
         for path in sorted(pathlib.Path(ROOT, "sparloom").rglob("*.py")):
             names = list(path.relative_to(ROOT).with_suffix("").parts)
             package = names[:-1]
-            own = part_of(".".join(package if names[-1] == "__init__" else names))
+            own = component_of(".".join(package if names[-1] == "__init__" else names))
             if names == ["sparloom", "__init__"]:
                 continue
             with self.subTest(path.relative_to(ROOT)):
-                self.assertIn(own, LEVEL)
+                self.assertIn(own, LEVELS)
                 for module in imported_modules(path, package):
-                    other = part_of(module)
+                    other = component_of(module)
                     if other != own:
-                        self.assertLess(LEVEL[other], LEVEL[own], f"{own} imports {module}")
+                        self.assertLess(LEVELS[other], LEVELS[own], f"{own} imports {module}")
 
-    def test_modules_of_a_program_need_each_other_in_one_direction_only(self):
-        """Also for types: a part takes what it needs, and not the value that composes all parts."""
+    def test_modules_of_a_program_have_no_import_cycles(self):
+        """Covers imports for type checking: a module takes its dependencies, not the object that composes them all."""
         for package in ("router", "controller"):
             with self.subTest(package):
-                tuple(TopologicalSorter(neighbours(pathlib.Path(ROOT, "sparloom", package))).static_order())
+                tuple(TopologicalSorter(sibling_imports(pathlib.Path(ROOT, "sparloom", package))).static_order())
 
-    def test_a_circle_would_be_found(self):
+    def test_import_cycle_is_detected(self):
         with self.assertRaises(CycleError):
             tuple(TopologicalSorter({"a": {"b"}, "b": {"a"}}).static_order())
-        graph = neighbours(pathlib.Path(ROOT, "sparloom", "router"))
+        graph = sibling_imports(pathlib.Path(ROOT, "sparloom", "router"))
         self.assertLessEqual({"attempt", "forwarding_services", "request"}, graph["backend_choice"])
 
-    def test_a_wrong_import_would_be_found(self):
-        """The check reads imports of every form."""
-        own = pathlib.Path(ROOT, "sparloom", "cli.py")
-        found = imported_modules(own, ["sparloom"])
-        self.assertLessEqual({"sparloom.metrics", "sparloom.settings", "sparloom.router.program"}, found)
+    def test_imports_of_every_form_are_detected(self):
+        """Covers module-level imports, imports within functions and imports of names from the package."""
+        path = pathlib.Path(ROOT, "sparloom", "cli.py")
+        imported = imported_modules(path, ["sparloom"])
+        self.assertLessEqual({"sparloom.metrics", "sparloom.settings", "sparloom.router.program"}, imported)
 
 
 if __name__ == "__main__":
--- a/tests/test_serving_program.py
+++ b/tests/test_serving_program.py
@@ -1,7 +1,7 @@
-"""Regression: a controller that was ending ended by a signal, and not by itself.
+"""Regression test: a signal at the end of a graceful shutdown terminated the process with status -1.
 
-A soak of real processes told it: `controller-0 ended with status -1`. The event loop takes its signal handlers along
-as it closes, so a SIGHUP in the last moments of a planned end met the signal's default action.
+The event loop removes its signal handlers when it closes, so the default action of a SIGHUP that arrived afterwards
+ended the controller (seen in a soak test with real processes).
 """
 
 import subprocess
@@ -10,7 +10,7 @@
 
 from tests.support.paths import ROOT
 
-ENDING = """
+SHUTDOWN_SCRIPT = """
 import asyncio, os, signal, sys, time
 from sparloom.serving_program import ServingProgram, serve_until_signalled
 
@@ -25,18 +25,18 @@
 asyncio.run(serve())
 os.kill(os.getpid(), getattr(signal, sys.argv[1]))
 time.sleep(0.05)
-print("ended by itself")
+print("exited normally")
 """
 
 
-class End(unittest.TestCase):
-    def test_a_signal_in_the_last_moments_of_a_planned_end_changes_nothing(self):
+class ShutdownSignalTest(unittest.TestCase):
+    def test_signal_after_event_loop_close_does_not_end_the_process(self):
         for name in ("SIGHUP", "SIGTERM"):
             with self.subTest(name):
-                done = subprocess.run(
-                    [sys.executable, "-c", ENDING, name], cwd=ROOT, capture_output=True, text=True, check=False
+                completed = subprocess.run(
+                    [sys.executable, "-c", SHUTDOWN_SCRIPT, name], cwd=ROOT, capture_output=True, text=True, check=False
                 )
-                self.assertEqual((done.returncode, done.stdout), (0, "ended by itself\n"), done.stderr)
+                self.assertEqual((completed.returncode, completed.stdout), (0, "exited normally\n"), completed.stderr)
 
 
 if __name__ == "__main__":
