--- a/fakes/runner.py
+++ b/fakes/runner.py
@@ -143,8 +143,8 @@
 
     async def _serve_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-        heads = [tuple(line.split(": ", 1)) for line in lines[1:] if line]
-        request = ReceivedRequest(lines[0], heads, b"")
+        headers = [tuple(line.split(": ", 1)) for line in lines[1:] if line]
+        request = ReceivedRequest(lines[0], headers, b"")
         request.body = await reader.readexactly(int(request.head("Content-Length") or 0))
         self.got.append(request)
         self.arrivals.append(asyncio.get_running_loop().time())
--- a/fakes/task_runner.py
+++ b/fakes/task_runner.py
@@ -92,7 +92,7 @@
         for runner, started_task, started_run in self.starts[self._starts_until_done[task, run] :]:
             if started_task == task:
                 self.faults.append(
-                    f"{task} run {started_run} started on {runner} after the acknowledged end of run {run}"
+                    f"{task} run {started_run} started on {runner} after the end of run {run}, acknowledged since"
                 )
 
     def most_failures(self, job: str) -> int:
@@ -167,7 +167,7 @@
     running: dict[str, _Run] = field(factory=dict)
     ends: list[list[Any]] = field(factory=list)
     _last_end_sequence: int = 0
-    _void_through: int = 0
+    _last_voided_sequence: int = 0
     _last_finished_run: dict[str, int] = field(factory=dict)
     _run_ended: asyncio.Event = field(factory=asyncio.Event)
     _server: web.ServerRunner | None = None
@@ -300,7 +300,7 @@
         last_acknowledged = call.get("lastSeen", 0)
         for sequence, task, run, outcome, _ in self.ends:
             # Ends that were listed before the hold expired are void.
-            if self._void_through < sequence <= last_acknowledged and outcome == "done":
+            if self._last_voided_sequence < sequence <= last_acknowledged and outcome == "done":
                 self.log.record_acknowledgement(task, run)
         self.ends = [end for end in self.ends if end[0] > last_acknowledged]
         if "deadlineMs" in call and self.running:
@@ -319,10 +319,10 @@
         if self._hold_timer is not None:
             self._hold_timer.cancel()
         remaining_s = (self.hold_until_ms - self._clock_ms()) / 1000
-        self._hold_timer = asyncio.get_running_loop().call_later(remaining_s, self._end_held_runs)
+        self._hold_timer = asyncio.get_running_loop().call_later(remaining_s, self._on_hold_expired)
 
-    def _end_held_runs(self) -> None:
-        self._void_through = self._last_end_sequence
+    def _on_hold_expired(self) -> None:
+        self._last_voided_sequence = self._last_end_sequence
         for task in list(self.running):
             self._end_run(task, "lapsed")
 
--- a/sparloom/cli.py
+++ b/sparloom/cli.py
@@ -12,7 +12,7 @@
 from absl import logging
 
 from sparloom import __version__, metrics
-from sparloom.launch.bytecode_archive import uninstall
+from sparloom.launch.bytecode_archive import uninstall_archives
 from sparloom.settings import read, startup_path
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
     from sparloom.settings import Settings
 
 EXIT_OK, EXIT_FAILED, EXIT_USAGE = 0, 1, 2
-# An operator's command is resent for at most this long until a controller acknowledges it.
+# Limits how long the command line resends an operator's command that no controller has acknowledged.
 COMMAND_RETRY_TIMEOUT_S = 15.0
 
 
@@ -64,7 +64,7 @@
     Returns
     -------
     int
-        Exit status: 0 after a graceful shutdown, 1 if an address can't be bound, 2 if the settings are invalid.
+        Exit status: 0 after a graceful shutdown, 1 if the program can't serve, 2 if the settings are invalid.
     """
     path = config or startup_path()
     settings = read(path)
@@ -81,7 +81,7 @@
         from sparloom.router.program import serve
     else:
         from sparloom.controller.program import serve
-    uninstall()
+    uninstall_archives()
     gc.freeze()
     gc.enable()
     try:
@@ -240,7 +240,7 @@
     from sparloom.controller.operator_client import ROLLOUTS_PATH
 
     def roll_out(service: str, version: str, seconds: float, *addresses: str) -> int:
-        """Move a service's requests to the runners of another version, as long as that version proves healthy.
+        """Move a service's requests to the runners of another version; roll back unless it proves healthy in time.
 
         :param service: the service's name
         :param version: the target version, as listed by the platform
--- a/sparloom/compare/__main__.py
+++ b/sparloom/compare/__main__.py
@@ -18,7 +18,7 @@
 def main(here: str, there: str, *, as_json: bool = False, slack: int = 2) -> int:
     """Compare the views (beliefs) of two running nodes.
 
-    The exit status is 0 if they agree, 1 if they differ, 2 if a node is unreachable.
+    The exit status is 0 if they agree, 1 if they differ, 2 if a node can't be queried.
 
     :param here: HOST:PORT of the first node's readiness (router) or control (controller) address
     :param there: HOST:PORT of the second node
--- a/sparloom/compare/beliefs.py
+++ b/sparloom/compare/beliefs.py
@@ -57,14 +57,14 @@
 def fetch_beliefs(address: str, timeout_s: float = FETCH_TIMEOUT_S) -> Result[dict[str, Any], str]:
     """Fetches a node's beliefs from its readiness or control address (HOST:PORT); a failure is an error message.
 
-    >>> fetch_beliefs("127.0.0.1:1").failure().startswith("127.0.0.1:1 is unreachable")
+    >>> fetch_beliefs("127.0.0.1:1").failure().startswith("127.0.0.1:1 can't be queried")
     True
     """
     try:
         with urlopen(f"http://{address}/-/beliefs", timeout=timeout_s) as response:
             beliefs = json.load(response)
     except (OSError, ValueError) as error:
-        return Failure(f"{address} is unreachable: {error}")
+        return Failure(f"{address} can't be queried: {error}")
     return Success(beliefs) if isinstance(beliefs, dict) else Failure(f"{address} did not return a JSON object")
 
 
--- a/sparloom/launch/__main__.py
+++ b/sparloom/launch/__main__.py
@@ -8,7 +8,7 @@
 
 import sys
 
-from sparloom.launch.bytecode_archive import install
+from sparloom.launch.bytecode_archive import install_archive
 from sparloom.launch.launcher import LISTEN_ADDRESSES, launch
 
 
@@ -17,7 +17,7 @@
     name = sys.argv[1] if len(sys.argv) > 1 else ""
     if name not in LISTEN_ADDRESSES:
         sys.exit(f"usage: python3 -m sparloom.launch {{{'|'.join(LISTEN_ADDRESSES)}}} [ARGUMENTS]")
-    install()
+    install_archive()
     sys.argv = sys.argv[1:]
     launch(name)
 
--- a/sparloom/launch/build_archive.py
+++ b/sparloom/launch/build_archive.py
@@ -46,7 +46,7 @@
     "sparloom.controller.duty_service",
     "sparloom.controller.scaled_services",
 )
-ALWAYS_LOADED_MODULES = frozenset(
+PRELOADED_MODULES = frozenset(
     (
         "__main__",
         "sparloom",
@@ -197,7 +197,7 @@
     return {
         name: spec
         for name, spec in sorted(specs.items())
-        if spec is not None and spec.name == name and spec.has_location and name not in ALWAYS_LOADED_MODULES
+        if spec is not None and spec.name == name and spec.has_location and name not in PRELOADED_MODULES
     }
 
 
--- a/sparloom/launch/bytecode_archive.py
+++ b/sparloom/launch/bytecode_archive.py
@@ -36,7 +36,7 @@
 
 
 def interpreter_version() -> tuple[str | None, str, str]:
-    """Identifies the Python build of an archive: bytecode tag, interpreter version and standard library path."""
+    """Returns the identity of this Python build: bytecode tag, interpreter version and standard library path."""
     return (sys.implementation.cache_tag, sys.version, os.path.dirname(os.__file__))
 
 
@@ -63,7 +63,7 @@
     descriptor
         File descriptor of the archive, open for reading. The importer closes it.
     bytecode_offset
-        Offset of the bytecode section in the file, in bytes.
+        Offset of the bytecode in the file, in bytes.
     index
         ``modules`` (name: file, whether it is a package, location),
         ``extensions`` (name: file), ``generated`` (source without the hash salt,
@@ -177,10 +177,10 @@
         self.close()
 
 
-def install(path: str = ARCHIVE_PATH) -> Archive | None:
+def install_archive(path: str = ARCHIVE_PATH) -> Archive | None:
     """Activates the archive at a path; returns None if it can't be used.
 
-    >>> install("/nowhere") is None
+    >>> install_archive("/nowhere") is None
     True
     """
     archive = Archive.open(path)
@@ -189,10 +189,10 @@
     return archive
 
 
-def uninstall() -> None:
+def uninstall_archives() -> None:
     """Deactivates and closes all active archives, once a program is loaded.
 
-    >>> uninstall()
+    >>> uninstall_archives()
     """
     for archive in [finder for finder in sys.meta_path if isinstance(finder, Archive)]:
         archive.deactivate()
--- a/tests/launch/test_bytecode_archive.py
+++ b/tests/launch/test_bytecode_archive.py
@@ -19,16 +19,16 @@
         events["compile"] += 1
     elif event == "open" and str(args[0]).endswith((".py", ".pyc")):
         opened.append(args[0])
-from sparloom.launch.bytecode_archive import Archive, install, uninstall
-archive = install(sys.argv[1])
+from sparloom.launch.bytecode_archive import Archive, install_archive, uninstall_archives
+archive = install_archive(sys.argv[1])
 from sparloom.launch.early_listen import block_unused_modules, skip_mime_files
 block_unused_modules()
 skip_mime_files()
 sys.addaudithook(audit_hook)
 import sparloom.cli, sparloom.router.program
 modules = len(sys.modules)
-from sparloom.launch.bytecode_archive import uninstall
-uninstall()
+from sparloom.launch.bytecode_archive import uninstall_archives
+uninstall_archives()
 import re, inspect
 from sparloom.membership.records import Ping
 from sparloom.dynamic_timeout.buckets import Bucket
@@ -51,8 +51,8 @@
 import gc, sys, time
 if sys.argv[1] == "archive":
     gc.disable()
-    from sparloom.launch.bytecode_archive import install
-    assert install(sys.argv[2])
+    from sparloom.launch.bytecode_archive import install_archive
+    assert install_archive(sys.argv[2])
 from sparloom.launch.early_listen import block_unused_modules, skip_mime_files
 block_unused_modules()
 skip_mime_files()
--- a/tests/test_wire_table.py
+++ b/tests/test_wire_table.py
@@ -16,7 +16,7 @@
 )
 
 
-class WireTable(unittest.TestCase):
+class WireTableTest(unittest.TestCase):
     def page(self):
         return pathlib.Path(ROOT, "docs/operate/wire.md").read_text(encoding="utf-8")
 
