--- a/sparloom/membership/__init__.py
+++ b/sparloom/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Group membership and failure detection (SWIM): probes, indirect probes, suspicion before removal."""
+"""Group membership and failure detection (SWIM): probes, indirect probes, and a suspicion time-out before removal."""
 
 from .records import (
     ALIVE,
--- a/sparloom/membership/records.py
+++ b/sparloom/membership/records.py
@@ -1,4 +1,4 @@
-"""The messages that members exchange by datagram."""
+"""The records of the SWIM protocol: ``Peer``, and the messages that members exchange by datagram."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PeerState(IntEnum):
-    """Whether a process is believed up; at equal incarnations the higher state takes precedence."""
+    """The state of a member; at equal incarnations the higher state takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -29,14 +29,14 @@
 
 @record(1)
 class Peer(Record):
-    """What is believed of one process.
+    """One process in the membership table.
 
     Attributes:
         key: Its internal HOST:PORT.
         role: A ``Role``.
         zone: Its failure domain.
-        control: A controller's control address, else empty.
-        instance_id: Random for each run of the process, so that a restart is noticed.
+        control: The control address of a controller; empty for a router.
+        instance_id: Random for each run of the process, so that a restart is detected.
         incarnation: Raised by the process itself to refute a suspicion.
         state: A ``PeerState``.
     """
@@ -50,7 +50,7 @@
     state: UInt8
 
     def overrides(self, other: Peer) -> bool:
-        """Whether this belief replaces another about the same process.
+        """Whether this record replaces another record of the same process.
 
         >>> Peer("a:1", ROUTER, "", "", 1, 2, ALIVE).overrides(Peer("a:1", ROUTER, "", "", 1, 1, DEAD))
         True
@@ -58,29 +58,29 @@
         return (self.incarnation, self.state) > (other.incarnation, other.state)
 
     def with_state(self, state: int, incarnation: int | None = None) -> Peer:
-        """The same process in another state, at another incarnation where one is given.
+        """A copy with another state, and with another incarnation if one is given.
 
         >>> Peer("a:1", ROUTER, "", "", 1, 2, ALIVE).with_state(DEAD, 3).state
         <PeerState.DEAD: 2>
         """
-        raised = self.incarnation if incarnation is None else incarnation
-        return Peer(self.key, self.role, self.zone, self.control, self.instance_id, raised, state)
+        new_incarnation = self.incarnation if incarnation is None else incarnation
+        return Peer(self.key, self.role, self.zone, self.control, self.instance_id, new_incarnation, state)
 
     def mark(self) -> int:
-        """A 64-bit hash of this belief, 0 for a dead process; tables are compared by the exclusive or of marks.
+        """A 64-bit hash of this record, 0 for a dead process; the XOR of all hashes is the digest of a table.
 
         >>> Peer("a:1", ROUTER, "", "", 1, 2, DEAD).mark(), Peer("a:1", ROUTER, "", "", 1, 2, ALIVE).mark() > 0
         (0, True)
         """
         if self.state == DEAD:
             return 0
-        belief = f"{self.key}|{self.instance_id}|{self.incarnation}|{self.state}"
-        return int.from_bytes(blake2b(belief.encode(), digest_size=8).digest())
+        identity = f"{self.key}|{self.instance_id}|{self.incarnation}|{self.state}"
+        return int.from_bytes(blake2b(identity.encode(), digest_size=8).digest())
 
 
 @record(2)
 class Ping(Record):
-    """A probe; ``digest`` is the exclusive or of the marks of all that the sender believes up."""
+    """A probe; ``digest`` is the XOR of the state hashes of all members that the sender considers alive."""
 
     sequence: UInt32
     peer: Peer
@@ -90,7 +90,7 @@
 
 @record(3)
 class Ack(Record):
-    """The answer to a probe; ``peer`` answers, or is the target of an indirect probe (then the digest is 0)."""
+    """The answer to a probe; ``peer`` is the sender, or the target of an indirect probe (then the digest is 0)."""
 
     sequence: UInt32
     peer: Peer
@@ -112,13 +112,13 @@
 
 @record(5)
 class TableComparison(Record):
-    """The low bits of the sender's marks for the keys of one partition, sent where digests differ."""
+    """The low bits of the sender's state hashes for the keys of one partition, sent when digests differ."""
 
     peer: Peer
     digest: UInt64
     partition: UInt16
     partitions: UInt16
-    marks: list[UInt16]
+    state_hashes: list[UInt16]
 
     updates = ()
 
--- a/sparloom/membership/swim.py
+++ b/sparloom/membership/swim.py
@@ -1,8 +1,9 @@
-"""The SWIM state machine: messages and time in, datagrams to send out; no I/O.
+"""The SWIM state machine, without I/O: it takes messages and the time, and returns the datagrams to send.
 
 Source: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style
-Process Group Membership Protocol". Added to it: a digest of the whole table in
-each probe, and a table comparison where the digests differ (anti-entropy).
+Process Group Membership Protocol". This implementation adds anti-entropy: each
+probe carries a digest of the whole table, and members whose digests differ
+compare their tables.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 UPDATES_PER_DATAGRAM = 18
 RANDOM_UPDATES_PER_DATAGRAM = 2
 INDIRECT_PROBES = 2
-MARKS_PER_DATAGRAM = 200
-MARK_BITS = 0xFFFF
-RECONNECT_PERIODS = 4  # from one probe of an unreachable seed or member to the next
+STATE_HASHES_PER_DATAGRAM = 200
+STATE_HASH_MASK = 0xFFFF
+RECONNECT_PERIODS = 4  # probe periods between two rounds of probes to unreachable seeds or members
 RECONNECT_PROBES = 2
-LARGEST_FIRST_SEQUENCE = 1 << 31
-UNTRACKED = 0  # the sequence number of a probe whose answer is not awaited
+INITIAL_SEQUENCE_LIMIT = 1 << 31
+UNTRACKED = 0  # sequence number of a probe that expects no answer
 
 
 @define(frozen=True, slots=True)
@@ -52,21 +53,21 @@
     """A row of the membership table.
 
     Attributes:
-        peer: What is believed.
-        since: When it was learned.
-        transmissions: How often it was passed on to others.
-        warned: Whether a suspect was probed once more before it is declared dead.
+        peer: The current record of the member.
+        since: When this record was stored.
+        transmissions: How many times the record was sent to other members.
+        notified: Whether a suspect was probed once more before it is declared dead.
     """
 
     peer: Peer
     since: timedelta
     transmissions: int = 0
-    warned: bool = False
+    notified: bool = False
 
 
 @define(slots=True)
 class Probe:
-    """A probe whose answer is awaited, and whether others were requested to probe too."""
+    """A probe that awaits its answer; ``indirect``: whether indirect probes were requested."""
 
     key: str
     sequence: int
@@ -76,7 +77,7 @@
 
 @define(frozen=True, slots=True)
 class IndirectProbe:
-    """A probe made on behalf of another member, which awaits its result."""
+    """A probe made on behalf of another member, to which the answer is forwarded."""
 
     requester: str
     sequence: int
@@ -85,20 +86,20 @@
 
 @define(slots=True)
 class Swim:
-    """One member's view of all others.
+    """One member's view of the group.
 
     Attributes:
         me: This process.
         seeds: Internal HOST:PORT addresses to join through.
-        timing: Intervals and time-outs.
-        rng: Source of every random choice, in an order that seeded tests rely on.
-        table: A row for each other process, by its key.
-        outgoing: Rows still to be passed on, by key.
-        pending: Rows of suspects and of the dead, by key.
+        timing: The protocol's intervals and time-outs.
+        rng: The source of every random choice; seeded tests rely on the order of the draws.
+        table: The entry of each other process, by key.
+        outgoing: Entries that are still to be disseminated, by key.
+        pending: Entries of suspect and dead members, by key.
         departed: Processes that died or restarted since ``take_departed``.
-        version: Rises whenever a process joins, dies or restarts.
-        digest: The exclusive or of the marks of all that are believed up.
-        digest_differs: Whether the last message came with another digest.
+        version: Incremented whenever a process joins, dies or restarts.
+        digest: The XOR of the state hashes of all members that are considered alive.
+        digest_differs: Whether the digest of the last message differed from this one.
     """
 
     me: Peer
@@ -125,12 +126,13 @@
 
     def __attrs_post_init__(self) -> None:
         self.digest = self.me.mark()
-        # An answer to a probe of an earlier instance at this address must match none of this one's.
-        self.sequence = self.me.instance_id % LARGEST_FIRST_SEQUENCE
+        # Sequence numbers start at a random value: a late answer to a probe of an earlier instance at this
+        # address must not match a probe of this instance.
+        self.sequence = self.me.instance_id % INITIAL_SEQUENCE_LIMIT
 
-    # -- beliefs --------------------------------------------------------------
+    # -- queries --------------------------------------------------------------
     def alive(self) -> tuple[Peer, ...]:
-        """The others that are believed up, suspects included; the tuple is cached until a belief changes.
+        """The other members that are considered alive, suspects included; cached until the table changes.
 
         >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).alive()
         ()
@@ -143,7 +145,7 @@
         return self._alive
 
     def count_alive(self, role: int) -> int:
-        """How many others of a role are believed up.
+        """The number of other members of a role that are considered alive.
 
         >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).count_alive(0)
         0
@@ -152,7 +154,7 @@
         return self._alive_by_role.get(role, 0)
 
     def is_current(self, key: str, instance_id: int) -> bool:
-        """Whether the process at an address may still be this instance: it is unknown, or alive as such.
+        """Whether the process at an address may still be this instance: unknown, or alive with this instance id.
 
         >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).is_current("b:1", 7)
         True
@@ -174,7 +176,7 @@
 
     # -- dissemination -----------------------------------------------------------
     def _updates(self) -> list[Peer]:
-        """The updates that were passed on least, and some random beliefs besides."""
+        """The updates with the fewest transmissions, plus a few random entries."""
         limit = retransmissions(len(self.table))
         chosen = sorted(self.outgoing.values(), key=lambda entry: entry.transmissions)[:UPDATES_PER_DATAGRAM]
         for entry in chosen:
@@ -187,20 +189,20 @@
         return updates + [peer for peer in sampled if peer not in updates]
 
     def _table_sample(self) -> list[Peer]:
-        """For a member that joins: the whole table, or as much of it as a datagram holds."""
+        """The whole table for a joining member, or a random sample that fits a datagram."""
         peers = [entry.peer for entry in self.table.values()]
         return peers if len(peers) <= UPDATES_PER_DATAGRAM else self.rng.sample(peers, UPDATES_PER_DATAGRAM)
 
     def _in_partition(self, partition: int, partitions: int) -> list[Peer]:
-        """This process and those believed up whose keys hash to a partition."""
+        """The members considered alive, this process included, whose keys hash to a partition."""
         return [peer for peer in (self.me, *self.alive()) if crc32(peer.key.encode()) % partitions == partition]
 
     def _comparison(self) -> TableComparison:
-        """Marks by which a process with another digest finds out what this one lacks."""
-        partitions = ceil((len(self.table) + 1) / MARKS_PER_DATAGRAM)
+        """The state hashes of a random partition, from which a peer finds the entries that this process lacks."""
+        partitions = ceil((len(self.table) + 1) / STATE_HASHES_PER_DATAGRAM)
         partition = self.rng.randrange(partitions)
-        marks = [peer.mark() & MARK_BITS for peer in self._in_partition(partition, partitions)]
-        return TableComparison(self.me, self.digest, partition, partitions, marks)
+        state_hashes = [peer.mark() & STATE_HASH_MASK for peer in self._in_partition(partition, partitions)]
+        return TableComparison(self.me, self.digest, partition, partitions, state_hashes)
 
     # -- merging -----------------------------------------------------------------
     def _learn(self, peer: Peer) -> None:
@@ -209,21 +211,21 @@
             return
         entry = self.table.get(peer.key)
         if entry is None or peer.overrides(entry.peer):
-            self._believe(peer, entry.peer if entry else None)
+            self._store(peer, entry.peer if entry else None)
         elif entry.peer.state == DEAD and peer.state != DEAD:
-            # Another member still believes it up: the death is passed on once more.
+            # Another member still considers it alive: the death is disseminated again.
             entry.transmissions, self.outgoing[peer.key] = 0, entry
 
     def _refute(self, peer: Peer) -> None:
-        """Raises the incarnation above a suspicion of this process or a belief in an earlier instance."""
-        wrong = peer.instance_id != self.me.instance_id or peer.state != ALIVE
-        if wrong and peer.incarnation >= self.me.incarnation:
+        """Increments the incarnation to refute a suspicion of this process or a record of an earlier instance."""
+        is_false = peer.instance_id != self.me.instance_id or peer.state != ALIVE
+        if is_false and peer.incarnation >= self.me.incarnation:
             self.digest ^= self.me.mark()
             self.me = self.me.with_state(self.me.state, peer.incarnation + 1)
             self.digest ^= self.me.mark()
 
-    def _believe(self, peer: Peer, old: Peer | None) -> None:
-        """Stores a belief in place of the old one, if any."""
+    def _store(self, peer: Peer, old: Peer | None) -> None:
+        """Stores a record in place of the old one, if any."""
         self.digest ^= peer.mark() ^ (old.mark() if old else 0)
         entry = self.table[peer.key] = self.outgoing[peer.key] = TableEntry(peer, self.now)
         if peer.state == ALIVE:
@@ -238,7 +240,7 @@
 
     # -- time --------------------------------------------------------------------
     def tick(self, now: timedelta) -> list[Send]:
-        """Advances the time; returns the datagrams that are due.
+        """Advances the clock and returns the datagrams that are due.
 
         >>> from random import Random
         >>> timing = SwimTiming.of(timedelta(seconds=3))
@@ -246,13 +248,13 @@
         >>> [datagram.to for datagram in swim.tick(timedelta(0))]
         ['b:1']
         """
-        if self.last_tick is not None and now - self.last_tick >= self.timing.wait:
-            self._excuse_pause(now - self.last_tick)
+        if self.last_tick is not None and now - self.last_tick >= self.timing.ack_timeout:
+            self._extend_timeouts(now - self.last_tick)
         self.now = self.last_tick = now
-        return [*self._check_probes(), *self._check_pending(), *self._probe_next()]
+        return [*self._check_probes(), *self._expire_pending(), *self._probe_next()]
 
-    def _excuse_pause(self, gap: timedelta) -> None:
-        """Extends all waits by a pause of this process itself, in which it could receive no answers."""
+    def _extend_timeouts(self, gap: timedelta) -> None:
+        """Extends all time-outs by a pause of this process, during which it could not receive answers."""
         for probe in self.probes:
             probe.sent_at += gap
         for entry in self.pending.values():
@@ -260,7 +262,7 @@
                 entry.since += gap
 
     def _check_probes(self) -> list[Send]:
-        """Probes without an answer: first indirect probes are requested, then the member is suspected."""
+        """Handles overdue probes: requests indirect probes first, then suspects the member."""
         out: list[Send] = []
         open_probes = []
         for probe in self.probes:
@@ -270,9 +272,9 @@
             if self.now - probe.sent_at >= self.timing.period:
                 if entry.peer.state == ALIVE and probe.indirect:
                     self._learn(entry.peer.with_state(SUSPECT))
-                    out.append(self._warn(self.table[probe.key].peer))
+                    out.append(self._notify_suspect(self.table[probe.key].peer))
                 continue
-            if not probe.indirect and self.now - probe.sent_at >= self.timing.wait:
+            if not probe.indirect and self.now - probe.sent_at >= self.timing.ack_timeout:
                 probe.indirect = True
                 out += self._request_probes(probe)
             open_probes.append(probe)
@@ -284,38 +286,38 @@
         helpers = self.rng.sample(others, min(INDIRECT_PROBES, len(others)))
         return [Send(key, PingRequest(probe.sequence, self.me, probe.key, [])) for key in helpers]
 
-    def _warn(self, peer: Peer) -> Send:
-        """Notifies a suspect of the suspicion, so that it can refute it at once."""
+    def _notify_suspect(self, peer: Peer) -> Send:
+        """A datagram that notifies a member of its suspicion, so that it can refute it at once."""
         return Send(peer.key, Ping(UNTRACKED, self.me, self.digest, [peer]))
 
-    def _check_pending(self) -> list[Send]:
-        """Declares overdue suspects dead and forgets the dead.
+    def _expire_pending(self) -> list[Send]:
+        """Declares overdue suspects dead and removes dead members after the retention time.
 
-        Each member probes a suspect once more itself: a refutation that it
-        sent to others may arrive later than the time-out.
+        Each member probes a suspect once more itself, because a refutation sent
+        to other members may arrive after the time-out.
         """
         out, timing = list[Send](), self.timing
         for entry in list(self.pending.values()):
             age = self.now - entry.since
             if entry.peer.state == DEAD:
-                if age >= timing.forget:
-                    self._forget(entry.peer.key)
-            elif age >= timing.suspicion:
+                if age >= timing.dead_retention:
+                    self._remove(entry.peer.key)
+            elif age >= timing.suspicion_timeout:
                 self._learn(entry.peer.with_state(DEAD))
-            elif not entry.warned and age >= timing.suspicion - timing.wait:
-                entry.warned = True
-                out.append(self._warn(entry.peer))
+            elif not entry.notified and age >= timing.suspicion_timeout - timing.ack_timeout:
+                entry.notified = True
+                out.append(self._notify_suspect(entry.peer))
         self.indirect_probes = {
             target: probe for target, probe in self.indirect_probes.items() if self.now - probe.sent_at < timing.period
         }
         return out
 
-    def _forget(self, key: str) -> None:
+    def _remove(self, key: str) -> None:
         for rows in (self.table, self.pending, self.outgoing):
             rows.pop(key, None)
 
     def _probe_next(self) -> list[Send]:
-        """The probe of this period, and now and then one of an unreachable seed or member."""
+        """The probe of this period, and every ``RECONNECT_PERIODS`` probes of unreachable seeds or members."""
         if self.now < self.next_probe:
             return []
         self.next_probe = self.now + self.timing.period
@@ -327,19 +329,19 @@
             self.probes.append(Probe(key, self.sequence, self.now))
             out.append(Send(key, Ping(self.sequence, self.me, self.digest, self._updates())))
         if not key or self.periods % RECONNECT_PERIODS == 0:
-            lost = self._unreachable()
-            targets = lost if not key else self.rng.sample(lost, min(RECONNECT_PROBES, len(lost)))
+            unreachable = self._unreachable_keys()
+            targets = unreachable if not key else self.rng.sample(unreachable, min(RECONNECT_PROBES, len(unreachable)))
             out += [Send(target, Ping(UNTRACKED, self.me, self.digest, self._updates())) for target in targets]
         return out
 
-    def _unreachable(self) -> list[str]:
-        """Seeds that are not known and members believed dead: a network partition may have ended."""
+    def _unreachable_keys(self) -> list[str]:
+        """Unknown seeds and dead members; they are probed because a network partition may have ended."""
         known = {peer.key for peer in self.alive()}
-        lost = [seed for seed in self.seeds if seed != self.me.key and seed not in known]
-        return lost + [key for key, entry in self.pending.items() if entry.peer.state == DEAD]
+        seeds = [seed for seed in self.seeds if seed != self.me.key and seed not in known]
+        return seeds + [key for key, entry in self.pending.items() if entry.peer.state == DEAD]
 
     def _next_key(self) -> str | None:
-        """The member to probe next: each once in a random order, then all again in another."""
+        """The member to probe next: round-robin over all members, in a new random order each round."""
         while self.probe_order:
             key = self.probe_order.pop()
             if key in self.table and self.table[key].peer.state != DEAD:
@@ -350,7 +352,7 @@
 
     # -- messages ----------------------------------------------------------------
     def receive(self, now: timedelta, source: str, message: SwimMessage) -> list[Send]:
-        """Handles a message from the HOST:PORT ``source``; returns the datagrams that it leads to.
+        """Handles a message from the HOST:PORT ``source`` and returns the datagrams to send in response.
 
         >>> from random import Random
         >>> timing = SwimTiming.of(timedelta(seconds=3))
@@ -370,13 +372,13 @@
 
     @singledispatchmethod
     def _handle(self, message: SwimMessage, source: str, joins: bool, outdated: list[Peer]) -> list[Send]:
-        """The datagrams that answer a message.
+        """The datagrams to send in response to a message.
 
         Args:
-            message: The message, whose updates are merged already.
+            message: The message; its updates are already merged.
             source: The sender's internal HOST:PORT.
-            joins: Whether the sender was not believed up.
-            outdated: What was believed of the sender, which it must learn in order to refute it.
+            joins: Whether the sender was not considered alive before this message.
+            outdated: The previous record of the sender, which it must receive in order to refute it.
         """
         return []
 
@@ -396,9 +398,9 @@
 
     @_handle.register(TableComparison)
     def _on_comparison(self, message: TableComparison, source: str, joins: bool, outdated: list[Peer]) -> list[Send]:
-        theirs = set(message.marks)
+        theirs = set(message.state_hashes)
         partition = self._in_partition(message.partition, max(1, message.partitions))
-        missing = [peer for peer in partition if peer.mark() & MARK_BITS not in theirs]
+        missing = [peer for peer in partition if peer.mark() & STATE_HASH_MASK not in theirs]
         if not missing:
             return []
         updates = self.rng.sample(missing, min(UPDATES_PER_DATAGRAM, len(missing)))
@@ -411,7 +413,7 @@
         return [Send(message.target, Ping(self.sequence, self.me, self.digest, self._updates()))]
 
     def leave(self) -> list[Send]:
-        """Notifies every member that this process leaves (graceful shutdown).
+        """The datagrams that notify every member that this process leaves (graceful shutdown).
 
         >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).leave()
         []
--- a/sparloom/membership/timing.py
+++ b/sparloom/membership/timing.py
@@ -1,4 +1,4 @@
-"""How often members probe, how long they wait, and how often they pass on an update."""
+"""Intervals, time-outs and retransmission counts of the membership protocol."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from attrs import define
 
 MINIMUM_RETRANSMISSIONS = 6
-# Between two reports of a router to the primary: so much for each router, so that the primary hears the same number
-# whatever the fleet's size.
+# The interval between two reports of a router to the primary grows by this much per router, so that the primary
+# receives the same number of reports per second at any fleet size.
 REPORT_INTERVAL_PER_ROUTER = timedelta(milliseconds=4)
 MINIMUM_REPORT_INTERVAL = timedelta(milliseconds=200)
 MAXIMUM_REPORT_INTERVAL = timedelta(seconds=4)
 
 
 def report_interval(routers: int) -> timedelta:
-    """How long a router waits between two reports to the primary, in a fleet of so many.
+    """The interval between two reports of a router to the primary, for a number of routers in the fleet.
 
     >>> report_interval(10), report_interval(100)
     (datetime.timedelta(microseconds=200000), datetime.timedelta(microseconds=400000))
@@ -25,7 +25,7 @@
 
 
 def retransmissions(members: int) -> int:
-    """How often each of some members passes on an update, so that it reaches all.
+    """How many times each member sends an update so that it reaches all of ``members``.
 
     >>> retransmissions(8), retransmissions(78), retransmissions(1600)
     (6, 8, 16)
@@ -38,27 +38,30 @@
     """The protocol's intervals, all derived from the contact bound.
 
     Attributes:
-        period: From one probe to the next.
-        wait: For an answer, before indirect probes are requested.
-        suspicion: From suspect to dead.
-        forget: From dead to removed from the table.
+        period: The time between two probes.
+        ack_timeout: How long to wait for an answer before indirect probes are requested.
+        suspicion_timeout: How long a member stays suspect before it is declared dead.
+        dead_retention: How long a dead member stays in the table.
 
     >>> SwimTiming.of(timedelta(seconds=3)).period
     datetime.timedelta(microseconds=500000)
     """
 
     period: timedelta
-    wait: timedelta
-    suspicion: timedelta
-    forget: timedelta
+    ack_timeout: timedelta
+    suspicion_timeout: timedelta
+    dead_retention: timedelta
 
     @classmethod
     def of(cls, contact_bound: timedelta) -> SwimTiming:
-        """Intervals by which a loss is noticed well within the contact bound.
+        """Intervals that detect a failed member well within the contact bound.
 
-        >>> SwimTiming.of(timedelta(seconds=6)).suspicion
+        >>> SwimTiming.of(timedelta(seconds=6)).suspicion_timeout
         datetime.timedelta(seconds=2)
         """
         return cls(
-            period=contact_bound / 6, wait=contact_bound / 15, suspicion=contact_bound / 3, forget=contact_bound * 20
+            period=contact_bound / 6,
+            ack_timeout=contact_bound / 15,
+            suspicion_timeout=contact_bound / 3,
+            dead_retention=contact_bound * 20,
         )
