--- a/sparloom/aggregation/__init__.py
+++ b/sparloom/aggregation/__init__.py
@@ -1,4 +1,4 @@
-"""In-flight counts through the tier of relays: summed per group and over the fleet, no call counted twice."""
+"""Aggregation of in-flight counts through the relay tier, per group and over the fleet; no call is counted twice."""
 
 from .aggregator import InFlightAggregator
 from .parent import Parent
--- a/sparloom/aggregation/aggregator.py
+++ b/sparloom/aggregation/aggregator.py
@@ -1,22 +1,27 @@
-"""The state machine of the in-flight counts in a tier of relays: time and messages in, messages out; no I/O.
-
-**Who counts where.** A follower sends its own update to one relay. A relay sends
-the other relays the sum over its group with whom it covers, and its followers
-the total of all that it knows, with the sequence number of each follower's
-update in it. A follower subtracts that update and adds its present load.
-
-**No call twice.** A new member of a group is not in its sum for ``2.5`` contact
-bounds: it is forwarded as a solo update, which counts nothing where any sum
-still covers that holder. The relay that it left sees it there twice with a
-newer update and releases it: by then the others have that update too. By the
-time it enters the sum no older sum can be in use anywhere. A sum that overlaps
-another one is set aside, and the one before it stays in use.
-
-**Late messages.** An update at its relay, a sum at a relay and a total at a
-follower are used until the sender is known to be gone or until nothing newer
-was received for one contact bound. What passes more than one faulty node may
-so be used for as many bounds. A relay that is itself out of touch says since
-when, and its followers change to another one.
+"""The state machine that aggregates in-flight counts in the relay tier, without I/O.
+
+``InFlightAggregator`` takes messages and the time, and returns the messages to send.
+
+**Data flow.** A follower sends its own update to one relay. A relay sends the
+other relays the aggregate of its group with the list of covered holders. It
+sends its followers the total of all that it knows, with the sequence number of
+each follower's update in that total. A follower subtracts that update and adds
+its current load.
+
+**No double counting.** A new member of a group stays out of the group's
+aggregate for ``2.5`` contact bounds. Until then it is forwarded as a solo update,
+which is ignored where any aggregate still covers that holder. The relay that
+the member left releases it after two reports from the new relay with a newer
+update: by then the other relays have that update too. By the time the member
+enters the new aggregate, no older aggregate can be in use anywhere. An aggregate
+that overlaps another one is not accepted, and the previous one stays in use.
+
+**Stale messages.** An update at its relay, an aggregate at a relay and a total
+at a follower are used until the sender is known to have departed, or until
+nothing newer was received for one contact bound. Data that passes several
+faulty nodes may therefore be used for one contact bound per node. An isolated
+relay reports how long it has been isolated, and its followers change to another
+relay.
 """
 
 from __future__ import annotations
@@ -40,7 +45,7 @@
     holder_id,
 )
 from .relay_messages import Send, fleet_totals, group_aggregates, take_placements
-from .shards import Gathered, gather
+from .shards import CombinedInFlight, combine
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable, Mapping
@@ -52,38 +57,40 @@
 
 MILLISECOND = timedelta(milliseconds=1)
 ZERO = timedelta(0)
-# A relay that steps down says so to the other relays so many times, since datagrams get lost.
+# How many times a relay that steps down notifies the other relays; datagrams may be lost.
 LEAVE_NOTICES = 3
 
 
 @define(slots=True)
 class InFlightAggregator:
-    """One node's part in the tier.
+    """One node of the relay tier.
 
     Attributes
     ----------
-    key, instance_id : this node's address, and the random id of this run of it.
-    contact_bound : within which time a failed node is noticed.
-    tier : the plan of relays; None before the first one.
-    routers : instance by key of each other router believed up.
-    holder : number of this instance.
+    key, instance_id : this node's address, and the random id of this run of the process.
+    contact_bound : the time within which a failed node is detected.
+    tier : the relay plan; None before the first one.
+    routers : the instance id of each other router that is considered alive, by key.
+    holder : the holder id of this instance.
     own : this node's own updates.
-    neighbours : what was received from the other nodes.
-    total : what a follower received from its relay.
-    output : what is to be sent.
+    neighbours : the state received from other nodes.
+    total : the total that a follower received from its relay.
+    output : the messages to be sent.
     parent : the relay that this node follows.
-    relay_since : since when this node has been a relay; None while it is none.
+    relay_since : when this node became a relay; None for a follower.
     leave_notices : how many notices of stepping down are still to be sent.
-    output_sequence : number of the last aggregate or total sent.
+    output_sequence : sequence number of the last aggregate or total sent.
 
     >>> from sparloom.relay import RelayTier
-    >>> a, b = InFlightAggregator("a", 1, timedelta(seconds=3)), InFlightAggregator("b", 1, timedelta(seconds=3))
-    >>> a.update_membership(ZERO, RelayTier(("b",), ("b",), False), {"b": 1})
-    >>> b.update_membership(ZERO, RelayTier(("b",), (), True), {"a": 1})
-    >>> a.update_in_flight(ZERO, {7: (2, 0, 0, 0, 0, 0)}, 1); b.update_in_flight(ZERO, {7: (1, 0, 0, 0, 0, 0)}, 1)
-    >>> for s in a.due_messages(ZERO): b.on_message(ZERO, s.message)
-    >>> for s in b.due_messages(ZERO): a.on_message(ZERO, s.message)
-    >>> a.peers_in_flight(ZERO), b.peers_in_flight(ZERO)
+    >>> follower = InFlightAggregator("a", 1, timedelta(seconds=3))
+    >>> relay = InFlightAggregator("b", 1, timedelta(seconds=3))
+    >>> follower.update_membership(ZERO, RelayTier(("b",), ("b",), False), {"b": 1})
+    >>> relay.update_membership(ZERO, RelayTier(("b",), (), True), {"a": 1})
+    >>> follower.update_in_flight(ZERO, {7: (2, 0, 0, 0, 0, 0)}, 1)
+    >>> relay.update_in_flight(ZERO, {7: (1, 0, 0, 0, 0, 0)}, 1)
+    >>> for sent in follower.due_messages(ZERO): relay.on_message(ZERO, sent.message)
+    >>> for sent in relay.due_messages(ZERO): follower.on_message(ZERO, sent.message)
+    >>> follower.peers_in_flight(ZERO), relay.peers_in_flight(ZERO)
     ({7: (1, 0, 0, 0, 0, 0)}, {7: (2, 0, 0, 0, 0, 0)})
     """
 
@@ -111,19 +118,19 @@
 
     @property
     def is_relay(self) -> bool:
-        """Whether this node works as a relay: by the plan, or because some follow it all the same."""
+        """Whether this node acts as a relay: by the plan, or because it still has followers."""
         return bool((self.tier and self.tier.is_relay) or self.neighbours.members)
 
     @property
     def is_active(self) -> bool:
-        """Whether anything of a tier is still at work here, whatever the plan says."""
+        """Whether this node still takes part in a relay tier, even if the plan has none."""
         members, shards = self.neighbours.members, self.total.shards
         return bool(members or self.leave_notices or shards or self.relay_since is not None)
 
     def update_membership(
         self, now: timedelta, tier: RelayTier | None, routers: Mapping[str, int], preferred: str | None = None
     ) -> None:
-        """Takes the plan, the routers believed up (instance by key), and the parent that the feed comes from.
+        """Updates the plan, the live routers (instance id by key), and the relay that the feed comes from.
 
         >>> InFlightAggregator("a", 1, timedelta(seconds=3)).update_membership(ZERO, None, {})
         """
@@ -136,7 +143,8 @@
             self.relay_since, self.leave_notices = None, LEAVE_NOTICES
         candidates = [key for key in tier.parents if key in routers] if tier else []
         if self.parent.choose(now, candidates, preferred):
-            # A new relay must see a newer update than the old one has, or neither could tell who moved last.
+            # The new relay must receive a newer update than the old one has: the sequence number decides which
+            # of the two relays the node follows.
             self.own.next_sequence(now)
 
     def _become_relay(self, now: timedelta) -> None:
@@ -145,37 +153,39 @@
             self.own.next_sequence(now)
 
     def update_in_flight(self, now: timedelta, in_flight: InFlight, fleet_size: int) -> None:
-        """Takes this node's present load by short resource id, and the divisor of its shares.
+        """Updates this node's current load by short resource id, and the divisor of its quota shares.
 
-        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.update_in_flight(ZERO, {}, 1); s.own.sequence
+        >>> node = InFlightAggregator("a", 1, timedelta(seconds=3)); node.update_in_flight(ZERO, {}, 1)
+        >>> node.own.sequence
         1
         """
         self.own.update(now, in_flight, fleet_size)
 
     def next_sequence(self, now: timedelta) -> int:
-        """Begins a new update with the load as last noted, and returns its number."""
+        """Starts a new update with the current load and returns its sequence number."""
         return self.own.next_sequence(now)
 
     def on_departed(self, key: str, instance_id: int | None = None) -> None:
-        """A node is known gone, or all of its instances but one: what it reported counts no more.
+        """Drops the state of a departed node, or of all its instances except ``instance_id``.
 
         >>> InFlightAggregator("a", 1, timedelta(seconds=3)).on_departed("b")
         """
         self.neighbours.on_departed(key, instance_id)
 
     def add_placements(self, now: timedelta, placements: Iterable[PrefixPlacement]) -> None:
-        """Long prompts were sent from here or, at a relay, from its group: that is forwarded at once.
+        """Queues placements of long prompts of this node or, at a relay, of its group; they are sent at once.
 
-        >>> s = InFlightAggregator("a", 1, timedelta(seconds=3)); s.add_placements(ZERO, []); s.flush_delay(ZERO)
+        >>> node = InFlightAggregator("a", 1, timedelta(seconds=3)); node.add_placements(ZERO, [])
+        >>> node.flush_delay(ZERO)
         """
         self.output.add(now, placements, outward=True, to_followers=self.is_relay)
 
     def flush_delay(self, now: timedelta) -> timedelta | None:
-        """How long until ``due_messages`` should be called because of long prompts; None without such."""
+        """The time until ``due_messages`` must be called to send placements; None without any."""
         return self.output.flush_delay(now, self.is_relay)
 
     def on_message(self, now: timedelta, message: MemberUpdate | GroupAggregate | FleetTotal) -> None:
-        """Takes a message of the tier.
+        """Handles a message of the relay tier.
 
         >>> InFlightAggregator("a", 1, timedelta(seconds=3)).on_message(ZERO, MemberUpdate("b", 1, 1, 1, b"", []))
         """
@@ -188,7 +198,7 @@
             self._on_fleet_total(now, message)
 
     def on_direct_update(self, now: timedelta, key: str, instance_id: int, sequence: int, in_flight: InFlight) -> None:
-        """Takes the update of a node that has no relay and sends to everybody."""
+        """Handles the update of a node without a relay, which sends its updates to every node."""
         self.neighbours.on_direct_update(now, key, instance_id, sequence, in_flight)
 
     def _on_group_aggregate(self, now: timedelta, aggregate: GroupAggregate) -> None:
@@ -203,8 +213,8 @@
         if self.total.accept(now, total, self.holder, self.own):
             self.parent.confirmed_at = max(self.parent.confirmed_at, now - total.isolation_ms * MILLISECOND)
 
-    def _has_heard_relays(self, now: timedelta) -> bool:
-        """Whether a new relay has heard the others, or waited long enough for them."""
+    def _is_initialized(self, now: timedelta) -> bool:
+        """Whether every other relay has sent an aggregate, or a quarter of the contact bound has passed."""
         if self.relay_since is None:
             return False
         others = [key for key in self._planned_relays() if key in self.routers]
@@ -214,31 +224,31 @@
         """The other relays of the plan."""
         return [key for key in self.tier.relays if key != self.key] if self.tier else []
 
-    def gathered(self, now: timedelta) -> Gathered:
-        """All that is known here of the others, put together."""
+    def combined_in_flight(self, now: timedelta) -> CombinedInFlight:
+        """The load of all other holders, combined from aggregates and single updates."""
         self.neighbours.expire(now)
         accepted = [shard for relay in self.neighbours.relays.values() for shard in relay.accepted]
-        return gather(accepted, self.neighbours.single_updates(now), self.holder, self.own.at)
+        return combine(accepted, self.neighbours.single_updates(now), self.holder, self.own.at)
 
     def peers_in_flight(self, now: timedelta, direct: Collection[str] = ()) -> InFlight | None:
-        """What all others hold, or None while only the direct updates count.
+        """The load of all other nodes, or None while only direct updates are available.
 
         ``direct``: the keys of the nodes whose direct updates are fresh.
 
         >>> InFlightAggregator("a", 1, timedelta(seconds=3)).peers_in_flight(ZERO) is None
         True
         """
-        if self.is_relay and self._has_heard_relays(now):
-            return self.gathered(now).in_flight
+        if self.is_relay and self._is_initialized(now):
+            return self.combined_in_flight(now).in_flight
         self.total.expire(now, self.contact_bound)
         if not self.is_relay and self.parent.key is None and self.total.shards and self.routers.keys() <= set(direct):
             self.total.shards = []
         if not self.total.shards:
-            return self.gathered(now).in_flight if self.is_relay else None
+            return self.combined_in_flight(now).in_flight if self.is_relay else None
         return self.total.merged()
 
     def fleet_sizes(self, now: timedelta) -> dict[str, int]:
-        """The least divisor that others use, by the key of the node that reported it."""
+        """The smallest quota divisor in use elsewhere, by the key of the node that reported it."""
         if not self.is_relay:
             if self.total.sender and self.total.shards and self.total.fleet_size:
                 return {self.total.sender[0]: self.total.fleet_size}
@@ -252,19 +262,19 @@
         return members | relays
 
     def isolation_age(self, now: timedelta) -> timedelta:
-        """For how long this relay has been out of touch with half of the relays.
+        """How long this relay has received nothing from half of the relays.
 
         >>> InFlightAggregator("a", 1, timedelta(seconds=3)).isolation_age(ZERO)
         datetime.timedelta(0)
         """
         started_at = now if self.relay_since is None else self.relay_since
         relays = self.neighbours.relays
-        heard = [relays[key].received_at if key in relays else started_at for key in self._planned_relays()]
-        ages = sorted([ZERO, *(now - received_at for received_at in heard)])
+        received = [relays[key].received_at if key in relays else started_at for key in self._planned_relays()]
+        ages = sorted([ZERO, *(now - received_at for received_at in received)])
         return ages[-(-len(ages) // 2) - 1]
 
     def due_messages(self, now: timedelta) -> list[Send]:
-        """The messages that are due; called some twenty times a second."""
+        """The messages that are due; called about twenty times a second."""
         self.neighbours.expire(now)
         if self.is_relay:
             self._become_relay(now)
@@ -291,14 +301,14 @@
         return messages
 
     def _leave_notice(self, now: timedelta) -> Send:
-        """An empty aggregate: this node has no group any more."""
+        """An empty aggregate, which tells the other relays that this node has no group."""
         self.leave_notices -= 1
         self.output_sequence += 1
         empty = GroupAggregate(self.key, self.instance_id, self.output_sequence, 0, 0, LAST_RESOURCE, [], b"", [], [])
         return Send(self._other_relays(now), empty)
 
     def _other_relays(self, now: timedelta) -> tuple[str, ...]:
-        """The other relays: those of the plan, and those that were heard as such."""
+        """The other relays: those of the plan, and those that recently sent aggregates."""
         relays = {*(self.tier.relays if self.tier else ()), *self.neighbours.active_relays(now)}
         return tuple(key for key in relays if key in self.routers and key != self.key)
 
@@ -311,10 +321,10 @@
         others = self._other_relays(now)
         if others and output.due(now, Direction.TO_RELAYS, state, flushes and bool(output.placements)):
             messages += [Send(others, aggregate) for aggregate in group_aggregates(self, now)]
-        if members and self._has_heard_relays(now):
+        if members and self._is_initialized(now):
             relays = self.neighbours.relays.values()
-            known = (state, *(shard.sequence for relay in relays for shard in relay.newest))
-            if output.due(now, Direction.TO_FOLLOWERS, known, flushes and bool(output.follower_placements)):
+            known_state = (state, *(shard.sequence for relay in relays for shard in relay.newest))
+            if output.due(now, Direction.TO_FOLLOWERS, known_state, flushes and bool(output.follower_placements)):
                 messages += [Send(tuple(members), total) for total in fleet_totals(self, now)]
         if flushes:
             output.flushed_at = now
--- a/sparloom/aggregation/neighbours.py
+++ b/sparloom/aggregation/neighbours.py
@@ -1,4 +1,7 @@
-"""What a node keeps of the others: its followers, the other relays, and nodes without a relay."""
+"""The state received from other nodes: followers, other relays, and nodes without a relay.
+
+``Neighbours`` holds it, with a ``Member`` per node and a ``RelayAggregates`` per relay.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +18,8 @@
     from .shards import InFlight
 
 # How many departed instances are remembered, so that their delayed messages are dropped.
-DEPARTED_REMEMBERED = 512
-# A follower that another relay reports with newer updates so many times has moved there.
+MAXIMUM_DEPARTED = 512
+# A member has moved to another relay after that relay has reported this many newer updates of it.
 CLAIMS_BEFORE_RELEASE = 2
 
 
@@ -26,10 +29,10 @@
 
     Attributes
     ----------
-    holder : number of this instance of the node, see ``holder_id``.
-    since : when it joined.
-    fleet_size : the divisor that it uses, 0 if unknown.
-    claims : how many times another relay reported a newer update of it.
+    holder : the ``holder_id`` of this instance of the node.
+    since : when the node joined.
+    fleet_size : the quota divisor that the node uses, 0 if unknown.
+    claims : how many times another relay reported a newer update of the node.
     """
 
     instance_id: int
@@ -42,14 +45,14 @@
 
 @define(slots=True)
 class RelayAggregates:
-    """Another relay and the aggregates of its group.
+    """The aggregates of another relay's group.
 
     Attributes
     ----------
-    received_at : when it was last heard from.
-    fleet_size : the least divisor in its group, 0 if unknown.
+    received_at : when its last aggregate was received.
+    fleet_size : the smallest quota divisor in its group, 0 if unknown.
     newest : the newest shards received.
-    accepted : the newest shards that overlap those of no other relay; these count.
+    accepted : the newest shards that overlap no shard of another relay; only these are counted.
     """
 
     instance_id: int
@@ -61,22 +64,22 @@
 
 @define(slots=True)
 class Neighbours:
-    """All that was received from members, relays and nodes without a relay.
+    """The state received from members, relays and nodes without a relay.
 
     Attributes
     ----------
     members : followers of this relay, by key.
     relays : the other relays, by key.
-    direct : nodes that send their updates to everybody, by key.
-    departed : holder numbers of instances that are gone.
-    conflicting : relays of which a new shard overlaps an accepted one of another.
+    direct : nodes that send their updates to every node, by key.
+    departed : holder ids of departed instances.
+    conflicting : relays with a new shard that overlaps an accepted shard of another relay.
     """
 
     contact_bound: timedelta
     members: dict[str, Member] = field(factory=dict)
     relays: dict[str, RelayAggregates] = field(factory=dict)
     direct: dict[str, Member] = field(factory=dict)
-    departed: deque[int] = field(factory=lambda: deque(maxlen=DEPARTED_REMEMBERED))
+    departed: deque[int] = field(factory=lambda: deque(maxlen=MAXIMUM_DEPARTED))
     conflicting: set[str] = field(factory=set)
 
     def on_direct_update(self, now: timedelta, key: str, instance_id: int, sequence: int, in_flight: InFlight) -> None:
@@ -130,7 +133,7 @@
         return True
 
     def _relay(self, now: timedelta, aggregate: GroupAggregate) -> RelayAggregates:
-        """What is kept of the sender; empty for a new instance."""
+        """The state of the sending relay; empty for a new instance."""
         relay = self.relays.get(aggregate.key)
         if relay is None or relay.instance_id != aggregate.instance_id:
             if relay:
@@ -141,7 +144,7 @@
     def _release_claimed(self, claimed: dict[int, int]) -> None:
         """Drops members that another relay has repeatedly reported with newer updates.
 
-        A single claim may be a delayed message of a relay that the member left before.
+        A single claim may be a delayed message of a relay that the member has left.
         """
         for key, member in list(self.members.items()):
             if claimed.get(member.holder, 0) > member.shard.sequence:
@@ -169,7 +172,7 @@
                 relay.accepted = replace(relay.accepted, shard) or relay.accepted
 
     def on_departed(self, key: str, instance_id: int | None) -> None:
-        """Forgets a node, or all of its instances but the one given."""
+        """Removes a node, or all of its instances except the given one."""
         for table in (self.members, self.relays, self.direct):
             neighbour = table.get(key)
             if neighbour is not None and neighbour.instance_id != instance_id:
@@ -178,9 +181,9 @@
                 del table[key]
 
     def expire(self, now: timedelta) -> None:
-        """Forgets what was not heard for a contact bound, and retries shards that were in conflict."""
+        """Drops state that is older than the contact bound, and retries shards that were in conflict."""
         for members in (self.members, self.direct):
-            for key in [k for k, member in members.items() if now - member.shard.received_at > self.contact_bound]:
+            for key in [key for key, member in members.items() if now - member.shard.received_at > self.contact_bound]:
                 del members[key]
         for relay in self.relays.values():
             relay.accepted = [shard for shard in relay.accepted if now - shard.received_at <= self.contact_bound]
@@ -188,8 +191,10 @@
             self._accept(now, key)
 
     def single_updates(self, now: timedelta) -> list[tuple[int, Shard]]:
-        """Every known update of a single holder: of members, direct ones, and solo ones of other relays."""
-        updates = [(m.holder, m.shard) for members in (self.members, self.direct) for m in members.values()]
+        """All updates of single holders: from members, direct updates, and solo updates of other relays."""
+        updates = [
+            (member.holder, member.shard) for members in (self.members, self.direct) for member in members.values()
+        ]
         fresh = [
             shard
             for relay in self.relays.values()
@@ -204,7 +209,7 @@
         return updates
 
     def active_relays(self, now: timedelta) -> set[str]:
-        """The relays heard within the contact bound that report any node."""
+        """The relays that sent an aggregate with at least one holder within the contact bound."""
         return {
             key
             for key, relay in self.relays.items()
--- a/sparloom/aggregation/own_updates.py
+++ b/sparloom/aggregation/own_updates.py
@@ -1,4 +1,4 @@
-"""A node's own load: what it has in flight now, and what its recent updates reported."""
+"""``OwnUpdates``: a node's current in-flight load, and the history of its recent updates."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 if TYPE_CHECKING:
     from .shards import InFlight
 
-# Updates older than so many contact bounds can stand in no total any more.
+# How long updates are retained, in contact bounds. No total can still contain an older update.
 HISTORY_CONTACT_BOUNDS = 4
 
 
 @define(slots=True)
 class OwnUpdates:
-    """Numbers this node's updates and remembers them for a while.
+    """Numbers this node's updates and retains the recent ones.
 
     A total that a relay sends back contains one of these updates. The node
-    subtracts that very update, so it has to know what it reported then.
+    subtracts that update, so it must know the load that the update reported.
 
     Attributes
     ----------
-    sequence : number of the newest update.
+    sequence : sequence number of the newest update.
     in_flight : load by resource in the newest update.
-    fleet_size : the divisor that this node uses for its shares.
+    fleet_size : the divisor that this node uses for its quota shares.
     history : (time, sequence, load) of recent updates, oldest first.
     """
 
@@ -39,7 +39,7 @@
     history: deque[tuple[timedelta, int, InFlight]] = field(factory=deque)
 
     def update(self, now: timedelta, in_flight: InFlight, fleet_size: int) -> None:
-        """Takes the present load and divisor; a change becomes a new update. Tokens are rounded up to units.
+        """Updates the load and the divisor; a change starts a new update. Tokens are rounded up to units.
 
         >>> own = OwnUpdates(timedelta(seconds=3)); own.update(timedelta(0), {7: (1, 33, 0, 0, 0, 0)}, 1)
         >>> own.sequence, own.in_flight
@@ -54,7 +54,7 @@
             self.next_sequence(now)
 
     def next_sequence(self, now: timedelta) -> int:
-        """Begins a new update with the load as last noted, and returns its number."""
+        """Starts a new update with the current load and returns its sequence number."""
         self.sequence += 1
         self.history.append((now, self.sequence, self.in_flight))
         while len(self.history) > 1 and now - self.history[1][0] > HISTORY_CONTACT_BOUNDS * self.contact_bound:
@@ -62,5 +62,5 @@
         return self.sequence
 
     def at(self, sequence: int) -> InFlight | None:
-        """The load that the update of this number reported; None once it is forgotten."""
+        """The load that an update reported, by sequence number; None if it is no longer in the history."""
         return next((in_flight for _, number, in_flight in reversed(self.history) if number <= sequence), None)
--- a/sparloom/aggregation/parent.py
+++ b/sparloom/aggregation/parent.py
@@ -1,4 +1,4 @@
-"""Which relay a follower sends its updates to."""
+"""``Parent``: the choice of the relay to which a follower sends its updates."""
 
 from __future__ import annotations
 
@@ -11,29 +11,30 @@
     from collections.abc import Sequence
 
 ZERO = timedelta(0)
-# A relay without fresh totals is left after a third of the contact bound, and tried again after two.
+# A follower leaves a relay that sends no fresh totals for a third of the contact bound.
 LEAVE_AFTER_DIVISOR = 3
-RETRY_AFTER = 2
-# A follower returns to its best relay after 4 to 8 bounds; the spread keeps many from moving at once.
-RETURN_AFTER = 4
+# A failed relay may be chosen again after two contact bounds.
+RETRY_AFTER_CONTACT_BOUNDS = 2
+# A follower returns to its best relay after 4 to 8 contact bounds. The jitter keeps followers from moving at once.
+RETURN_AFTER_CONTACT_BOUNDS = 4
 JITTER_STEPS, JITTER_STEPS_PER_BOUND = 256, 64
 
 
 @define(slots=True)
 class Parent:
-    """The choice of one follower; it stays with a relay that sends and is in touch with the others.
+    """The relay choice of one follower; it keeps a relay that sends fresh totals and is not isolated.
 
     Attributes
     ----------
-    jitter : any number that differs between followers; spreads their moves.
-    key : the relay chosen; None without any.
-    joined_at : when it was chosen.
-    confirmed_at : as of when the newest total from a relay was complete.
-    failed : relays that sent nothing fresh, and when they were left.
+    jitter : a number that differs between followers and spreads their moves.
+    key : the chosen relay; None if there is none.
+    joined_at : when the relay was chosen.
+    confirmed_at : the time at which the newest total from a relay was complete.
+    failed : relays that sent no fresh totals, and when they were left.
 
-    >>> p = Parent(timedelta(seconds=3), 0); p.choose(ZERO, ["a", "b"], None), p.key
+    >>> parent = Parent(timedelta(seconds=3), 0); parent.choose(ZERO, ["a", "b"], None), parent.key
     (True, 'a')
-    >>> p.choose(timedelta(seconds=1.1), ["a", "b"], None), p.key
+    >>> parent.choose(timedelta(seconds=1.1), ["a", "b"], None), parent.key
     (True, 'b')
     """
 
@@ -45,19 +46,19 @@
     failed: dict[str, timedelta] = field(factory=dict)
 
     def choose(self, now: timedelta, candidates: Sequence[str], preferred: str | None) -> bool:
-        """Chooses anew, and returns whether the choice has changed.
+        """Chooses a relay and returns whether the choice has changed.
 
         Parameters
         ----------
-        candidates : the relays believed up, best first.
-        preferred : the relay that the feed comes from; taken whenever it is healthy.
+        candidates : the relays that are considered alive, best first.
+        preferred : the relay that the feed comes from; chosen whenever it is healthy.
         """
         if not candidates:
             self.key = None
             return False
-        self._note_failures(now, candidates)
+        self._update_failures(now, candidates)
         healthy = [key for key in candidates if key not in self.failed]
-        # With none left, the one that failed longest ago is the best guess.
+        # If all relays have failed, the one that failed longest ago comes first.
         healthy = healthy or sorted(candidates, key=lambda key: self.failed[key])
         choice = self.key if self.key in healthy else healthy[0]
         if preferred in healthy:
@@ -69,8 +70,8 @@
         self.key, self.joined_at = choice, now
         return True
 
-    def _note_failures(self, now: timedelta, candidates: Sequence[str]) -> None:
-        retry_after = RETRY_AFTER * self.contact_bound
+    def _update_failures(self, now: timedelta, candidates: Sequence[str]) -> None:
+        retry_after = RETRY_AFTER_CONTACT_BOUNDS * self.contact_bound
         self.failed = {key: failed_at for key, failed_at in self.failed.items() if now - failed_at < retry_after}
         unconfirmed_for = now - max(self.joined_at, self.confirmed_at)
         if (
@@ -81,4 +82,4 @@
             self.failed[self.key] = now
 
     def _return_after(self) -> timedelta:
-        return (RETURN_AFTER + self.jitter % JITTER_STEPS / JITTER_STEPS_PER_BOUND) * self.contact_bound
+        return (RETURN_AFTER_CONTACT_BOUNDS + self.jitter % JITTER_STEPS / JITTER_STEPS_PER_BOUND) * self.contact_bound
--- a/sparloom/aggregation/pending_output.py
+++ b/sparloom/aggregation/pending_output.py
@@ -1,4 +1,4 @@
-"""When the next messages of a node are due, and the prompt placements that they carry."""
+"""``PendingOutput``: when the next messages of a node are due, and the prompt placements that they carry."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
     Placements = dict[tuple[int, int], PrefixPlacement]
 
 ZERO = timedelta(0)
-# A changed state is sent once per interval; the tolerance absorbs the jitter of the caller's timer.
+# A changing state is sent once per interval; the tolerance absorbs the jitter of the caller's timer.
 SEND_INTERVAL = timedelta(milliseconds=100)
 TIMER_TOLERANCE = timedelta(milliseconds=20)
-# A relay collects placements for a moment, and pauses between two urgent flushes.
-GATHER_TIME = timedelta(milliseconds=2)
-FLUSH_PAUSE = timedelta(milliseconds=30)
-# An unchanged state is repeated so often within one contact bound.
+# A relay batches placements for this long before it sends them.
+BATCH_DELAY = timedelta(milliseconds=2)
+# The shortest interval between two urgent flushes of a relay.
+MINIMUM_FLUSH_INTERVAL = timedelta(milliseconds=30)
+# How many times an unchanged state is sent per contact bound.
 REPEATS_PER_CONTACT_BOUND = 9
 
 
 class Direction(Enum):
-    """Where a message goes: to the own relay, to the other relays, or to the followers."""
+    """The destination of a message: the node's own relay, the other relays, or the followers."""
 
     TO_RELAY = "to relay"
     TO_RELAYS = "to relays"
@@ -36,13 +37,13 @@
 
 @define(slots=True)
 class PendingOutput:
-    """What waits to be sent, and when each kind of message was sent last.
+    """Placements that are queued for sending, and when each kind of message was last sent.
 
     Attributes
     ----------
-    placements : long prompts sent from here or from the group, for the relay(s).
-    follower_placements : long prompts that the followers are still to hear of.
-    urgent_since : since when placements wait to be sent at once, if any do.
+    placements : long prompts of this node or of its group, queued for the relays.
+    follower_placements : long prompts queued for the followers.
+    urgent_since : when the oldest urgent placement was queued; None without any.
     flushed_at : when a relay last sent urgent placements.
     last_sent : time and state of the last message in each direction.
     """
@@ -65,7 +66,7 @@
             self.urgent_since = now
 
     def flush_delay(self, now: timedelta, is_relay: bool) -> timedelta | None:
-        """How long until urgent placements should be sent; None without any.
+        """The time until urgent placements must be sent; None without any.
 
         >>> PendingOutput(timedelta(seconds=3), urgent_since=ZERO).flush_delay(ZERO, is_relay=False)
         datetime.timedelta(0)
@@ -74,10 +75,10 @@
             return None
         if not is_relay:
             return ZERO
-        return max(ZERO, self.urgent_since + GATHER_TIME - now, self.flushed_at + FLUSH_PAUSE - now)
+        return max(ZERO, self.urgent_since + BATCH_DELAY - now, self.flushed_at + MINIMUM_FLUSH_INTERVAL - now)
 
     def due(self, now: timedelta, direction: Direction, state: object, urgent: bool) -> bool:
-        """Whether a message is to be sent now, which is then noted: soon after a change, else seldom."""
+        """Whether a message is due; if so, records it as sent. A changed state is due sooner than an unchanged one."""
         sent_at, last_state = self.last_sent.get(direction, (None, None))
         interval = SEND_INTERVAL if state != last_state else self.contact_bound / REPEATS_PER_CONTACT_BOUND
         if sent_at is not None and not urgent and now - sent_at < interval - TIMER_TOLERANCE:
--- a/sparloom/aggregation/records.py
+++ b/sparloom/aggregation/records.py
@@ -1,8 +1,8 @@
-"""The messages of the tier, and how they are kept small.
+"""The messages of the relay tier and their compact encoding.
 
-A resource goes by the upper 32 bits of its number. Where two runners share
-them, a load holds for both: that errs towards shorter timeouts. Tokens go in
-units of 32, rounded up.
+A resource is identified by the upper 32 bits of its number. If two runners
+share these bits, a load applies to both, which leads to shorter timeouts rather
+than longer ones. Tokens are encoded in units of 32, rounded up.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 
 TOKEN_UNIT = 32
 LAST_RESOURCE = 0xFFFFFFFF
-# What a message should not exceed, so that it fits a datagram on any usual network.
+# The target size of a message, so that it fits a datagram on common networks.
 MAXIMUM_BYTES = 1000
 _SHORT_ID = struct.Struct("!I")
-# Variable-length integers: seven bits a byte, the lowest first; the highest bit says that more follow.
+# Variable-length integers: seven bits per byte, lowest bits first; the highest bit marks a continuation.
 _VARINT_BITS, _VARINT_MASK, _VARINT_MORE = 7, 0x7F, 0x80
-# The lowest bit of the calls says that the four rarer counts follow.
+# Set in the lowest bit of the call count if the four rarer counts follow.
 _HAS_RARE_COUNTS = 1
 
 
 @record(83)
 class Coverage(Record):
-    """One instance of a holder, and which of its updates is in a sum (0: several)."""
+    """One instance of a holder, and the sequence number of its update in an aggregate (0: several updates)."""
 
     holder: UInt64
     sequence: UInt32
@@ -41,7 +41,7 @@
 
 @record(84)
 class SoloUpdate(Record):
-    """A holder's own update, forwarded as it is: it has not been in the group for long."""
+    """The update of a single holder, forwarded unmerged because the holder joined the group recently."""
 
     holder: UInt64
     sequence: UInt32
@@ -50,7 +50,7 @@
 
 @record(85)
 class MemberUpdate(Record):
-    """A follower's whole load, to its relay; ``placements``: long prompts that it sent out."""
+    """A follower's complete load, sent to its relay; ``placements``: long prompts that it placed."""
 
     key: str
     instance_id: UInt64
@@ -62,10 +62,10 @@
 
 @record(86)
 class GroupAggregate(Record):
-    """A relay's group, to the other relays: whom it covers, their sum, and the solo updates.
+    """The load of a relay's group, sent to the other relays: covered holders, their aggregate, and solo updates.
 
     ``first`` to ``last``: the resources that this shard reports, both included.
-    ``fleet_size``: the least divisor that any of the group uses, 0 if unknown.
+    ``fleet_size``: the smallest quota divisor in the group, 0 if unknown.
     """
 
     key: str
@@ -82,9 +82,10 @@
 
 @record(87)
 class FleetTotal(Record):
-    """All that a relay knows, to its followers; ``coverage``: which update of each follower is in it.
+    """The load of all holders that a relay knows, sent to its followers.
 
-    ``isolation_ms``: for how long the relay has been out of touch with half of the relays.
+    ``coverage``: which update of each follower the total contains.
+    ``isolation_ms``: how long the relay has received nothing from half of the relays.
     """
 
     key: str
@@ -100,7 +101,7 @@
 
 
 def short_id(number: int) -> int:
-    """A resource's short id: the upper 32 bits of its number.
+    """The short id of a resource: the upper 32 bits of its number.
 
     >>> short_id(0xAABBCCDD11223344) == 0xAABBCCDD
     True
@@ -109,7 +110,7 @@
 
 
 def holder_id(key: str, instance_id: int) -> int:
-    """The number of one instance of a holder.
+    """The 64-bit id of one instance of a holder.
 
     >>> holder_id("a:1", 1) != holder_id("a:1", 2)
     True
@@ -117,15 +118,15 @@
     return int.from_bytes(blake2b(f"{key}|{instance_id}".encode(), digest_size=8).digest())
 
 
-def _put_varint(number: int, out: bytearray) -> None:
+def _write_varint(number: int, out: bytearray) -> None:
     while number > _VARINT_MASK:
         out.append(number & _VARINT_MASK | _VARINT_MORE)
         number >>= _VARINT_BITS
     out.append(number)
 
 
-def _take_varint(raw: bytes, position: int) -> tuple[int, int]:
-    """A number, and the position after it."""
+def _read_varint(raw: bytes, position: int) -> tuple[int, int]:
+    """The decoded number, and the position after it."""
     number = shift = 0
     while True:
         byte = raw[position]
@@ -135,7 +136,7 @@
 
 
 def encode_in_flight(in_flight: InFlight) -> bytes:
-    """The bytes of the load by short resource id.
+    """Encodes the load by short resource id.
 
     >>> decode_in_flight(encode_in_flight({7: (2, 33, 0, 0, 0, 0), 9: (1, 0, 1, 5, 2, 1)}))
     {7: (2, 64, 0, 0, 0, 0), 9: (1, 0, 1, 5, 2, 1)}
@@ -147,53 +148,55 @@
         rare = load[2:]
         has_rare = any(rare)
         out += _SHORT_ID.pack(resource)
-        _put_varint(load[0] << 1 | has_rare, out)
-        _put_varint(-(-load[1] // TOKEN_UNIT), out)
+        _write_varint(load[0] << 1 | has_rare, out)
+        _write_varint(-(-load[1] // TOKEN_UNIT), out)
         if has_rare:
             for count in rare:
-                _put_varint(count, out)
+                _write_varint(count, out)
     return bytes(out)
 
 
 def decode_in_flight(raw: bytes) -> InFlight:
-    """The load by short resource id, from the bytes of ``encode_in_flight``.
+    """Decodes the load by short resource id, as written by ``encode_in_flight``.
 
     Raises
     ------
-    DecodeError : the bytes end within an entry.
+    DecodeError : the data ends within an entry.
 
     >>> decode_in_flight(b"abc")
     Traceback (most recent call last):
     ...
-    sparloom.codec.records.DecodeError: no counts
+    sparloom.codec.records.DecodeError: the in-flight counts are truncated
     """
     in_flight: InFlight = {}
     position, size = 0, len(raw)
     try:
         while position < size:
             (resource,) = _SHORT_ID.unpack_from(raw, position)
-            # Nearly all numbers fit a byte each: read at once, as a relay spends much of its time here.
+            # Fast path: nearly all numbers fit one byte, and a relay spends much of its time here.
             calls, tokens = raw[position + 4], raw[position + 5]
             position += 6
             if calls > _VARINT_MASK or tokens > _VARINT_MASK:
-                calls, position = _take_varint(raw, position - 2)
-                tokens, position = _take_varint(raw, position)
+                calls, position = _read_varint(raw, position - 2)
+                tokens, position = _read_varint(raw, position)
             if calls & _HAS_RARE_COUNTS:
-                unresponsive, position = _take_varint(raw, position)
-                successes, position = _take_varint(raw, position)
-                failures, position = _take_varint(raw, position)
-                accusers, position = _take_varint(raw, position)
+                unresponsive, position = _read_varint(raw, position)
+                successes, position = _read_varint(raw, position)
+                failures, position = _read_varint(raw, position)
+                accusers, position = _read_varint(raw, position)
                 load = (calls >> 1, tokens * TOKEN_UNIT, unresponsive, successes, failures, accusers)
             else:
                 load = (calls >> 1, tokens * TOKEN_UNIT, 0, 0, 0, 0)
             in_flight[resource] = load
     except (struct.error, IndexError) as error:
-        raise DecodeError("no counts") from error
+        raise DecodeError("the in-flight counts are truncated") from error
     return in_flight
 
 
 def ranges(resources: Iterable[int], count: int) -> list[tuple[int, int]]:
-    """Cuts the resources into ``count`` ranges of about as many each, the first from 0, the last to the end.
+    """Splits the resource ids into ``count`` ranges with about the same number of resources each.
+
+    The first range starts at 0 and the last one ends at ``LAST_RESOURCE``.
 
     >>> ranges([1, 5, 9, 12], 2)
     [(0, 8), (9, 4294967295)]
@@ -201,5 +204,5 @@
     [(0, 4294967295)]
     """
     keys = sorted(resources)
-    cuts = [0] + [keys[len(keys) * i // count] for i in range(1, count)] + [LAST_RESOURCE + 1]
-    return [(start, end - 1) for start, end in pairwise(cuts) if start < end]
+    starts = [0] + [keys[len(keys) * index // count] for index in range(1, count)] + [LAST_RESOURCE + 1]
+    return [(start, end - 1) for start, end in pairwise(starts) if start < end]
--- a/sparloom/aggregation/relay_messages.py
+++ b/sparloom/aggregation/relay_messages.py
@@ -1,4 +1,4 @@
-"""What a relay sends: its group's sum to the other relays, the total of all it knows to its followers.
+"""The messages of a relay: its group's aggregate for the other relays, the fleet total for its followers.
 
 A relay without a group sends its own load:
 
@@ -42,11 +42,11 @@
     from .shards import InFlight
 
 MAXIMUM_PLACEMENTS = 20
-# A new member is reported by itself for so many contact bounds, and then in the sum.
-SETTLED_AFTER = 2.5
-# Bytes that loads get in a message at least, whatever else it carries.
+# How long a new member is reported as a solo update before it enters the group's aggregate, in contact bounds.
+SETTLED_AFTER_CONTACT_BOUNDS = 2.5
+# The minimum space for loads in a message, whatever else the message carries.
 MINIMUM_LOAD_BYTES = 300
-# Bytes of one resource's load on average, and of the other parts of a message (without their loads).
+# Average encoded size of one resource's load, and of the other parts of a message without their loads.
 LOAD_BYTES, COVERAGE_BYTES, SOLO_UPDATE_BYTES, PLACEMENT_BYTES = 7, 12, 16, 20
 
 Key = TypeVar("Key", bound="Hashable")
@@ -55,7 +55,7 @@
 
 @define(frozen=True, slots=True)
 class Send:
-    """A message, and the keys of the nodes that it goes to."""
+    """A message, and the keys of its destination nodes."""
 
     destinations: tuple[str, ...]
     message: MemberUpdate | GroupAggregate | FleetTotal
@@ -63,7 +63,7 @@
 
 @define(frozen=True, slots=True)
 class _Holder:
-    """One node of a relay's group, and the update of it that is reported."""
+    """One node of a relay's group, and the update that is reported for it."""
 
     number: int
     since: timedelta
@@ -73,16 +73,16 @@
 
 
 def take_placements(placements: dict[Key, Value]) -> list[Value]:
-    """Takes the oldest placements out of a store, as many as a message has room for.
+    """Removes the oldest placements from a store and returns them, up to the limit per message.
 
-    >>> d = dict.fromkeys(range(50)); len(take_placements(d)), len(d)
+    >>> placements = dict.fromkeys(range(50)); len(take_placements(placements)), len(placements)
     (20, 30)
     """
     return [placements.pop(key) for key in list(placements)[:MAXIMUM_PLACEMENTS]]
 
 
 def _ranges(in_flight: InFlight, fixed_bytes: int, solo: Sequence[InFlight] = ()) -> list[tuple[int, int]]:
-    """The ranges of resources that fit a datagram each, beside a fixed number of bytes."""
+    """Resource ranges whose loads fit one datagram each, in addition to ``fixed_bytes``."""
     resources = {*in_flight, *(resource for load in solo for resource in load)}
     load_bytes = LOAD_BYTES * (len(in_flight) + sum(map(len, solo)))
     available = max(MINIMUM_LOAD_BYTES, MAXIMUM_BYTES - fixed_bytes - SOLO_UPDATE_BYTES * len(solo))
@@ -90,7 +90,7 @@
 
 
 def _group(aggregator: InFlightAggregator, now: timedelta) -> Iterator[_Holder]:
-    """The relay itself and those that follow it."""
+    """The relay itself and its followers."""
     own, since = aggregator.own, aggregator.relay_since
     yield _Holder(aggregator.holder, now if since is None else since, own.sequence, own.fleet_size, own.in_flight)
     for member in aggregator.neighbours.members.values():
@@ -99,12 +99,12 @@
 
 
 def _split_by_age(aggregator: InFlightAggregator, now: timedelta) -> tuple[list[_Holder], list[_Holder]]:
-    """The settled nodes of the group, and those that are still reported one by one."""
+    """The settled nodes of the group, and the recent ones, which are reported as solo updates."""
     relays = aggregator.neighbours.relays.values()
     covered = {holder for relay in relays for shard in relay.accepted for holder in shard.coverage}
     settled: list[_Holder] = []
     recent: list[_Holder] = []
-    settling_time = SETTLED_AFTER * aggregator.contact_bound
+    settling_time = SETTLED_AFTER_CONTACT_BOUNDS * aggregator.contact_bound
     for holder in _group(aggregator, now):
         is_settled = now - holder.since >= settling_time and holder.number not in covered
         (settled if is_settled else recent).append(holder)
@@ -112,7 +112,7 @@
 
 
 def group_aggregates(aggregator: InFlightAggregator, now: timedelta) -> Iterator[GroupAggregate]:
-    """The shards of a relay's sum; the relay itself is one of its group."""
+    """The shards of a relay's aggregate; the relay itself is a member of its group."""
     aggregator.neighbours.expire(now)
     settled, recent = _split_by_age(aggregator, now)
     in_flight: InFlight = {}
@@ -139,19 +139,19 @@
             ],
             placements,
         )
-        # The first shard carries them all.
+        # Only the first shard carries the placements.
         placements = []
 
 
 def fleet_totals(aggregator: InFlightAggregator, now: timedelta) -> Iterator[FleetTotal]:
-    """The shards of the total of all that a relay knows, its own load included."""
-    gathered = aggregator.gathered(now)
-    in_flight = gathered.in_flight
+    """The shards of the fleet total, the relay's own load included."""
+    combined = aggregator.combined_in_flight(now)
+    in_flight = combined.in_flight
     add(in_flight, aggregator.own.in_flight)
     aggregator.output_sequence += 1
     fleet_size = min([aggregator.own.fleet_size, *(size for size in aggregator.fleet_sizes(now).values() if size)])
     members = aggregator.neighbours.members.values()
-    coverage = [Coverage(member.holder, gathered.sequences.get(member.holder, 0)) for member in members]
+    coverage = [Coverage(member.holder, combined.sequences.get(member.holder, 0)) for member in members]
     placements = take_placements(aggregator.output.follower_placements)
     isolation_ms = int(aggregator.isolation_age(now) / timedelta(milliseconds=1))
     fixed_bytes = COVERAGE_BYTES * len(coverage) + PLACEMENT_BYTES * len(placements)
--- a/sparloom/aggregation/shards.py
+++ b/sparloom/aggregation/shards.py
@@ -1,4 +1,4 @@
-"""Shards of load, and how they are put together so that no call counts twice."""
+"""Shards of load, and how they are combined so that no call is counted twice."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
     from sparloom.dynamic_timeout import ResourceLoad
 
-    # The load by short resource id.
+    # Load by short resource id.
     InFlight = dict[int, ResourceLoad]
-    # First resource, last resource, and the update of a holder that is counted there.
+    # First resource, last resource, and the sequence number of the holder's update that is counted there.
     CountedRange = tuple[int, int, int]
 
 
 @define(frozen=True, slots=True, eq=False)
 class Shard:
-    """What some holders have in flight at the resources from ``first`` to ``last``.
+    """The in-flight load of a set of holders at the resources from ``first`` to ``last``.
 
     Attributes
     ----------
-    sequence : number of the message that it came in.
-    received_at : when it came.
-    coverage : each holder's number with the update of it that is in ``in_flight``.
-    in_flight : the summed load by resource.
-    solo_updates : (holder, sequence, load) of those that are reported one by one.
+    sequence : sequence number of the message that contained the shard.
+    received_at : when the message was received.
+    coverage : the sequence number of each holder's update in ``in_flight``, by holder id.
+    in_flight : the total load by resource.
+    solo_updates : (holder, sequence, load) of holders that are reported one by one.
     """
 
     sequence: int
@@ -42,9 +42,9 @@
     solo_updates: tuple[tuple[int, int, InFlight], ...] = ()
 
     def without(self, first: int, last: int) -> list[Shard]:
-        """What remains outside of a range.
+        """The parts of the shard outside a range.
 
-        >>> [(p.first, p.last, p.in_flight) for p in Shard(1, 0, {}, {3: 1, 8: 2}, 0, 9).without(4, 6)]
+        >>> [(part.first, part.last, part.in_flight) for part in Shard(1, 0, {}, {3: 1, 8: 2}, 0, 9).without(4, 6)]
         [(0, 3, {3: 1}), (7, 9, {8: 2})]
         """
         if last < self.first or first > self.last:
@@ -61,7 +61,7 @@
         )
 
     def overlaps(self, other: Shard) -> bool:
-        """Whether both cover a holder for the same resources.
+        """Whether both shards cover the same holder at the same resources.
 
         >>> Shard(1, 0, {5: 1}, {}).overlaps(Shard(1, 0, {5: 2, 6: 1}, {}))
         True
@@ -71,7 +71,7 @@
 
 
 def within(in_flight: InFlight, first: int, last: int) -> InFlight:
-    """The entries of a range.
+    """The entries within a range of resources.
 
     >>> within({3: "a", 8: "b"}, 4, 9)
     {8: 'b'}
@@ -84,7 +84,8 @@
 def add(total: InFlight, in_flight: InFlight, sign: int = 1) -> None:
     """Adds loads to a total, or subtracts them (``sign`` -1); no count falls below zero.
 
-    >>> t = {1: (2, 0, 0, 0, 0, 0)}; add(t, {1: (1, 5, 0, 0, 0, 0)}); add(t, {1: (1, 9, 0, 0, 0, 0)}, -1); t
+    >>> total = {1: (2, 0, 0, 0, 0, 0)}; add(total, {1: (1, 5, 0, 0, 0, 0)})
+    >>> add(total, {1: (1, 9, 0, 0, 0, 0)}, -1); total
     {1: (2, 0, 0, 0, 0, 0)}
     """
     if sign < 0:
@@ -95,7 +96,7 @@
         if old is None:
             total[resource] = new
         else:
-            # Written out: most of a relay's time goes here.
+            # Unrolled, because a relay spends most of its time here.
             total[resource] = (
                 old[0] + new[0],
                 old[1] + new[1],
@@ -121,65 +122,66 @@
 
 
 def replace(shards: Iterable[Shard], new: Shard) -> list[Shard] | None:
-    """The shards with a newer one in its range, or None when that is not newer.
+    """Replaces the range of a new shard; None if an overlapping shard is at least as new.
 
     >>> replace([Shard(2, 0, {}, {})], Shard(1, 0, {}, {})) is None
     True
     """
-    if any(p.sequence >= new.sequence and p.first <= new.last and new.first <= p.last for p in shards):
+    if any(shard.sequence >= new.sequence and shard.first <= new.last and new.first <= shard.last for shard in shards):
         return None
-    return [rest for shard in shards for rest in shard.without(new.first, new.last)] + [new]
+    return [part for shard in shards for part in shard.without(new.first, new.last)] + [new]
 
 
 @define(slots=True)
-class Gathered:
-    """All that is known: load by resource, and which update of each holder is in it (0: several)."""
+class CombinedInFlight:
+    """The combined load by resource, and the sequence number of each holder's update in it (0: several updates)."""
 
     in_flight: InFlight = field(factory=dict)
     sequences: dict[int, int] = field(factory=dict)
 
 
-def gather(
-    sums: Iterable[Shard],
+def combine(
+    aggregates: Iterable[Shard],
     updates: Iterable[tuple[int, Shard]],
     own_holder: int,
     own_update: Callable[[int], InFlight | None],
-) -> Gathered:
-    """Puts sums and single updates together: each holder counts from one source at each resource.
+) -> CombinedInFlight:
+    """Combines aggregates and single updates; each holder is counted from one source per resource.
 
     Parameters
     ----------
-    sums : shards whose coverages are disjoint.
-    updates : (holder, shard) of single holders; where a sum covers the holder
-        they count nothing, else the newest does.
-    own_holder : this node's number.
-    own_update : gives this node's update of a number, which is subtracted where a sum has it.
-
-    >>> s, w = Shard(1, 0, {5: 3}, {7: (2, 0, 0, 0, 0, 0)}), Shard(4, 0, {}, {7: (9, 0, 0, 0, 0, 0)})
-    >>> gather([s], [(5, w), (6, w)], 0, None).in_flight
+    aggregates : shards with disjoint coverage.
+    updates : (holder, shard) of single holders. They are ignored where an
+        aggregate covers the holder; otherwise the newest one is counted.
+    own_holder : this node's holder id.
+    own_update : returns this node's update by sequence number; it is subtracted
+        from each aggregate that contains it.
+
+    >>> aggregate, update = Shard(1, 0, {5: 3}, {7: (2, 0, 0, 0, 0, 0)}), Shard(4, 0, {}, {7: (9, 0, 0, 0, 0, 0)})
+    >>> combine([aggregate], [(5, update), (6, update)], 0, None).in_flight
     {7: (11, 0, 0, 0, 0, 0)}
-    >>> gather([s], [], 5, lambda sequence: {7: (1, 0, 0, 0, 0, 0)}).in_flight
+    >>> combine([aggregate], [], 5, lambda sequence: {7: (1, 0, 0, 0, 0, 0)}).in_flight
     {7: (1, 0, 0, 0, 0, 0)}
     """
-    gathered = Gathered()
+    combined = CombinedInFlight()
     counted: dict[int, list[CountedRange]] = {}
-    for shard in sums:
-        add(gathered.in_flight, shard.in_flight)
+    for shard in aggregates:
+        add(combined.in_flight, shard.in_flight)
         for holder, sequence in shard.coverage.items():
             counted.setdefault(holder, []).append((shard.first, shard.last, sequence))
         if own_holder in shard.coverage:
             own = own_update(shard.coverage[own_holder]) or {}
-            add(gathered.in_flight, within(own, shard.first, shard.last), -1)
+            add(combined.in_flight, within(own, shard.first, shard.last), -1)
     for holder, shards in _by_holder(updates, own_holder).items():
-        _add_updates(gathered.in_flight, shards, counted.setdefault(holder, []))
+        _add_updates(combined.in_flight, shards, counted.setdefault(holder, []))
     for holder, counted_ranges in counted.items():
         sequences = {sequence for _, _, sequence in counted_ranges}
-        gathered.sequences[holder] = sequences.pop() if len(sequences) == 1 else 0
-    return gathered
+        combined.sequences[holder] = sequences.pop() if len(sequences) == 1 else 0
+    return combined
 
 
 def _by_holder(updates: Iterable[tuple[int, Shard]], own_holder: int) -> dict[int, list[Shard]]:
-    """The shards of each holder but this node."""
+    """The shards by holder, without this node's own."""
     found: dict[int, list[Shard]] = {}
     for holder, shard in updates:
         if holder != own_holder:
@@ -188,15 +190,15 @@
 
 
 def _add_updates(total: InFlight, shards: list[Shard], counted: list[CountedRange]) -> None:
-    """Adds one holder's shards, the newest first, where ``counted`` doesn't hold it yet."""
+    """Adds one holder's shards, newest first, at the resources where it is not counted yet."""
     for shard in sorted(shards, key=lambda shard: -shard.sequence) if len(shards) > 1 else shards:
         if any(first <= shard.first and shard.last <= last for first, last, _ in counted):
             continue
-        add(total, _outside(shard.in_flight, counted) if counted else shard.in_flight)
+        add(total, _without_ranges(shard.in_flight, counted) if counted else shard.in_flight)
         counted.append((shard.first, shard.last, shard.sequence))
 
 
-def _outside(in_flight: InFlight, counted: list[CountedRange]) -> InFlight:
+def _without_ranges(in_flight: InFlight, counted: list[CountedRange]) -> InFlight:
     return {
         resource: load
         for resource, load in in_flight.items()
