--- a/sparloom/feed/__init__.py
+++ b/sparloom/feed/__init__.py
@@ -1,4 +1,4 @@
-"""The versioned feed that brings the configuration and the endpoint list to controllers and routers."""
+"""The versioned feed that distributes the configuration and the endpoint list to controllers and routers."""
 
 from .records import (
     CONFIGURATION,
--- a/sparloom/feed/payload.py
+++ b/sparloom/feed/payload.py
@@ -1,4 +1,4 @@
-"""The payload of a change: snapshots of a topic and the deltas between them, compressed."""
+"""The payload of a ``Change``: compressed snapshots of a topic, and the deltas between them."""
 
 from __future__ import annotations
 
@@ -21,24 +21,25 @@
     State: TypeAlias = ConfigurationDocument | EndpointList
     Delta: TypeAlias = ConfigurationDocument | EndpointDelta
 
-# A configuration is encoded once and sent to every node over thin links; the endpoint list changes often.
+# A configuration is encoded once and sent to every node over slow links, so size matters most. The endpoint list
+# changes often, so speed matters most.
 _BEST_COMPRESSION = 9
 _FAST_COMPRESSION = 1
 
 
 class PayloadError(SparloomError, ValueError):
-    """A payload that cannot be decoded, or does not apply to the state that is held."""
+    """A payload that cannot be decoded, or does not apply to the current state."""
 
 
 def encode_state(topic: int, state: State | Delta) -> bytes:
-    """The payload of a snapshot or of a delta.
+    """Encodes a snapshot or a delta.
 
     Parameters
     ----------
     topic
         ``CONFIGURATION`` or ``ENDPOINTS``.
     state
-        A configuration document or a PATCH body; or an endpoint list or its delta.
+        A configuration document or a PATCH body; an endpoint list or its delta.
 
     Examples
     --------
@@ -51,7 +52,7 @@
 
 
 def encode_delta(topic: int, old: State, new: State, size_limit: int) -> bytes | None:
-    """The payload of the delta between two states; None unless shorter than ``size_limit`` bytes.
+    """Encodes the delta between two states; None unless the payload is shorter than ``size_limit`` bytes.
 
     Examples
     --------
@@ -66,7 +67,7 @@
 
 
 def _delta(topic: int, old: State, new: State) -> Delta | None:
-    """The delta from one state to the next; None where no delta gives exactly the new state."""
+    """The delta from one state to the next; None if no delta yields exactly the new state."""
     if topic == CONFIGURATION:
         return _configuration_delta(cast("ConfigurationDocument", old), cast("ConfigurationDocument", new))
     delta: EndpointDelta = discovery.delta(cast("EndpointList", old), cast("EndpointList", new))
@@ -74,19 +75,19 @@
 
 
 def _configuration_delta(old: ConfigurationDocument, new: ConfigurationDocument) -> ConfigurationDocument | None:
-    """A PATCH body as operators send it, and beside it the additions of the control state that differ."""
+    """A PATCH body in the operators' format, plus the changed additions of the control state."""
     before, after = configuration.operators_part(old), configuration.operators_part(new)
     patch: ConfigurationDocument | None = configuration.delta(before, after)
     return None if patch is None else {**patch, **configuration.changed_additions(old, new)}
 
 
 def decode_payload(topic: int, payload: bytes) -> Any:
-    """The snapshot or the delta in a payload.
+    """Decodes the snapshot or the delta in a payload.
 
     Raises
     ------
     PayloadError
-        The payload is not compressed data, or holds neither JSON nor a record.
+        The payload is not compressed data, or contains neither JSON nor a record.
     """
     try:
         raw = zlib.decompress(payload)
@@ -101,14 +102,14 @@
     Parameters
     ----------
     change
-        A snapshot, or a delta whose base the caller has compared with the version of ``old``.
+        A snapshot, or a delta; the caller has checked that its base is the version of ``old``.
     old
-        The state that is held; None before the first.
+        The current state; None before the first snapshot.
 
     Raises
     ------
     PayloadError
-        The payload cannot be decoded, is of another topic, or does not apply to ``old``.
+        The payload cannot be decoded, belongs to another topic, or does not apply to ``old``.
 
     Examples
     --------
--- a/sparloom/feed/records.py
+++ b/sparloom/feed/records.py
@@ -7,17 +7,17 @@
 from sparloom.codec import Record, UInt8, UInt32, UInt64, record
 
 Version = tuple[int, int]
-"""(epoch, number) of a state: versions are ordered first by the primary's epoch, then by the number in it."""
+"""(epoch, number) of a state, ordered by the primary's epoch first, then by the number within the epoch."""
 
 NO_VERSION: Version = (0, 0)
-"""The version of a topic of which nothing has been received."""
+"""The version of a topic before its first state is received."""
 
 UNCONFIRMED = 0xFFFFFFFF
-"""The ``confirmation_age_ms`` of a sender that knows of no confirmed primary."""
+"""The ``confirmation_age_ms`` of a sender that has no confirmation of a primary."""
 
 
 class Topic(IntEnum):
-    """What a change is about; the number goes out on the wire."""
+    """The topics of the feed; the number is sent on the wire."""
 
     CONFIGURATION = 0
     ENDPOINTS = 1
@@ -30,16 +30,16 @@
 
 @record(60)
 class Subscribe(Record):
-    """The first record of a follower: its versions, after which it wants every change.
+    """The first record of a follower, which requests every change after its versions.
 
     Attributes
     ----------
     node
         The follower's node name.
     configuration_epoch, configuration_number
-        The version of the configuration that it has.
+        The follower's version of the configuration.
     endpoints_epoch, endpoints_number
-        The version of the endpoint list that it has.
+        The follower's version of the endpoint list.
     """
 
     node: str
@@ -64,9 +64,9 @@
     Attributes
     ----------
     topic
-        A number of ``Topic``; one that is unknown here comes from a newer sender.
+        A number of ``Topic``; an unknown one comes from a newer sender.
     epoch, number
-        The version that the topic has after the change.
+        The version of the topic after the change.
     base_epoch, base_number
         The version to which a delta applies; both 0 for a snapshot.
     payload
@@ -82,7 +82,7 @@
 
     @property
     def version(self) -> Version:
-        """The version that the topic has after the change."""
+        """The version of the topic after the change."""
         return (self.epoch, self.number)
 
     @property
@@ -93,18 +93,18 @@
 
 @record(62)
 class FeedHeartbeat(Record):
-    """Tells a follower that its source is up, and how recently the primary was confirmed.
+    """Notifies a follower that its source is alive, and how recently the primary was confirmed.
 
     Attributes
     ----------
     configuration_epoch, configuration_number
         See ``configuration_version``.
     confirmation_age_ms
-        Milliseconds since a majority last confirmed the primary, or ``UNCONFIRMED``.
+        Milliseconds since a quorum last confirmed the primary, or ``UNCONFIRMED``.
     sent_at_ms
-        Milliseconds of the sender's monotonic clock. Only differences mean
-        anything: a heartbeat that took longer than the quickest one was
-        delayed, and the delay adds to the age.
+        The sender's monotonic clock in milliseconds. Only differences are
+        meaningful: the extra delay of a heartbeat compared with the fastest one
+        is added to the age.
     """
 
     configuration_epoch: UInt64
@@ -114,9 +114,9 @@
 
     @property
     def configuration_version(self) -> Version:
-        """The newest version of the configuration that the sender has or has heard of.
+        """The newest version of the configuration that the sender stores or knows to exist.
 
-        A follower with an older one is not up to date, however recently the
-        primary was confirmed.
+        A follower with an older version is not up to date, even if the primary
+        was confirmed recently.
         """
         return (self.configuration_epoch, self.configuration_number)
--- a/sparloom/feed/serving.py
+++ b/sparloom/feed/serving.py
@@ -1,4 +1,4 @@
-"""Serves the feed to one follower; controllers and relays do it alike."""
+"""``serve_follower``: serves the feed to one follower, from a controller or a relay."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from sparloom.transport import Frames
 
     class FeedSource(Protocol):
-        """What ``serve_follower`` needs of a controller or relay."""
+        """The interface of a controller or relay that ``serve_follower`` uses."""
 
         @property
         def store(self) -> VersionedStore:
@@ -25,11 +25,11 @@
 
         @property
         def change_signal(self) -> ChangeSignal:
-            """Notified at each change of the store and at each heartbeat from above."""
+            """Notified at each change of the store and at each heartbeat from upstream."""
 
         @property
         def write_timeout(self) -> timedelta:
-            """How long a follower may read nothing of what is written to it."""
+            """How long a write may be blocked by a follower that does not read."""
 
         def is_open(self) -> bool:
             """Whether followers are served."""
@@ -41,20 +41,20 @@
             """Milliseconds since the primary was confirmed, or ``UNCONFIRMED``."""
 
         def newest_configuration(self) -> Version:
-            """The newest version of the configuration that is stored here or was heard of."""
+            """The newest version of the configuration that is stored here or known to exist."""
 
 
 MS = timedelta(milliseconds=1)
 
 
 class ChangeSignal:
-    """Wakes every task that waits for the next change.
+    """Wakes all tasks that wait for the next change.
 
     Attributes
     ----------
     event
-        Set at the next change; take it before looking at the state, then wait
-        for it, so that no change in between is missed.
+        Set at the next change. Get the event before reading the state and wait
+        for it afterwards, so that no change in between is missed.
 
     Examples
     --------
@@ -66,7 +66,7 @@
         self.event = asyncio.Event()
 
     def notify(self) -> None:
-        """Wakes all that wait now; who waits later waits for the next change.
+        """Wakes all waiting tasks; a task that waits later waits for the next change.
 
         Examples
         --------
@@ -77,10 +77,10 @@
 
 
 async def serve_follower(frames: Frames, versions: dict[int, Version], source: FeedSource) -> None:
-    """Sends a follower what it lacks, then every change and heartbeats, until the source closes.
+    """Sends a follower all missing changes, then new changes and heartbeats, until the source closes.
 
-    Each follower has a task of its own and at most one change in flight, so
-    one that does not read delays no other.
+    Each follower has its own task and at most one change in flight, so a slow
+    follower does not delay the others.
 
     Parameters
     ----------
@@ -89,17 +89,17 @@
     versions
         The follower's version of each topic; updated as changes are sent.
     source
-        The controller or relay that serves.
+        The controller or relay that serves the feed.
 
     Raises
     ------
     OSError
         The connection is lost.
     TimeoutError
-        The follower read nothing for ``source.write_timeout``.
+        The follower did not read for ``source.write_timeout``.
     """
-    # The first heartbeat precedes the changes: a follower learns at once whether this source is
-    # alive and confirmed, and which configuration it must hold to be up to date.
+    # The first heartbeat precedes the changes. From it the follower learns whether this source is alive and
+    # confirmed, and which version of the configuration is up to date.
     await _send_heartbeat(frames, source)
     while source.is_open():
         event = source.change_signal.event
@@ -121,7 +121,7 @@
 
 
 async def _send_changes(frames: Frames, versions: dict[int, Version], source: FeedSource) -> bool:
-    """Sends what the follower lacks; whether it lacked anything."""
+    """Sends the changes that the follower lacks; returns whether there were any."""
     changes = source.store.changes_after(versions)
     for change in changes:
         versions[change.topic] = change.version
@@ -129,10 +129,10 @@
     return bool(changes)
 
 
-async def _wait(event: asyncio.Event, limit: timedelta) -> None:
-    """Waits for an event, but no longer than ``limit``."""
+async def _wait(event: asyncio.Event, timeout: timedelta) -> None:
+    """Waits for an event, at most for ``timeout``."""
     try:
-        async with asyncio.timeout(limit.total_seconds()):
+        async with asyncio.timeout(timeout.total_seconds()):
             await event.wait()
     except TimeoutError:
         pass
--- a/sparloom/feed/store.py
+++ b/sparloom/feed/store.py
@@ -1,4 +1,8 @@
-"""Decisions of the feed, without I/O: what is stored, what a follower lacks, when to change the source."""
+"""The state of the feed, without I/O.
+
+``VersionedStore`` holds the newest state of each topic and computes the changes
+that a follower lacks. ``SourceTracker`` decides when a follower changes its source.
+"""
 
 from __future__ import annotations
 
@@ -28,9 +32,9 @@
     source
         The snapshot's payload, or a function that encodes it when it is first needed.
     deltas
-        Deltas, each with the version of the one before as its base; the last one leads to ``version``.
+        Consecutive deltas: the base of each is the version of the previous one. The last one results in ``version``.
     size
-        Bytes of the snapshot's payload; of an earlier one until ``source`` was called.
+        Size of the snapshot's payload in bytes; until ``source`` is called, the size of an earlier snapshot.
 
     Examples
     --------
@@ -58,12 +62,12 @@
         return self.source
 
 
-def _within_size(deltas: Sequence[Change], limit: int) -> tuple[Change, ...]:
-    """The longest run of the last deltas that together have at most ``limit`` bytes."""
+def _within_size(deltas: Sequence[Change], size_limit: int) -> tuple[Change, ...]:
+    """As many of the last deltas as have at most ``size_limit`` bytes together."""
     size, count = 0, 0
     for delta in reversed(deltas):
         size += len(delta.payload)
-        if size > limit:
+        if size > size_limit:
             break
         count += 1
     return tuple(deltas[len(deltas) - count :])
@@ -71,17 +75,17 @@
 
 @define(slots=True)
 class VersionedStore:
-    """The newest state of each topic; its version never goes back.
+    """The newest state of each topic; the version of a topic never decreases.
 
-    Deltas are kept while they are together no larger than the snapshot: beyond
-    that a follower is better served with the snapshot.
+    Deltas are retained while their total size does not exceed that of the
+    snapshot; beyond that, sending the snapshot is cheaper.
 
     Attributes
     ----------
     items
-        The state of each topic that has one.
+        The stored state by topic.
     maximum_deltas
-        How many deltas of a topic are kept at most.
+        The maximum number of retained deltas per topic.
 
     Examples
     --------
@@ -94,7 +98,7 @@
     maximum_deltas: int = 16
 
     def version(self, topic: int) -> Version:
-        """The version of a topic's state; ``NO_VERSION`` before the first.
+        """The version of a topic's state; ``NO_VERSION`` before the first state.
 
         Examples
         --------
@@ -106,16 +110,16 @@
     def put(
         self, topic: int, version: Version, payload: bytes | Callable[[], bytes], delta: bytes | None = None
     ) -> bool:
-        """Takes a newer state; whether it was newer.
+        """Stores a state if it is newer; returns whether it was.
 
         Parameters
         ----------
         topic, version
-            What the state is of, and its version.
+            The topic of the state, and its version.
         payload
             The snapshot's payload, or a function that encodes it when it is first needed.
         delta
-            The payload of the delta from the state before, where there is one worth keeping.
+            The payload of the delta from the previous state; None if the delta should not be retained.
 
         Examples
         --------
@@ -140,7 +144,7 @@
         Parameters
         ----------
         versions
-            The follower's version of each topic; a missing one is ``NO_VERSION``.
+            The follower's version of each topic; a missing entry means ``NO_VERSION``.
 
         Examples
         --------
@@ -180,14 +184,14 @@
         return any(item.version > versions.get(topic, NO_VERSION) for topic, item in self.items.items())
 
     def subscription(self, node: str, resync: Collection[int] = ()) -> Subscribe:
-        """The record with which a node starts to follow.
+        """The first record that a node sends when it follows a source.
 
         Parameters
         ----------
         node
             The node's name.
         resync
-            Topics whose snapshot is wanted whatever version is stored.
+            Topics whose snapshot is requested regardless of the stored version.
 
         Examples
         --------
@@ -202,31 +206,32 @@
 
 @define(slots=True)
 class SourceTracker:
-    """A follower's view of its source, and whether to change to another one.
+    """Tracks the health of a follower's source and decides when to change to another one.
 
-    A follower changes when its source is silent, or reports that it has itself
-    lost contact with the primary. All times are of the follower's monotonic clock.
+    A follower changes its source when it receives nothing from the source, or
+    when the source reports that it has lost contact with the primary. All times
+    are on the follower's monotonic clock.
 
     Attributes
     ----------
     timeout
-        How long the source may be silent.
+        The maximum time between two messages from the source.
     maximum_age
-        How old the last confirmation of the primary may be. A source that has
-        none yet is given the same time from ``started_at``.
+        The maximum age of the last confirmation of the primary. A source without
+        a confirmation has the same time from ``started_at`` to get one.
     started_at
-        When this source was first followed.
+        When the follower started to follow this source.
     last_message_at
         When the last heartbeat or change arrived.
     reported_age
-        Age of the confirmation at the last heartbeat, with the delay of that
-        heartbeat; None when the source knows of none.
+        The age of the confirmation at the last heartbeat, including the delay of
+        that heartbeat; None if the source has no confirmation.
     heartbeats
-        How many heartbeats this source has sent.
+        The number of heartbeats received from this source.
     clock_offset
-        The smallest difference seen between this clock and the source's.
+        The smallest observed difference between this clock and the source's.
     confirmed_at
-        The latest time at which any source is known to have had the primary confirmed.
+        The time of the latest confirmation of the primary that any source reported.
     """
 
     timeout: timedelta
@@ -239,7 +244,7 @@
     confirmed_at: timedelta | None = None
 
     def start(self, now: timedelta) -> None:
-        """Begins with another source; only ``confirmed_at`` outlasts the change.
+        """Starts tracking another source; only ``confirmed_at`` is retained.
 
         Examples
         --------
@@ -249,7 +254,7 @@
         self.reported_age, self.heartbeats, self.clock_offset = None, 0, None
 
     def on_heartbeat(self, now: timedelta, age_ms: int, sent_at_ms: int | None = None) -> None:
-        """Takes a heartbeat.
+        """Handles a heartbeat.
 
         Parameters
         ----------
@@ -258,7 +263,7 @@
         age_ms
             Its ``confirmation_age_ms``.
         sent_at_ms
-            The sender's clock; the delay on the way, beyond that of the quickest heartbeat, adds to the age.
+            The sender's clock. The network delay beyond that of the fastest heartbeat is added to the age.
 
         Examples
         --------
@@ -279,13 +284,13 @@
         self.confirmed_at = confirmed_at if self.confirmed_at is None else max(confirmed_at, self.confirmed_at)
 
     def _delay(self, now: timedelta, sent_at_ms: int) -> timedelta:
-        """How much longer than the quickest heartbeat of this source one took."""
+        """The delay of a heartbeat compared with the fastest heartbeat of this source."""
         offset = now - timedelta(milliseconds=sent_at_ms)
         self.clock_offset = offset if self.clock_offset is None else min(offset, self.clock_offset)
         return offset - self.clock_offset
 
     def on_change(self, now: timedelta) -> None:
-        """Takes note that a change arrived.
+        """Records the arrival of a change.
 
         Examples
         --------
@@ -294,7 +299,7 @@
         self.last_message_at = now
 
     def confirmation_age(self, now: timedelta) -> timedelta | None:
-        """Age of the confirmation that the present source has; None when it knows of none.
+        """The age of the current source's confirmation; None if it has none.
 
         Examples
         --------
@@ -304,7 +309,7 @@
         return None if self.reported_age is None else self.reported_age + (now - self.last_message_at)
 
     def last_confirmed_age(self, now: timedelta) -> timedelta | None:
-        """Age of the latest confirmation that any source reported; None when none did.
+        """The age of the latest confirmation that any source reported; None if there is none.
 
         Examples
         --------
@@ -322,9 +327,9 @@
         Parameters
         ----------
         now
-            The present time.
+            The current time.
         first_heartbeat
-            How long the source may take for its first heartbeat; None for no such limit.
+            The timeout for the source's first heartbeat; None for no limit.
 
         Examples
         --------
@@ -340,14 +345,14 @@
         return max(min(deadlines) - now, timedelta(0)) + _MILLISECOND
 
     def _stale_at(self) -> timedelta:
-        """When the confirmation of the present source becomes too old."""
+        """When the confirmation of the current source becomes too old."""
         earliest = self.started_at + self.maximum_age
         if self.reported_age is None:
             return earliest
         return max(earliest, self.last_message_at + self.maximum_age - self.reported_age)
 
     def should_move(self, now: timedelta) -> bool:
-        """Whether to follow another source.
+        """Whether to change to another source.
 
         Examples
         --------
--- a/sparloom/relay/__init__.py
+++ b/sparloom/relay/__init__.py
@@ -1,4 +1,4 @@
-"""The tier of relays: which routers pass the feed on, chosen from membership without a vote."""
+"""The relay tier: which routers relay the feed to others. It is derived from membership, without an election."""
 
 from .plan import RelayTier, plan_tier
 from .upstream import LeaveReason, Upstream, UpstreamTiming
--- a/sparloom/relay/plan.py
+++ b/sparloom/relay/plan.py
@@ -1,8 +1,8 @@
-"""Chooses the relays of each zone, and for each router those it may follow.
+"""``plan_tier``: chooses the relays of each zone, and the relays that each router may follow.
 
-Every router computes this from the routers that it believes up. Beliefs differ
-for moments; nothing breaks then: a relay serves whoever follows it, and a
-follower that finds no relay goes on to the next one of its list.
+Every router computes the plan from its own membership table. Tables may differ
+for a short time, which is harmless: a relay serves any router that follows it,
+and a follower that cannot reach a relay tries the next one on its list.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Mapping, Sequence
 
-# How many weights are remembered: those of all routers of a large fleet.
+# The number of cached weights; enough for all routers of a large fleet.
 WEIGHT_CACHE_SIZE = 1 << 13
-# The tier stands only if it divides what the busiest node sends by this at least.
+# The tier is used only if it reduces the messages of the busiest node at least by this factor.
 MINIMUM_GAIN = 2
 
 
 @define(frozen=True, slots=True)
 class RelayTier:
-    """The tier as one router sees it; without one all is empty, and every router sends to every other.
+    """The relay tier from the view of one router. Without a tier it is empty, and every router sends to every other.
 
     Attributes
     ----------
     relays : keys of all relays.
-    parents : the relays that this router may follow, in the order in which to try them.
+    parents : the relays that this router may follow, in order of preference.
     is_relay : whether this router is a relay itself.
-    local_parents : how many of ``parents``, the first ones, are in this router's zone.
+    local_parents : how many of ``parents`` are in this router's zone; these come first.
     """
 
     relays: tuple[str, ...] = ()
@@ -42,7 +42,7 @@
 
     @property
     def exists(self) -> bool:
-        """Whether there is a tier.
+        """Whether a tier is used.
 
         >>> RelayTier().exists
         False
@@ -61,32 +61,32 @@
 
 
 def _relays_by_zone(zones: Mapping[str, Sequence[str]], group_size: int) -> dict[str, tuple[str, ...]]:
-    """Per zone the heaviest routers, about one for each group."""
+    """The routers with the highest weights in each zone, about one per group."""
     relays = {}
     for zone, keys in zones.items():
-        heaviest_first = sorted(keys, key=partial(_weight, zone), reverse=True)
-        relays[zone] = tuple(heaviest_first[: max(1, round(len(keys) / group_size))])
+        by_weight = sorted(keys, key=partial(_weight, zone), reverse=True)
+        relays[zone] = tuple(by_weight[: max(1, round(len(keys) / group_size))])
     return relays
 
 
 def plan_tier(me: str, zone: str, others: Collection[tuple[str, str]]) -> RelayTier:
-    """The tier as ``me`` sees it; ``others``: key and zone of each other router.
+    """The tier from the view of router ``me``; ``others``: key and zone of each other router.
 
-    Groups hold about the square root of all routers: a relay then hears as
-    many followers as it hears relays, and no node's messages grow faster than
-    that root. A hop costs delay, so the tier stands only where it at least
-    halves what the busiest node, a relay, has to send.
+    The group size is about the square root of the number of routers: a relay
+    then has about as many followers as there are relays, and no node's messages
+    grow faster than the square root. A hop adds delay, so the tier is used only
+    if it at least halves the messages of the busiest node, a relay.
 
-    All of it follows from the membership alone, without state: two routers
-    with the same membership name the same relays. The group's size moves with the
-    root, and weights are drawn per zone, so one router that comes or goes
-    changes a relay or two and hands few followers over. What should outlast
-    a flapping member (whom a router follows) has a delay of its own: see ``Upstream``.
+    The plan depends on the membership only, without state: two routers with the
+    same membership choose the same relays. The group size follows the square
+    root, and weights are computed per zone, so a router that joins or leaves
+    changes one or two relays and moves few followers. ``Upstream`` delays its
+    moves, so a flapping member does not change which relay a router follows.
 
     >>> plan_tier("a", "z", [("b", "z")]).exists
     False
-    >>> t = plan_tier("n0", "z", [(f"n{i}", "z") for i in range(1, 64)])
-    >>> len(t.relays), len(t.parents) == 8 or t.is_relay, t.local_parents == len(t.parents)
+    >>> tier = plan_tier("n0", "z", [(f"n{i}", "z") for i in range(1, 64)])
+    >>> len(tier.relays), len(tier.parents) == 8 or tier.is_relay, tier.local_parents == len(tier.parents)
     (8, True, True)
     """
     zones: dict[str, list[str]] = {}
@@ -95,7 +95,7 @@
     routers = 1 + len(others)
     by_zone = _relays_by_zone(zones, _group_size(routers))
     relays = tuple(sorted(key for keys in by_zone.values() for key in keys))
-    # A relay sends to its group and to the other relays; without a tier to everybody.
+    # A relay sends to its group and to the other relays. Without a tier, a router sends to every other router.
     if routers - 1 < MINIMUM_GAIN * (ceil(routers / len(relays)) + len(relays)):
         return RelayTier()
     local = set(by_zone.get(zone, ()))
--- a/sparloom/relay/upstream.py
+++ b/sparloom/relay/upstream.py
@@ -1,10 +1,10 @@
-"""Whom a router follows: a controller, or a relay of its tier; and when it leaves.
+"""``Upstream``: which node a router follows (a controller, or a relay of its tier), and when it leaves that node.
 
-Depth is at most one below a controller: only a router that follows a
-controller serves others, so no loop can form, whatever routers believe of the
-membership. Unless the node followed is silent, stale or gone, a router moves
-gently: the plan must have been the same for a while, and a random delay is
-added so that many routers don't move at once.
+Only a router that follows a controller serves followers, so the feed passes at
+most one relay and no loop can form, even if the membership tables of routers
+differ. If the upstream node is neither silent, stale nor disconnected, a router
+moves gradually: the plan must have been stable for some time, and a random
+delay keeps many routers from moving at once.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 
 ZERO = timedelta(0)
 NO_TIER = RelayTier()
-# How many controllers are remembered as attempted, besides the present one.
-RECENT_CONTROLLERS = 8
+# How many recently attempted controllers are remembered, in addition to the current one.
+MAXIMUM_ATTEMPTED = 8
 
 
 class LeaveReason(StrEnum):
     """Why a connection to an upstream node ends.
 
-    ``SILENT``: nothing was received in time. ``STALE``: heartbeats arrive, but
-    the node is out of touch with the controllers. ``GENTLE``: a better
-    upstream is available. ``GONE``: the connection failed or was closed.
+    ``SILENT``: nothing was received within the timeout. ``STALE``: heartbeats
+    arrive, but the node has lost contact with the controllers. ``GENTLE``: a
+    better upstream is available. ``GONE``: the connection failed or was closed.
     """
 
     SILENT = "silent"
@@ -45,19 +45,20 @@
 
 @define(frozen=True, slots=True)
 class UpstreamTiming:
-    """How long to wait for what, derived from the contact bound.
+    """The timeouts of ``Upstream``, derived from the contact bound.
+
+    A relay detects a fault before its followers do, so that it can connect to
+    another controller before they leave it. A follower detects a fault and
+    dials another relay within a third of the contact bound. A router that
+    neither serves followers nor follows a relay tolerates more.
 
-    A relay notices a fault before its followers do: it has found another
-    controller before they leave it. A follower has moved within a third of
-    the bound: it notices, then dials. Who neither serves nor follows a relay
-    has no such hurry.
     Attributes
     ----------
     contact : the contact bound.
-    single, relay, follower : the silence and the age of the source that a router tolerates
-        in each role; ``single`` neither serves others nor follows a relay.
-    dial : how long a relay may take to accept and send its first heartbeat.
-    relay_search : how long to look for a relay before turning to controllers.
+    single, relay, follower : the message timeout and the maximum confirmation age of the upstream
+        node for each role; a ``single`` router neither serves followers nor follows a relay.
+    dial : how long a relay may take to accept the connection and send its first heartbeat.
+    relay_search : how long to try relays before falling back to controllers.
     """
 
     contact: timedelta
@@ -86,29 +87,29 @@
 
 @define(slots=True)
 class Upstream:
-    """Whom one router follows; time and messages in, decisions out.
+    """The choice of one router's upstream node, without I/O.
 
     Attributes
     ----------
     me : this router's key.
-    tier, suspects : the plan of relays, and the members that are suspected; those are tried last.
-    tracker : how fresh the node is that is followed.
-    parent : the key of that node; None while not connected.
-    direct : whether it is a controller.
-    follows_relays : whether this router belongs under a relay by the plan.
-    stay_until : until when it keeps its present kind of upstream after the plan has changed.
-    move_at : when to leave a relay that the plan no longer names, or one of another zone.
-    relays_lost_at : since when no relay has answered; None while one does.
-    fresh_at : when the last heartbeat came that was fresh enough.
-    stale_timeout : without a fresh heartbeat for so long it turns to controllers.
-    stale_relays : how many relays were left as stale since the last fresh heartbeat.
-    avoided_until : relays that are not to be tried again before a time.
-    attempted : the last controllers connected to, oldest first; the others go first.
+    tier, suspects : the relay plan, and the suspect members, which are tried last.
+    tracker : the freshness of the upstream node.
+    parent : the key of the upstream node; None while disconnected.
+    direct : whether the upstream node is a controller.
+    follows_relays : whether the plan assigns this router to a relay.
+    stay_until : until when the router keeps its kind of upstream after a change of the plan.
+    move_at : when to leave a relay of another zone, or one that is no longer in the plan.
+    relays_lost_at : when relays stopped answering; None while one answers.
+    fresh_at : when the last sufficiently fresh heartbeat arrived.
+    stale_timeout : how long without a fresh heartbeat before the router falls back to controllers.
+    stale_relays : the number of relays left as stale since the last fresh heartbeat.
+    avoided_until : the time before which a relay is not tried again, by key.
+    attempted : the controllers connected to most recently, oldest first; others are tried before them.
 
     >>> from random import Random
     >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
-    >>> u = Upstream("r:1", timing, Random(1))
-    >>> u.choose(ZERO, ("c:1", "d:1")), u.can_serve()
+    >>> upstream = Upstream("r:1", timing, Random(1))
+    >>> upstream.choose(ZERO, ("c:1", "d:1")), upstream.can_serve()
     ('c:1', True)
     """
 
@@ -142,12 +143,12 @@
         self.stale_timeout = self._random_delay(1, 1)
 
     def update_tier(self, now: timedelta, tier: RelayTier, suspects: frozenset[str] = frozenset()) -> None:
-        """Takes the tier as membership has it now; ``suspects`` are tried last.
+        """Updates the relay plan and the suspect members; ``suspects`` are tried last.
 
         >>> from random import Random
         >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
-        >>> u = Upstream("r:1", timing, Random(1))
-        >>> u.update_tier(ZERO, RelayTier())
+        >>> upstream = Upstream("r:1", timing, Random(1))
+        >>> upstream.update_tier(ZERO, RelayTier())
         """
         self.suspects = suspects
         self.avoided_until = {key: until for key, until in self.avoided_until.items() if until > now}
@@ -159,55 +160,55 @@
         self._update_limits()
 
     def _update_limits(self) -> None:
-        """Sets the silence and the age that are tolerated, by this router's role."""
+        """Sets the message timeout and the maximum confirmation age for this router's role."""
         timing = self.timing
         self.tracker.timeout, self.tracker.maximum_age = (
             timing.follower if not self.direct else timing.relay if self.tier.is_relay else timing.single
         )
 
     def _stay_after_change(self) -> timedelta:
-        """How long to keep the present kind of upstream after the plan has changed."""
+        """How long to keep the current kind of upstream after a change of the plan."""
         if self.tier.is_relay:
-            # Others may follow this router still: it leaves last.
+            # Other routers may still follow this one, so it moves last.
             return self._random_delay(2, 1)
         if self.follows_relays:
             return self._random_delay(1, 1)
-        # A new relay is needed soon.
+        # This router may have become a relay, which followers need soon.
         return self._random_delay(0.5, 0.5)
 
     def can_serve(self) -> bool:
-        """Whether this router may serve followers: only one that follows a controller.
+        """Whether this router may serve followers, which requires that it follows a controller.
 
         >>> from random import Random
         >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
-        >>> u = Upstream("r:1", timing, Random(1))
-        >>> u.can_serve()
+        >>> upstream = Upstream("r:1", timing, Random(1))
+        >>> upstream.can_serve()
         True
         """
         return self.direct
 
     @property
     def depth(self) -> int:
-        """Hops to the controller: 1, or 2 under a relay.
+        """The number of hops to the controller: 1, or 2 behind a relay.
 
         >>> from random import Random
         >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
-        >>> u = Upstream("r:1", timing, Random(1))
-        >>> u.depth
+        >>> upstream = Upstream("r:1", timing, Random(1))
+        >>> upstream.depth
         1
         """
         return 1 if self.direct else 2
 
     def follower_limit(self) -> int:
-        """How many followers it takes at most: two groups, since relays stand in for each other.
+        """The maximum number of followers: two groups, because relays replace each other on failure.
 
-        There are about as many routers in a group as there are relays. More
-        would fill a thin link for long with one large change.
+        A group has about as many routers as there are relays. With more
+        followers, one large change would saturate a slow link for a long time.
 
         >>> from random import Random
         >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
-        >>> u = Upstream("r:1", timing, Random(1))
-        >>> u.follower_limit()
+        >>> upstream = Upstream("r:1", timing, Random(1))
+        >>> upstream.follower_limit()
         2
         """
         return 2 * max(1, len(self.tier.relays))
@@ -226,52 +227,55 @@
         return bool(self.stale_relays) and now - self.fresh_at > self.stale_timeout
 
     def choose(self, now: timedelta, controllers: Iterable[str]) -> str | None:
-        """Whom to follow next; ``controllers``: keys, the best ones first.
+        """The key of the node to follow next; ``controllers``: keys, best first.
 
-        Controllers are the last resort of one that belongs under a relay: only
-        when no relay has answered for a moment, or none was fresh for long.
+        A router that should follow a relay falls back to a controller only if
+        no relay has answered within ``relay_search``, or if no heartbeat was
+        fresh for longer than ``stale_timeout``.
         """
         if self._may_follow_relays(now):
-            lost = self.relays_lost_at is not None and now - self.relays_lost_at >= self.timing.relay_search
-            if not lost and not self._all_relays_stale(now):
+            are_lost = self.relays_lost_at is not None and now - self.relays_lost_at >= self.timing.relay_search
+            if not are_lost and not self._all_relays_stale(now):
                 available = self._available_relays(now)
                 if available:
                     return available[0]
                 if self.stale_relays and self.tier.parents:
                     return min(self.tier.parents, key=lambda key: self.avoided_until.get(key, ZERO))
-        # Those never attempted go first, then those attempted longest ago.
+        # Controllers that were never attempted come first, then those attempted longest ago.
         order = sorted(controllers, key=lambda key: self.attempted.index(key) + 1 if key in self.attempted else 0)
         return order[0] if order else None
 
     def on_connecting(self, now: timedelta, target: str) -> None:
-        """A connection to ``target`` is being opened.
+        """Records that a connection to ``target`` is being opened.
 
         >>> from random import Random
         >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
-        >>> u = Upstream("r:1", timing, Random(1))
-        >>> u.on_connecting(ZERO, "c:1"); u.parent
+        >>> upstream = Upstream("r:1", timing, Random(1))
+        >>> upstream.on_connecting(ZERO, "c:1"); upstream.parent
         'c:1'
         """
         self.parent, self.direct = target, target not in self.tier.parents
         if self.direct:
-            self.attempted = [key for key in self.attempted if key != target][-RECENT_CONTROLLERS:] + [target]
+            self.attempted = [key for key in self.attempted if key != target][-MAXIMUM_ATTEMPTED:] + [target]
             if self.follows_relays and now >= self.stay_until:
                 self.stay_until = now + self._random_delay(1, 1)
         self._update_limits()
         self.move_at = None
         self.tracker.start(now)
 
-    def on_heartbeat(self, now: timedelta, age: int, sent: int | None = None) -> None:
-        """A heartbeat came; ``age``: ms since the primary was confirmed, ``sent``: ms of the sender's clock.
+    def on_heartbeat(self, now: timedelta, age_ms: int, sent_at_ms: int | None = None) -> None:
+        """Handles a heartbeat.
+
+        ``age_ms``: time since the primary was confirmed; ``sent_at_ms``: the sender's clock.
 
         >>> from random import Random
         >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
-        >>> u = Upstream("r:1", timing, Random(1))
-        >>> u.on_connecting(ZERO, "c:1")
-        >>> u.on_heartbeat(ZERO, 20); u.fresh_at == ZERO
+        >>> upstream = Upstream("r:1", timing, Random(1))
+        >>> upstream.on_connecting(ZERO, "c:1")
+        >>> upstream.on_heartbeat(ZERO, 20); upstream.fresh_at == ZERO
         True
         """
-        self.tracker.on_heartbeat(now, age, sent)
+        self.tracker.on_heartbeat(now, age_ms, sent_at_ms)
         self.relays_lost_at = None
         confirmation_age = self.tracker.confirmation_age(now)
         if confirmation_age is not None and confirmation_age <= self.tracker.maximum_age:
@@ -279,35 +283,35 @@
             self._draw_stale_timeout()
 
     def on_change(self, now: timedelta) -> None:
-        """A change came.
+        """Handles a change.
 
         >>> from random import Random
         >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
-        >>> u = Upstream("r:1", timing, Random(1))
-        >>> u.on_change(ZERO)
+        >>> upstream = Upstream("r:1", timing, Random(1))
+        >>> upstream.on_change(ZERO)
         """
         self.tracker.on_change(now)
 
     def next_check_delay(self, now: timedelta) -> timedelta:
-        """How long to wait for the next record before ``leave_reason`` must be called again.
+        """How long to wait for the next message before ``leave_reason`` must be called again.
 
         >>> from random import Random
         >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
-        >>> u = Upstream("r:1", timing, Random(1))
-        >>> u.on_connecting(ZERO, "c:1")
-        >>> u.next_check_delay(ZERO)
+        >>> upstream = Upstream("r:1", timing, Random(1))
+        >>> upstream.on_connecting(ZERO, "c:1")
+        >>> upstream.next_check_delay(ZERO)
         datetime.timedelta(seconds=1, microseconds=1000)
         """
         return self.tracker.time_until_move(now, first_heartbeat=self.timing.dial if not self.direct else None)
 
     def leave_reason(self, now: timedelta) -> LeaveReason | None:
-        """Why to leave the upstream node, or None.
+        """The reason to leave the upstream node; None to stay.
 
         >>> from random import Random
         >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
-        >>> u = Upstream("r:1", timing, Random(1))
-        >>> u.on_connecting(ZERO, "c:1")
-        >>> u.leave_reason(ZERO), u.leave_reason(timedelta(seconds=2))
+        >>> upstream = Upstream("r:1", timing, Random(1))
+        >>> upstream.on_connecting(ZERO, "c:1")
+        >>> upstream.leave_reason(ZERO), upstream.leave_reason(timedelta(seconds=2))
         (None, <LeaveReason.SILENT: 'silent'>)
         """
         tracker = self.tracker
@@ -315,19 +319,19 @@
             return LeaveReason.SILENT
         if not self.direct and not tracker.heartbeats and now - tracker.started_at > self.timing.dial:
             return LeaveReason.SILENT
-        if self._is_next_relay_stale(now) or tracker.should_move(now):
+        if self._is_another_stale_relay(now) or tracker.should_move(now):
             return LeaveReason.STALE
-        return LeaveReason.GENTLE if self._wants_to_move(now) else None
+        return LeaveReason.GENTLE if self._should_move(now) else None
 
-    def _is_next_relay_stale(self, now: timedelta) -> bool:
-        """Whether this relay is stale like those before it; it is left at once while others of the zone are untried."""
+    def _is_another_stale_relay(self, now: timedelta) -> bool:
+        """Whether this relay is stale like the previous ones, while untried relays of the zone may remain."""
         if self.direct or not self.tracker.heartbeats or not 0 < self.stale_relays <= self.tier.local_parents:
             return False
         confirmation_age = self.tracker.confirmation_age(now)
         return confirmation_age is None or confirmation_age > self.tracker.maximum_age
 
-    def _wants_to_move(self, now: timedelta) -> bool:
-        """Whether the plan has named a better kind of upstream, or a nearer relay, for long enough."""
+    def _should_move(self, now: timedelta) -> bool:
+        """Whether the plan has offered a better kind of upstream, or a nearer relay, for the length of the delay."""
         if self.direct:
             return (
                 self.follows_relays
@@ -346,20 +350,20 @@
         return now >= self.move_at
 
     def _has_nearer_relay(self, now: timedelta) -> bool:
-        """Whether a relay of another zone is followed while one of this zone is available."""
+        """Whether the parent is in another zone while a relay of this zone is available."""
         local = self.tier.parents[: self.tier.local_parents]
         if self.parent in local:
             return False
         return any(self._is_available(key, now) and key not in self.suspects for key in local)
 
     def on_disconnected(self, now: timedelta, reason: LeaveReason) -> None:
-        """The connection has ended, or none was established.
+        """Handles the end of the connection, or a failed attempt to connect.
 
         >>> from random import Random
         >>> timing = UpstreamTiming.from_contact_bound(timedelta(seconds=3))
-        >>> u = Upstream("r:1", timing, Random(1))
-        >>> u.on_connecting(ZERO, "c:1")
-        >>> u.on_disconnected(ZERO, LeaveReason.GONE); u.parent is None
+        >>> upstream = Upstream("r:1", timing, Random(1))
+        >>> upstream.on_connecting(ZERO, "c:1")
+        >>> upstream.on_disconnected(ZERO, LeaveReason.GONE); upstream.parent is None
         True
         """
         key, self.parent = self.parent, None
