--- a/tests/support/aggregation_fleet.py
+++ b/tests/support/aggregation_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of the tier's machines on a simulated net: seeded luck, no sleeping."""
+"""A fleet of in-flight aggregators on a simulated network, with seeded randomness and simulated time."""
 
 import random
 from itertools import count
@@ -10,162 +10,198 @@
 from sparloom.relay import plan_tier
 
 CONTACT = 3000 * MS
-SHARED = 10**6
+FIRST_SHARED_RESOURCE = 10**6
 
 
 class Fleet(Clock):
-    """Each life of a node holds one call at a resource of its own (its number), and some at shared ones."""
+    """Each instance of a node holds one call at its own resource (its instance id), and some at shared resources."""
 
-    def __init__(self, n, zones=3, seed=1, loss=0.03, twice=0.02, churn=0, private=True):
+    def __init__(self, size, zones=3, seed=1, loss=0.03, duplication=0.02, shared_resources=0, own_calls=True):
         super().__init__()
         self.rng = random.Random(seed)
-        self.loss, self.twice, self.churn, self.own = loss, twice, churn, private
-        self.names = [f"n{i}" for i in range(n)]
-        self.zone = {k: f"z{i % zones}" for i, k in enumerate(self.names)}
-        self.nodes, self.lives = {}, count(1)
-        self.sent, self.size, self.biggest = dict.fromkeys(self.names, 0), dict.fromkeys(self.names, 0), 0
-        self.off, self.frozen, self.cuts, self.timers = set(), set(), set(), set()
+        self.loss, self.duplication, self.shared_resources, self.own_calls = (
+            loss,
+            duplication,
+            shared_resources,
+            own_calls,
+        )
+        self.names = [f"n{i}" for i in range(size)]
+        self.zone = {name: f"z{i % zones}" for i, name in enumerate(self.names)}
+        self.nodes, self.instance_ids = {}, count(1)
+        self.messages_sent, self.bytes_sent, self.largest_message = (
+            dict.fromkeys(self.names, 0),
+            dict.fromkeys(self.names, 0),
+            0,
+        )
+        self.off, self.frozen, self.cuts, self.flush_timers = set(), set(), set(), set()
         self.queue, self.plans = {}, {}
-        self.fleet_sizes, self.recorded = {}, n
-        self.views, self.held = {}, {}
-        for k in self.names:
-            self.boot(k, told=True)
-        for k in self.names:
-            for o in self.names:
-                self.views[k][o] = self.nodes[o].instance_id
-
-    def boot(self, k, told=False):
-        """A new life of a node; the others learn of it within a sixth of the contact bound."""
-        self.nodes[k] = s = InFlightAggregator(k, next(self.lives), CONTACT)
-        self.off.discard(k)
-        self.views[k] = {o: self.nodes[o].instance_id for o in self.nodes if o not in self.off}
-        self.held[k] = {}
-        for o in () if told else self.names:
-            if o != k:
-                self.at(self.rng.random() * CONTACT / 6, lambda o=o, life=s.instance_id: self.learn(o, k, life))
-        self.at(self.rng.random() * 50 * MS, lambda: self.tick(k, s))
+        self.fleet_sizes, self.recorded_size = {}, size
+        self.membership, self.shared_calls = {}, {}
+        for name in self.names:
+            self.boot(name, known=True)
+        for name in self.names:
+            for other in self.names:
+                self.membership[name][other] = self.nodes[other].instance_id
+
+    def boot(self, name, known=False):
+        """Starts a new instance of a node; the others detect it within a sixth of the contact bound."""
+        self.nodes[name] = node = InFlightAggregator(name, next(self.instance_ids), CONTACT)
+        self.off.discard(name)
+        self.membership[name] = {other: self.nodes[other].instance_id for other in self.nodes if other not in self.off}
+        self.shared_calls[name] = {}
+        for other in () if known else self.names:
+            if other != name:
+                self.at(
+                    self.rng.random() * CONTACT / 6,
+                    lambda other=other, instance_id=node.instance_id: self.add_member(other, name, instance_id),
+                )
+        self.at(self.rng.random() * 50 * MS, lambda: self.tick(name, node))
 
     def join(self):
-        """A router that was not there before."""
-        k = f"n{len(self.names)}"
-        self.names.append(k)
-        self.zone[k], self.sent[k], self.size[k] = self.zone[self.names[0]], 0, 0
-        self.boot(k)
-
-    def learn(self, o, k, life):
-        if o in self.nodes and self.nodes[k].instance_id == life and k not in self.off:
-            self.views[o][k] = life
-            self.nodes[o].on_departed(k, life)
-
-    def kill(self, k):
-        """It is gone; the others know between 0.3 and 0.7 of the contact bound later."""
-        self.off.add(k)
-        life = self.nodes[k].instance_id
-        for o in self.names:
-            if o != k:
-                self.at((0.3 + 0.4 * self.rng.random()) * CONTACT, lambda o=o: self.forget(o, k, life))
-
-    def forget(self, o, k, life):
-        if self.views[o].get(k) == life and (k in self.off or self.nodes[k].instance_id != life):
-            del self.views[o][k]
-            self.nodes[o].on_departed(k)
-
-    def thaw(self, k):
-        self.frozen.discard(k)
-        for rec in self.queue.pop(k, []):
-            self.nodes[k].on_message(self.now, rec)
-
-    def tick(self, k, s):
-        if k in self.off or self.nodes[k] is not s:
+        """Adds a new router to the fleet."""
+        name = f"n{len(self.names)}"
+        self.names.append(name)
+        self.zone[name], self.messages_sent[name], self.bytes_sent[name] = self.zone[self.names[0]], 0, 0
+        self.boot(name)
+
+    def add_member(self, observer, name, instance_id):
+        if observer in self.nodes and self.nodes[name].instance_id == instance_id and name not in self.off:
+            self.membership[observer][name] = instance_id
+            self.nodes[observer].on_departed(name, instance_id)
+
+    def kill(self, name):
+        """Stops a node; the others detect it after 0.3 to 0.7 of the contact bound."""
+        self.off.add(name)
+        instance_id = self.nodes[name].instance_id
+        for observer in self.names:
+            if observer != name:
+                self.at(
+                    (0.3 + 0.4 * self.rng.random()) * CONTACT,
+                    lambda observer=observer: self.remove_member(observer, name, instance_id),
+                )
+
+    def remove_member(self, observer, name, instance_id):
+        if self.membership[observer].get(name) == instance_id and (
+            name in self.off or self.nodes[name].instance_id != instance_id
+        ):
+            del self.membership[observer][name]
+            self.nodes[observer].on_departed(name)
+
+    def thaw(self, name):
+        self.frozen.discard(name)
+        for message in self.queue.pop(name, []):
+            self.nodes[name].on_message(self.now, message)
+
+    def tick(self, name, node):
+        if name in self.off or self.nodes[name] is not node:
             return
-        if k not in self.frozen:
-            self._churn(k)
-            up = {o: life for o, life in self.views[k].items() if o != k}
-            s.update_membership(self.now, self.plan(k, up), up)
-            own = ({s.instance_id: (1, 0, 0, 0, 0, 0)} if self.own else {}) | {
-                SHARED + r: (n, 0, 0, 0, 0, 0) for r, n in self.held[k].items() if n
+        if name not in self.frozen:
+            self._change_shared_calls(name)
+            members = {other: instance_id for other, instance_id in self.membership[name].items() if other != name}
+            node.update_membership(self.now, self.plan(name, members), members)
+            in_flight = ({node.instance_id: (1, 0, 0, 0, 0, 0)} if self.own_calls else {}) | {
+                FIRST_SHARED_RESOURCE + resource: (calls, 0, 0, 0, 0, 0)
+                for resource, calls in self.shared_calls[name].items()
+                if calls
             }
-            c = self.fleet_sizes.setdefault(s.instance_id, FleetSize(CONTACT))
-            told = s.fleet_sizes(self.now) if s.peers_in_flight(self.now) is not None else {"": 0}
-            c.update(self.now, 1 + len(up), self.recorded, told)
-            s.update_in_flight(self.now, own, c.divisor)
-            for m in s.due_messages(self.now):
-                self.send(k, m)
-        self.at(50 * MS, lambda: self.tick(k, s))
-
-    def plan(self, k, up):
-        if self.plans.get(k, (None,))[0] != up.keys():
-            self.plans[k] = (set(up), plan_tier(k, self.zone[k], [(o, self.zone[o]) for o in up]))
-        return self.plans[k][1]
-
-    def _churn(self, k):
-        for r in range(self.churn):
-            n, x = self.held[k].get(r, 0), self.rng.random()
-            if x < 0.02:
-                self.held[k][r] = n + 1
-            elif x < 0.04 and n:
-                self.held[k][r] = n - 1
-
-    def send(self, k, m):
-        raw = len(pack(m.message))
-        self.biggest = max(self.biggest, raw)
-        for to in m.destinations:
-            self.sent[k] += 1
-            self.size[k] += raw + 28
-            for _ in range(1 + (self.rng.random() < self.twice)):
-                if (k, to) not in self.cuts and self.rng.random() > self.loss:
-                    self.at((1 + 20 * self.rng.random() ** 4) * MS, lambda to=to: self.arrive(to, m.message))
-
-    def arrive(self, to, rec):
-        if to in self.frozen:
-            q = self.queue.setdefault(to, [])
-            if len(q) < 200:
-                q.append(rec)
-        elif to in self.nodes and to not in self.off:
-            s = self.nodes[to]
-            s.on_message(self.now, rec)
-            self.hasten(to, s)
-
-    def hasten(self, k, s):
-        """Long prompts do not wait for the next beat."""
-        wait = s.flush_delay(self.now)
-        if wait is not None and k not in self.timers:
-            self.timers.add(k)
-            self.at(wait, lambda: self.flush(k, s))
-
-    def flush(self, k, s):
-        self.timers.discard(k)
-        if k not in self.off and k not in self.frozen and self.nodes[k] is s:
-            for m in s.due_messages(self.now):
-                self.send(k, m)
-            self.hasten(k, s)
-
-    def run(self, span, check=None, every=100 * MS):
-        """Moves time on; ``check`` is called now and then."""
-        end = self.now + span
+            fleet_size = self.fleet_sizes.setdefault(node.instance_id, FleetSize(CONTACT))
+            reported = node.fleet_sizes(self.now) if node.peers_in_flight(self.now) is not None else {"": 0}
+            fleet_size.update(self.now, 1 + len(members), self.recorded_size, reported)
+            node.update_in_flight(self.now, in_flight, fleet_size.divisor)
+            for message in node.due_messages(self.now):
+                self.send(name, message)
+        self.at(50 * MS, lambda: self.tick(name, node))
+
+    def plan(self, name, members):
+        if self.plans.get(name, (None,))[0] != members.keys():
+            self.plans[name] = (
+                set(members),
+                plan_tier(name, self.zone[name], [(other, self.zone[other]) for other in members]),
+            )
+        return self.plans[name][1]
+
+    def _change_shared_calls(self, name):
+        for resource in range(self.shared_resources):
+            calls, draw = self.shared_calls[name].get(resource, 0), self.rng.random()
+            if draw < 0.02:
+                self.shared_calls[name][resource] = calls + 1
+            elif draw < 0.04 and calls:
+                self.shared_calls[name][resource] = calls - 1
+
+    def send(self, name, sent):
+        message_bytes = len(pack(sent.message))
+        self.largest_message = max(self.largest_message, message_bytes)
+        for destination in sent.destinations:
+            self.messages_sent[name] += 1
+            self.bytes_sent[name] += message_bytes + 28
+            for _ in range(1 + (self.rng.random() < self.duplication)):
+                if (name, destination) not in self.cuts and self.rng.random() > self.loss:
+                    self.at(
+                        (1 + 20 * self.rng.random() ** 4) * MS,
+                        lambda destination=destination: self.deliver(destination, sent.message),
+                    )
+
+    def deliver(self, destination, message):
+        if destination in self.frozen:
+            queue = self.queue.setdefault(destination, [])
+            if len(queue) < 200:
+                queue.append(message)
+        elif destination in self.nodes and destination not in self.off:
+            node = self.nodes[destination]
+            node.on_message(self.now, message)
+            self.schedule_flush(destination, node)
+
+    def schedule_flush(self, name, node):
+        """Schedules the sending of long prompts before the next tick."""
+        delay = node.flush_delay(self.now)
+        if delay is not None and name not in self.flush_timers:
+            self.flush_timers.add(name)
+            self.at(delay, lambda: self.flush(name, node))
+
+    def flush(self, name, node):
+        self.flush_timers.discard(name)
+        if name not in self.off and name not in self.frozen and self.nodes[name] is node:
+            for message in node.due_messages(self.now):
+                self.send(name, message)
+            self.schedule_flush(name, node)
+
+    def run(self, duration, check=None, every=100 * MS):
+        """Advances the time, with a call of ``check`` in each interval ``every``."""
+        end = self.now + duration
         while check and self.now + every <= end:
             self.run_for(every)
             check()
         self.run_for(end - self.now)
 
     def running(self):
-        return [k for k in self.names if k not in self.off and k not in self.frozen]
-
-    def private(self, k):
-        """What a node counts of each life's own call: {life: calls}."""
-        return {r: v[0] for r, v in (self.nodes[k].peers_in_flight(self.now) or {}).items() if r < SHARED and v[0]}
-
-    def missing(self, k, of=None):
-        have = self.private(k)
-        return {o for o in (of or self.names) if o != k and o not in self.off and self.nodes[o].instance_id not in have}
-
-    def error(self, k, shared):
+        return [name for name in self.names if name not in self.off and name not in self.frozen]
+
+    def own_call_counts(self, name):
+        """A node's count of each other instance's own call, by instance id."""
+        return {
+            resource: load[0]
+            for resource, load in (self.nodes[name].peers_in_flight(self.now) or {}).items()
+            if resource < FIRST_SHARED_RESOURCE and load[0]
+        }
+
+    def missing(self, name, of=None):
+        counts = self.own_call_counts(name)
+        return {
+            other
+            for other in (of or self.names)
+            if other != name and other not in self.off and self.nodes[other].instance_id not in counts
+        }
+
+    def error(self, name, resources):
         """The mean absolute error of a node's counts at the shared resources."""
-        got = self.nodes[k].peers_in_flight(self.now) or {}
+        in_flight = self.nodes[name].peers_in_flight(self.now) or {}
         return (
             sum(
-                abs(got.get(SHARED + r, (0,))[0] - sum(self.held[o].get(r, 0) for o in self.names if o != k))
-                for r in range(shared)
+                abs(
+                    in_flight.get(FIRST_SHARED_RESOURCE + resource, (0,))[0]
+                    - sum(self.shared_calls[other].get(resource, 0) for other in self.names if other != name)
+                )
+                for resource in range(resources)
             )
-            / shared
+            / resources
         )
