--- a/tests/relay/test_upstream.py
+++ b/tests/relay/test_upstream.py
@@ -1,7 +1,8 @@
-"""The tier of relays: its plan, whom a router follows, and storms with 80 routers in one process.
+"""The relay tier: its plan, the choice of the upstream node, and random faults with up to 84 routers in one process.
 
-Timelines have a column per node: ``relay`` and ``second`` (two relays of one zone), ``mate`` (a
-follower of the first), ``core`` (all controllers), ``all``. Times in ms after the tier has stood.
+The timelines are tables with the time in ms since the tier is stable, and a column for each node: ``relay`` and
+``second`` are two relays of one zone, ``mate`` is a follower of the first one, ``core`` stands for all controllers
+and ``all`` for all routers.
 """
 
 import random
@@ -12,7 +13,7 @@
 from sparloom.relay import LeaveReason, RelayTier, Upstream, UpstreamTiming, plan_tier
 from tests.support.relay_network import CONTACT, MS, Net
 
-THIRD = CONTACT / 3
+ONE_THIRD_CONTACT = CONTACT / 3
 MARGIN = 120 * MS
 
 
@@ -23,224 +24,247 @@
 class Plan(unittest.TestCase):
     def test_small_fleets_have_no_tier(self):
         for sizes in ((1,), (2, 2, 1, 1), (4, 2, 2), (3, 3, 3)):
-            for me, zone in (all := members(*sizes)):
-                self.assertEqual(plan_tier(me, zone, [m for m in all if m[0] != me]), RelayTier())
+            for me, zone in (routers := members(*sizes)):
+                self.assertEqual(plan_tier(me, zone, [router for router in routers if router[0] != me]), RelayTier())
 
-    def test_all_with_the_same_members_name_the_same_relays(self):
+    def test_routers_with_the_same_membership_choose_the_same_relays(self):
         for sizes in ((17, 15, 13, 14, 14), (21, 21, 21), (40, 1, 39), (4, 4, 4, 4, 4)):
-            all = members(*sizes)
+            routers = members(*sizes)
             tiers = {
-                me: plan_tier(me, zone, random.sample([m for m in all if m[0] != me], len(all) - 1)) for me, zone in all
+                me: plan_tier(
+                    me, zone, random.sample([router for router in routers if router[0] != me], len(routers) - 1)
+                )
+                for me, zone in routers
             }
-            self.assertEqual(len({t.relays for t in tiers.values()}), 1)
+            self.assertEqual(len({tier.relays for tier in tiers.values()}), 1)
             relays = next(iter(tiers.values())).relays
-            self.assertEqual({z for m, z in all if m in relays}, {z for _, z in all})
-            for me, zone in all:
-                t = tiers[me]
-                self.assertEqual((t.is_relay, set(t.parents)), (me in relays, set(relays) - {me}))
-                self.assertEqual({dict(all)[p] for p in t.parents[: t.local_parents]} - {zone}, set())
-            self.assertLessEqual(2 * (len(relays) + len(all) / len(relays)), len(all) + 1)
-
-    def test_one_that_comes_or_goes_changes_few_relays(self):
-        for n in range(50, 110):
-            one, more = (
-                set(plan_tier("z0-0", "z0", members(*(n // 5 + (i < n % 5) for i in range(5)))[1:]).relays)
-                for n in (n, n + 1)
+            self.assertEqual({zone for key, zone in routers if key in relays}, {zone for _, zone in routers})
+            for me, zone in routers:
+                tier = tiers[me]
+                self.assertEqual((tier.is_relay, set(tier.parents)), (me in relays, set(relays) - {me}))
+                self.assertEqual({dict(routers)[key] for key in tier.parents[: tier.local_parents]} - {zone}, set())
+            self.assertLessEqual(2 * (len(relays) + len(routers) / len(relays)), len(routers) + 1)
+
+    def test_a_router_that_joins_or_leaves_changes_few_relays(self):
+        for size in range(50, 110):
+            smaller, larger = (
+                set(plan_tier("z0-0", "z0", members(*(size // 5 + (i < size % 5) for i in range(5)))[1:]).relays)
+                for size in (size, size + 1)
             )
-            self.assertLessEqual(len(one ^ more), 6 if int(n**0.5) ** 2 == n else 2)
+            self.assertLessEqual(len(smaller ^ larger), 6 if int(size**0.5) ** 2 == size else 2)
 
-    def test_the_followers_of_a_lost_relay_spread(self):
-        all = members(20, 20, 20, 20)
-        relays = plan_tier("z0-0", "z0", all[1:]).relays
+    def test_the_followers_of_a_lost_relay_spread_over_other_relays(self):
+        routers = members(20, 20, 20, 20)
+        relays = plan_tier("z0-0", "z0", routers[1:]).relays
         lost = relays[0]
-        seconds = [
-            next(p for p in plan_tier(m, z, [o for o in all if o[0] != m]).parents if p != lost)
-            for m, z in all
-            if m not in relays
+        alternatives = [
+            next(
+                key
+                for key in plan_tier(me, zone, [router for router in routers if router[0] != me]).parents
+                if key != lost
+            )
+            for me, zone in routers
+            if me not in relays
         ]
-        self.assertLessEqual(max(map(seconds.count, set(seconds))), 0.35 * len(seconds))
-
-
-class Steps(unittest.TestCase):
-    def test_steps_are_kept_only_while_they_are_smaller_than_the_whole(self):
-        s = VersionedStore()
-        s.put(CONFIGURATION, (1, 1), b"w" * 100)
-        for n in range(2, 30):
-            s.put(CONFIGURATION, (1, n), b"w" * 100, b"s" * 30)
-            self.assertLessEqual(sum(len(c.payload) for c in s.changes_after({CONFIGURATION: (1, max(1, n - 3))})), 100)
-        self.assertEqual([c.base for c in s.changes_after({CONFIGURATION: (1, 20)})], [(0, 0)])
-
-    def test_a_whole_state_is_made_only_when_asked_for(self):
-        s, made = VersionedStore(), []
-        s.put(CONFIGURATION, (1, 1), b"w" * 100)
-        s.put(CONFIGURATION, (1, 2), lambda: made.append(1) or b"x" * 100, b"s")
-        self.assertEqual([c.payload for c in s.changes_after({CONFIGURATION: (1, 1)})], [b"s"])
-        self.assertEqual(made, [])
-        self.assertEqual([c.payload for c in s.changes_after({}) + s.changes_after({})], [b"x" * 100] * 2)
-        self.assertEqual(made, [1])
-
-
-class Sureness(unittest.TestCase):
-    def test_delay_on_the_way_adds_to_the_age(self):
-        t = SourceTracker(THIRD, THIRD)
-        t.start(0 * MS)
-        for now, sent, age in ((400, 5000, 10), (800, 5400, 10), (1900, 5800, 710), (2900, 6200, 1310)):
-            t.on_heartbeat(now * MS, 10, sent)
-            self.assertEqual(t.reported_age, age * MS)
-        self.assertFalse(t.should_move(2900 * MS))
-        self.assertTrue(t.should_move(2950 * MS))
-
-    def test_what_was_known_is_passed_on_between_two_controllers(self):
-        t = SourceTracker(THIRD, THIRD)
-        t.start(0 * MS)
-        t.on_heartbeat(100 * MS, 40)
-        t.start(500 * MS)
-        self.assertEqual((t.confirmation_age(600 * MS), t.last_confirmed_age(600 * MS)), (None, 540 * MS))
-
-
-class Choosing(unittest.TestCase):
-    def router(self, relay=False):
-        u = Upstream("me", UpstreamTiming.from_contact_bound(CONTACT), random.Random(1))
-        u.update_tier(0 * MS, RelayTier(("a", "b", "x"), ("a", "b", "x"), relay, 2))
-        return u
-
-    def test_at_the_start_it_follows_a_controller_at_once_and_moves_later(self):
-        u = self.router()
-        self.assertEqual(u.choose(0 * MS, ("c", "d")), "c")
-        u.on_connecting(0 * MS, "c")
+        self.assertLessEqual(max(map(alternatives.count, set(alternatives))), 0.35 * len(alternatives))
+
+
+class Deltas(unittest.TestCase):
+    def test_deltas_are_retained_only_while_they_are_smaller_than_the_snapshot(self):
+        store = VersionedStore()
+        store.put(CONFIGURATION, (1, 1), b"w" * 100)
+        for number in range(2, 30):
+            store.put(CONFIGURATION, (1, number), b"w" * 100, b"s" * 30)
+            self.assertLessEqual(
+                sum(len(change.payload) for change in store.changes_after({CONFIGURATION: (1, max(1, number - 3))})),
+                100,
+            )
+        self.assertEqual([change.base for change in store.changes_after({CONFIGURATION: (1, 20)})], [(0, 0)])
+
+    def test_a_snapshot_is_encoded_only_when_it_is_needed(self):
+        store, encoded = VersionedStore(), []
+        store.put(CONFIGURATION, (1, 1), b"w" * 100)
+        store.put(CONFIGURATION, (1, 2), lambda: encoded.append(1) or b"x" * 100, b"s")
+        self.assertEqual([change.payload for change in store.changes_after({CONFIGURATION: (1, 1)})], [b"s"])
+        self.assertEqual(encoded, [])
+        self.assertEqual(
+            [change.payload for change in store.changes_after({}) + store.changes_after({})], [b"x" * 100] * 2
+        )
+        self.assertEqual(encoded, [1])
+
+
+class ConfirmationAge(unittest.TestCase):
+    def test_network_delay_adds_to_the_age(self):
+        tracker = SourceTracker(ONE_THIRD_CONTACT, ONE_THIRD_CONTACT)
+        tracker.start(0 * MS)
+        for now, sent_at, age in ((400, 5000, 10), (800, 5400, 10), (1900, 5800, 710), (2900, 6200, 1310)):
+            tracker.on_heartbeat(now * MS, 10, sent_at)
+            self.assertEqual(tracker.reported_age, age * MS)
+        self.assertFalse(tracker.should_move(2900 * MS))
+        self.assertTrue(tracker.should_move(2950 * MS))
+
+    def test_the_last_confirmation_is_retained_after_a_change_of_source(self):
+        tracker = SourceTracker(ONE_THIRD_CONTACT, ONE_THIRD_CONTACT)
+        tracker.start(0 * MS)
+        tracker.on_heartbeat(100 * MS, 40)
+        tracker.start(500 * MS)
+        self.assertEqual((tracker.confirmation_age(600 * MS), tracker.last_confirmed_age(600 * MS)), (None, 540 * MS))
+
+
+class UpstreamChoice(unittest.TestCase):
+    def upstream(self, relay=False):
+        upstream = Upstream("me", UpstreamTiming.from_contact_bound(CONTACT), random.Random(1))
+        upstream.update_tier(0 * MS, RelayTier(("a", "b", "x"), ("a", "b", "x"), relay, 2))
+        return upstream
+
+    def test_at_startup_a_router_follows_a_controller_first_and_a_relay_later(self):
+        upstream = self.upstream()
+        self.assertEqual(upstream.choose(0 * MS, ("c", "d")), "c")
+        upstream.on_connecting(0 * MS, "c")
         for ms in range(0, int(CONTACT / MS), 400):
-            u.on_heartbeat(ms * MS, 10)
-            self.assertIsNone(u.leave_reason(ms * MS))
-        u.on_heartbeat(2 * CONTACT, 10)
-        self.assertIsNotNone(u.leave_reason(2 * CONTACT))
-        self.assertEqual(u.choose(2 * CONTACT, ("c", "d")), "a")
-
-    def test_a_relay_stays_with_controllers(self):
-        u = self.router(relay=True)
-        u.on_connecting(0 * MS, "c")
+            upstream.on_heartbeat(ms * MS, 10)
+            self.assertIsNone(upstream.leave_reason(ms * MS))
+        upstream.on_heartbeat(2 * CONTACT, 10)
+        self.assertIsNotNone(upstream.leave_reason(2 * CONTACT))
+        self.assertEqual(upstream.choose(2 * CONTACT, ("c", "d")), "a")
+
+    def test_a_relay_keeps_following_a_controller(self):
+        upstream = self.upstream(relay=True)
+        upstream.on_connecting(0 * MS, "c")
         for ms in range(0, 60000, 400):
-            u.on_heartbeat(ms * MS, 10)
-            self.assertIsNone(u.leave_reason(ms * MS))
-        self.assertTrue(u.can_serve())
-
-    def test_stale_relays_are_left_but_not_for_controllers(self):
-        u, now, seen = self.router(), 3 * CONTACT, []
-        u.on_connecting(now, u.choose(now, ("c",)))
-        u.on_heartbeat(now, 10)
+            upstream.on_heartbeat(ms * MS, 10)
+            self.assertIsNone(upstream.leave_reason(ms * MS))
+        self.assertTrue(upstream.can_serve())
+
+    def test_a_stale_relay_is_left_for_another_relay_and_not_for_a_controller(self):
+        upstream, now, left = self.upstream(), 3 * CONTACT, []
+        upstream.on_connecting(now, upstream.choose(now, ("c",)))
+        upstream.on_heartbeat(now, 10)
         for _ in range(4):
-            while (why := u.leave_reason(now)) is None:
+            while (reason := upstream.leave_reason(now)) is None:
                 now += 100 * MS
-                u.on_heartbeat(now, 5000)
-            seen.append((u.parent, why))
-            u.on_disconnected(now, why)
-            u.on_connecting(now, u.choose(now, ("c",)))
-            u.on_heartbeat(now, 5000)
-        self.assertEqual([p for p, _ in seen], ["a", "b", "x", "a"])
-        self.assertEqual({w for _, w in seen}, {LeaveReason.STALE})
-
-    def test_when_no_relay_answers_it_goes_to_a_controller_within_a_moment(self):
-        u, now = self.router(), 3 * CONTACT
-        u.on_connecting(now, "a")
-        u.on_heartbeat(now, 10)
-        now += THIRD
-        lost = now
-        u.on_disconnected(now, u.leave_reason(now))
-        while (to := u.choose(now, ("c",))) != "c":
-            u.on_connecting(now, to)
-            now += u.timing.dial
-            u.on_disconnected(now, "gone")
-        self.assertLessEqual(now - lost, CONTACT / 4 + MARGIN)
-
-    def test_a_relay_that_is_one_no_more_is_left_gently(self):
-        u = self.router()
-        u.on_connecting(2 * CONTACT, "a")
-        u.update_tier(2 * CONTACT, RelayTier(("b", "x", "y"), ("b", "x", "y"), False, 1))
-        left = next(
+                upstream.on_heartbeat(now, 5000)
+            left.append((upstream.parent, reason))
+            upstream.on_disconnected(now, reason)
+            upstream.on_connecting(now, upstream.choose(now, ("c",)))
+            upstream.on_heartbeat(now, 5000)
+        self.assertEqual([parent for parent, _ in left], ["a", "b", "x", "a"])
+        self.assertEqual({reason for _, reason in left}, {LeaveReason.STALE})
+
+    def test_a_router_falls_back_to_a_controller_soon_when_no_relay_answers(self):
+        upstream, now = self.upstream(), 3 * CONTACT
+        upstream.on_connecting(now, "a")
+        upstream.on_heartbeat(now, 10)
+        now += ONE_THIRD_CONTACT
+        lost_at = now
+        upstream.on_disconnected(now, upstream.leave_reason(now))
+        while (target := upstream.choose(now, ("c",))) != "c":
+            upstream.on_connecting(now, target)
+            now += upstream.timing.dial
+            upstream.on_disconnected(now, "gone")
+        self.assertLessEqual(now - lost_at, CONTACT / 4 + MARGIN)
+
+    def test_a_router_leaves_a_former_relay_after_a_delay(self):
+        upstream = self.upstream()
+        upstream.on_connecting(2 * CONTACT, "a")
+        upstream.update_tier(2 * CONTACT, RelayTier(("b", "x", "y"), ("b", "x", "y"), False, 1))
+        left_after_ms = next(
             ms
             for ms in range(0, 30000, 100)
-            if u.on_heartbeat(2 * CONTACT + ms * MS, 10) or u.leave_reason(2 * CONTACT + ms * MS)
+            if upstream.on_heartbeat(2 * CONTACT + ms * MS, 10) or upstream.leave_reason(2 * CONTACT + ms * MS)
         )
-        self.assertTrue(CONTACT <= left * MS <= 2 * CONTACT)
+        self.assertTrue(CONTACT <= left_after_ms * MS <= 2 * CONTACT)
 
 
 class Timelines(unittest.TestCase):
-    """``moved``: follows one that was not hurt; ``others``: all not hurt are current. ``calm``: no more controller connections than relays and one in eight."""
+    """Plays faults and checks expectations at fixed times.
+
+    ``moved``: the router follows a source without a fault; ``current``: the column's nodes have the newest version;
+    ``others``: all routers without a fault have it; ``calm``: the number of connections to controllers has not exceeded
+    the number of relays plus one eighth of the routers; ``groups``: it is at most the number of relays plus three.
+    """
 
     def play(self, text, seeds=(0,), routers=30):
-        head, lines = rows(text)
+        columns, timeline = rows(text)
         for seed in seeds:
             net = Net(routers, zones=3, seed=seed)
             net.write()
             net.run(12500)
-            by = net.relays()
-            one = next(r for r in by if sum(net.nodes[o].zone == net.nodes[r].zone for o in by) > 1)
-            two = next(r for r in by if r != one and net.nodes[r].zone == net.nodes[one].zone)
-            mate = min(p.f for p in net.nodes[one].served)
-            who = {
-                "relay": [one],
-                "second": [two],
+            relays = net.relays()
+            relay = next(
+                key for key in relays if sum(net.nodes[other].zone == net.nodes[key].zone for other in relays) > 1
+            )
+            second = next(key for key in relays if key != relay and net.nodes[key].zone == net.nodes[relay].zone)
+            mate = min(connection.follower for connection in net.nodes[relay].followers)
+            targets = {
+                "relay": [relay],
+                "second": [second],
                 "mate": [mate],
-                "core": [c for c in net.nodes if c[0] == "c"],
+                "core": [name for name in net.nodes if name[0] == "c"],
                 "all": list(net.routers),
             }
-            self.limit = len(by) + routers // 8
-            net.most, began, self.hurt = 0, net.now, set()
-            for ms, cells in lines:
-                while net.now - began < ms * MS:
-                    net.run(min(50, ms - (net.now - began) / MS))
-                    self.assertEqual(net.deep(), [], "no loops")
-                for col, cell in zip(head, cells, strict=False):
-                    for word in cell.split("+"):
-                        if word not in (".", "|"):
-                            self.do(net, who, col, word, f"seed {seed}, {ms} ms, {col}: {word}")
-
-    def do(self, net, who, col, word, at):
-        nodes = [net.nodes[n] for n in who[col]]
-        if word in ("cut", "cut-in", "cut-out", "off-core", "kill", "dark", "freeze", "slow"):
-            self.hurt |= set(who[col])
-        cut = {"cut": "both", "cut-in": "in", "cut-out": "out"}
-        if word in cut:
-            for n in nodes:
-                net.cut(n.name, way=cut[word])
-        elif word == "off-core":
-            for n in nodes:
-                net.cut(n.name, who["core"])
-        elif word in ("kill", "dark"):
-            for n in nodes:
-                net.kill(n.name, dark=word == "dark")
-        elif word == "boot":
-            for n in nodes:
-                net.boot(n.name)
-        elif word in ("freeze", "slow"):
-            for n in nodes:
-                net.ail(n.name, word == "freeze", 2500 * (word == "slow"))
-        elif word == "heal":
+            self.connection_limit = len(relays) + routers // 8
+            net.maximum_direct, started_at, self.faulty = 0, net.now, set()
+            for ms, cells in timeline:
+                while net.now - started_at < ms * MS:
+                    net.run(min(50, ms - (net.now - started_at) / MS))
+                    self.assertEqual(net.nested_relays(), [], "no loops")
+                for column, cell in zip(columns, cells, strict=False):
+                    for action in cell.split("+"):
+                        if action not in (".", "|"):
+                            self.perform(net, targets, column, action, f"seed {seed}, {ms} ms, {column}: {action}")
+
+    def perform(self, net, targets, column, action, context):
+        nodes = [net.nodes[name] for name in targets[column]]
+        if action in ("cut", "cut-in", "cut-out", "off-core", "kill", "dark", "freeze", "slow"):
+            self.faulty |= set(targets[column])
+        directions = {"cut": "both", "cut-in": "in", "cut-out": "out"}
+        if action in directions:
+            for node in nodes:
+                net.cut(node.name, way=directions[action])
+        elif action == "off-core":
+            for node in nodes:
+                net.cut(node.name, targets["core"])
+        elif action in ("kill", "dark"):
+            for node in nodes:
+                net.kill(node.name, unreachable=action == "dark")
+        elif action == "boot":
+            for node in nodes:
+                net.boot(node.name)
+        elif action in ("freeze", "slow"):
+            for node in nodes:
+                net.degrade(node.name, action == "freeze", 2500 * (action == "slow"))
+        elif action == "heal":
             net.heal()
-        elif word == "write":
+        elif action == "write":
             net.write()
-        elif word == "moved":
-            n = nodes[0]
-            self.assertIsNotNone(n.pipe, at)
-            self.assertNotIn(n.pipe.s, self.hurt, at)
-        elif word == "current":
-            self.assertEqual(net.behind(but=[] if col == "all" else set(net.routers) - set(who[col])), [], at)
-        elif word == "others":
-            self.assertEqual(net.behind(but=self.hurt), [], at)
-        elif word == "calm":
-            self.assertLessEqual(net.most, self.limit, at)
-        elif word == "groups":
-            self.assertLessEqual(net.direct(), len(net.relays()) + 3, at)
+        elif action == "moved":
+            node = nodes[0]
+            self.assertIsNotNone(node.connection, context)
+            self.assertNotIn(node.connection.source, self.faulty, context)
+        elif action == "current":
+            self.assertEqual(
+                net.outdated_routers(excluded=[] if column == "all" else set(net.routers) - set(targets[column])),
+                [],
+                context,
+            )
+        elif action == "others":
+            self.assertEqual(net.outdated_routers(excluded=self.faulty), [], context)
+        elif action == "calm":
+            self.assertLessEqual(net.maximum_direct, self.connection_limit, context)
+        elif action == "groups":
+            self.assertLessEqual(net.direct_connections(), len(net.relays()) + 3, context)
         else:
-            raise ValueError(word)
+            raise ValueError(action)
 
-    def test_quiet(self):
+    def test_without_faults_all_routers_are_current(self):
         self.play("""
             ms    all
             0     groups+write
             600   current+calm
         """)
 
-    def test_a_relay_is_gone_without_a_word(self):
+    def test_a_relay_fails_without_closing_its_connections(self):
         self.play("""
             ms    relay  mate     all
             0     dark   .        write
@@ -250,7 +274,7 @@
             24000 .      .        current+calm+groups
         """)
 
-    def test_a_relay_ends(self):
+    def test_a_relay_shuts_down(self):
         self.play("""
             ms    relay  mate     all
             0     kill   .        write
@@ -267,14 +291,14 @@
             4500  .      .        current+calm
         """)
 
-    def test_a_relay_is_slow(self):
+    def test_a_relay_sends_with_a_long_delay(self):
         self.play("""
             ms    relay  mate     all
             0     slow   .        write
             1700  .      moved    others+calm
         """)
 
-    def test_a_relay_talks_but_is_cut_from_the_core(self):
+    def test_a_relay_is_partitioned_from_the_controllers_only(self):
         self.play("""
             ms    relay     mate     all
             0     off-core  .        .
@@ -282,7 +306,7 @@
             1450  .         moved    others+calm
         """)
 
-    def test_a_relay_is_cut_each_way(self):
+    def test_a_relay_is_partitioned_in_one_or_both_directions(self):
         for way in ("cut", "cut-out"):
             self.play(f"""
                 ms    relay  mate     all
@@ -297,7 +321,7 @@
             3100  .       .        others+calm
         """)
 
-    def test_two_relays_of_a_zone_are_gone(self):
+    def test_two_relays_of_a_zone_fail(self):
         self.play("""
             ms    relay  second  mate     all
             0     dark   dark    .        write
@@ -309,7 +333,7 @@
             1800  .         .         moved    others+calm
         """)
 
-    def test_everything_is_killed_and_comes_back(self):
+    def test_all_routers_restart(self):
         self.play("""
             ms    core  all
             0     .     kill
@@ -319,7 +343,7 @@
             16000 .     current+groups
         """)
 
-    def test_the_core_is_away_for_long(self):
+    def test_all_controllers_freeze(self):
         self.play("""
             ms     core    all
             0      freeze  .
@@ -330,70 +354,70 @@
         """)
 
 
-class Storms(unittest.TestCase):
-    def faults(self, net, rng):
-        """Some seconds of trouble, each with relays in its hand."""
+class RandomFaults(unittest.TestCase):
+    def inject_faults(self, net, rng):
+        """Injects twelve random faults, each of which affects at least one relay."""
         relays = net.relays() or net.routers[:2]
         for _ in range(12):
             kind = rng.choice(
                 ("kill", "dark", "freeze", "slow", "cut", "cut-in", "cut-out", "off-core", "boot", "heal", "release")
             )
-            some = rng.sample(relays, min(len(relays), rng.choice((1, 1, 2)))) + rng.sample(
+            affected = rng.sample(relays, min(len(relays), rng.choice((1, 1, 2)))) + rng.sample(
                 net.routers, rng.choice((0, 0, 3, 20))
             )
-            for r in some:
-                n = net.nodes[r]
-                if kind in ("kill", "dark") and n.on:
-                    net.kill(r, dark=kind == "dark")
-                elif kind == "boot" and not n.on:
-                    net.boot(r)
+            for router in affected:
+                node = net.nodes[router]
+                if kind in ("kill", "dark") and node.is_running:
+                    net.kill(router, unreachable=kind == "dark")
+                elif kind == "boot" and not node.is_running:
+                    net.boot(router)
                 elif kind in ("freeze", "slow"):
-                    net.ail(r, kind == "freeze", 400 * (kind == "slow"))
+                    net.degrade(router, kind == "freeze", 400 * (kind == "slow"))
                 elif kind == "off-core":
-                    net.cut(r, [c for c in net.nodes if c[0] == "c"], rng.choice(("in", "out", "both")))
+                    net.cut(router, [name for name in net.nodes if name[0] == "c"], rng.choice(("in", "out", "both")))
                 elif kind.startswith("cut"):
-                    net.cut(r, way={"cut": "both", "cut-in": "in", "cut-out": "out"}[kind])
-                elif kind == "release" and n.on:
-                    net.kill(r)
+                    net.cut(router, way={"cut": "both", "cut-in": "in", "cut-out": "out"}[kind])
+                elif kind == "release" and node.is_running:
+                    net.kill(router)
                     net.run(150)
-                    net.boot(r)
+                    net.boot(router)
             if kind == "heal":
                 net.heal()
             if rng.random() < 0.6:
                 net.write()
             net.run(rng.choice((150, 600, 1500)))
-            self.assertEqual(net.deep(), [])
+            self.assertEqual(net.nested_relays(), [])
 
-    def test_storms(self):
+    def test_all_routers_are_current_after_random_faults(self):
         for seed, routers in ((1, 84), (28, 40)):
-            rng, net = random.Random(seed), Net(routers, seed=seed, loss=0.02, flicker=0.04)
+            rng, net = random.Random(seed), Net(routers, seed=seed, loss=0.02, flapping=0.04)
             net.write()
             net.run(10000)
-            self.faults(net, rng)
+            self.inject_faults(net, rng)
             net.heal()
             net.write()
             net.run(CONTACT / MS)
-            self.assertEqual(net.behind(), [], seed)
+            self.assertEqual(net.outdated_routers(), [], seed)
             net.run(4 * CONTACT / MS)
             net.write()
             net.run(300)
-            self.assertEqual(net.behind(), [], seed)
-            self.assertLessEqual(net.direct(), len(net.relays()) + routers // 8, seed)
+            self.assertEqual(net.outdated_routers(), [], seed)
+            self.assertLessEqual(net.direct_connections(), len(net.relays()) + routers // 8, seed)
 
-    def test_a_release_of_all_in_turn(self):
+    def test_a_rolling_restart_of_all_routers(self):
         net = Net(40, seed=5)
         net.write()
         net.run(12000)
-        worst = 0
-        for i, r in enumerate(net.routers):
-            net.kill(r)
+        maximum_connections = 0
+        for i, router in enumerate(net.routers):
+            net.kill(router)
             net.run(150)
-            net.boot(r)
+            net.boot(router)
             if i % 3 == 0:
                 net.write()
             net.run(350)
-            worst = max(worst, net.direct())
-            self.assertEqual((net.deep(), net.behind()), ([], []), r)
-        self.assertLess(worst, 32)
+            maximum_connections = max(maximum_connections, net.direct_connections())
+            self.assertEqual((net.nested_relays(), net.outdated_routers()), ([], []), router)
+        self.assertLess(maximum_connections, 32)
         net.run(4 * CONTACT / MS)
-        self.assertLessEqual(net.direct(), len(net.relays()) + 8)
+        self.assertLessEqual(net.direct_connections(), len(net.relays()) + 8)
--- a/tests/support/relay_network.py
+++ b/tests/support/relay_network.py
@@ -1,7 +1,8 @@
-"""A play-ground for the tier of relays: many routers in one process, in simulated time; seeded luck.
+"""A simulated network of controllers and routers for tests of the relay tier, in one process and in simulated time.
 
-Routers run the real plan, Upstream and Shelf. Links can be cut (each way), machines killed (with
-or without word), frozen, slowed. Membership is told with a lag of its own to each router.
+Routers run the real plan, ``Upstream`` and ``VersionedStore``. Links can be cut in each direction; nodes can be
+killed (with or without closing their connections), frozen and slowed down. Each router's membership table follows
+the real state with a random delay. Randomness is seeded.
 """
 
 import random
@@ -13,14 +14,22 @@
 CONTACT = 4000 * MS
 
 
-class Pipe:
-    """One follower's connection to the one that it follows."""
-
-    def __init__(self, f, s, place):
-        self.f, self.s, self.place, self.open, self.last, self.held, self.greeted = (
-            f,
-            s,
-            place,
+class Connection:
+    """A follower's connection to its source."""
+
+    def __init__(self, follower, source, versions):
+        (
+            self.follower,
+            self.source,
+            self.versions,
+            self.is_open,
+            self.last_delivery_at,
+            self.blocked_since,
+            self.is_accepted,
+        ) = (
+            follower,
+            source,
+            versions,
             True,
             0 * MS,
             None,
@@ -29,317 +38,380 @@
 
 
 class Node:
-    """A controller or a router; what it holds is a text that grows with each version."""
+    """A controller or a router; its configuration is a text that grows with each version."""
 
     def __init__(self, name, zone):
         self.name, self.zone = name, zone
-        self.on, self.frozen, self.slow, self.dark, self.life = False, False, 0, False, 0
-        self.served = {}
+        self.is_running, self.frozen, self.delay_ms, self.unreachable, self.instance = False, False, 0, False, 0
+        self.followers = {}
 
     def boot(self, net):
-        self.on, self.dark, self.frozen, self.life = True, False, False, self.life + 1
-        self.store, self.text, self.served, self.pipe, self.confirmed = VersionedStore(), "", {}, None, None
-        self.tier, self.seen, self.sees, self.late = RelayTier(), None, set(), {}
-        self.up = Upstream(self.name, UpstreamTiming.from_contact_bound(CONTACT), random.Random(net.rng.random()))
+        self.is_running, self.unreachable, self.frozen, self.instance = True, False, False, self.instance + 1
+        self.store, self.text, self.followers, self.connection, self.confirmed_at = VersionedStore(), "", {}, None, None
+        self.tier, self.planned_members, self.members, self.pending_changes = RelayTier(), None, set(), {}
+        self.upstream = Upstream(self.name, UpstreamTiming.from_contact_bound(CONTACT), random.Random(net.rng.random()))
         return self
 
     @property
-    def controller(self):
+    def is_controller(self):
         return self.name[0] == "c"
 
-    def open(self):
-        return self.controller or self.up.can_serve()
+    def can_serve(self):
+        return self.is_controller or self.upstream.can_serve()
 
-    def age(self, now):
-        known = (
-            (None if self.confirmed is None else now - self.confirmed)
-            if self.controller
-            else self.up.tracker.last_confirmed_age(now)
+    def confirmation_age_ms(self, now):
+        age = (
+            (None if self.confirmed_at is None else now - self.confirmed_at)
+            if self.is_controller
+            else self.upstream.tracker.last_confirmed_age(now)
         )
-        return UNCONFIRMED if known is None else int(known / MS)
+        return UNCONFIRMED if age is None else int(age / MS)
 
 
 class Net(Clock):
-    """Controllers c0.. and routers r0.., dealt over the zones in turn."""
+    """Controllers c0, c1, ... and routers r0, r1, ..., distributed over the zones in turn."""
 
-    def __init__(self, routers=80, controllers=5, zones=5, seed=1, loss=0.01, flicker=0.0):
+    def __init__(self, routers=80, controllers=5, zones=5, seed=1, loss=0.01, flapping=0.0):
         super().__init__()
         self.rng = random.Random(seed)
-        self.cuts, self.loss, self.flicker, self.version = set(), loss, flicker, 0
-        self.lone, self.led = (0, set()), 0 * MS
-        self.primary, self.most, self.written = "c0", 0, {}
+        self.cuts, self.loss, self.flapping, self.version = set(), loss, flapping, 0
+        self.isolated_cache, self.primary_confirmed_at = (0, set()), 0 * MS
+        self.primary, self.maximum_direct, self.texts = "c0", 0, {}
         names = [f"c{i}" for i in range(controllers)] + [f"r{i}" for i in range(routers)]
-        self.nodes = {n: Node(n, f"z{int(n[1:]) % zones}") for n in names}
-        self.routers = [n for n in names if n[0] == "r"]
-        for n in names:
-            self.boot(n)
-        self.at(0 * MS, self._core)
-
-    # -- links ------------------------------------------------------
-    def path(self, a, b):
-        return (a, b) not in self.cuts
-
-    def ail(self, n, frozen=False, slow=0):
-        """Freezes a machine, or slows it by ``slow`` ms for all that it sends."""
-        self.stirred, self.nodes[n].frozen, self.nodes[n].slow = self.now, frozen, slow
-
-    def cut(self, n, others=None, way="both"):
-        self.stirred = self.now
-        for o in others or self.nodes:
-            if o != n:
-                self.cuts |= {(n, o)} if way == "out" else {(o, n)} if way == "in" else {(n, o), (o, n)}
+        self.nodes = {name: Node(name, f"z{int(name[1:]) % zones}") for name in names}
+        self.routers = [name for name in names if name[0] == "r"]
+        for name in names:
+            self.boot(name)
+        self.at(0 * MS, self._run_controllers)
+
+    # -- faults ------------------------------------------------------
+    def can_send(self, sender, receiver):
+        return (sender, receiver) not in self.cuts
+
+    def degrade(self, name, frozen=False, delay_ms=0):
+        """Freezes a node, or delays all that it sends by ``delay_ms``."""
+        self.last_fault_at, self.nodes[name].frozen, self.nodes[name].delay_ms = self.now, frozen, delay_ms
+
+    def cut(self, name, others=None, way="both"):
+        self.last_fault_at = self.now
+        for other in others or self.nodes:
+            if other != name:
+                self.cuts |= (
+                    {(name, other)}
+                    if way == "out"
+                    else {(other, name)}
+                    if way == "in"
+                    else {(name, other), (other, name)}
+                )
 
     def heal(self):
         self.cuts.clear()
-        self.stirred = self.now
-        for n in self.nodes.values():
-            n.frozen, n.slow = False, 0
-            if not n.on:
-                self.boot(n.name)
+        self.last_fault_at = self.now
+        for node in self.nodes.values():
+            node.frozen, node.delay_ms = False, 0
+            if not node.is_running:
+                self.boot(node.name)
 
     def boot(self, name):
-        n = self.nodes[name].boot(self)
-        life, self.stirred = n.life, self.now
-        if not n.controller:
-            self.at(20 * self.rng.random() * MS, lambda: self._choose(n, life))
-            self.at(0 * MS, lambda: self._look(n, life))
-
-    def kill(self, name, dark=False):
-        n = self.nodes[name]
-        n.on, n.dark, self.stirred = False, dark, self.now
-        for p in list(n.served):
-            self._close(p, word=not dark)
-        if n.pipe:
-            n.pipe.open = False
-            self.nodes[n.pipe.s].served.pop(n.pipe, None)
-
-    # -- the core --------------------------------------------------------------
-    def _core(self):
-        c = [n for n in self.nodes.values() if n.controller]
-        head = self.nodes[self.primary]
-        near = [o for o in c if o.on and not o.frozen and self.path(o.name, head.name) and self.path(head.name, o.name)]
-        if head.on and not head.frozen and 2 * len(near) > len(c):
-            self.led = self.now
-            for o in near:
-                o.confirmed = self.now
-                if self.version and o.store.put(
+        node = self.nodes[name].boot(self)
+        instance, self.last_fault_at = node.instance, self.now
+        if not node.is_controller:
+            self.at(20 * self.rng.random() * MS, lambda: self._connect(node, instance))
+            self.at(0 * MS, lambda: self._update_membership(node, instance))
+
+    def kill(self, name, unreachable=False):
+        node = self.nodes[name]
+        node.is_running, node.unreachable, self.last_fault_at = False, unreachable, self.now
+        for connection in list(node.followers):
+            self._close(connection, notify=not unreachable)
+        if node.connection:
+            node.connection.is_open = False
+            self.nodes[node.connection.source].followers.pop(node.connection, None)
+
+    # -- controllers -----------------------------------------------------------
+    def _run_controllers(self):
+        controllers = [node for node in self.nodes.values() if node.is_controller]
+        primary = self.nodes[self.primary]
+        reachable = [
+            node
+            for node in controllers
+            if node.is_running
+            and not node.frozen
+            and self.can_send(node.name, primary.name)
+            and self.can_send(primary.name, node.name)
+        ]
+        if primary.is_running and not primary.frozen and 2 * len(reachable) > len(controllers):
+            self.primary_confirmed_at = self.now
+            for node in reachable:
+                node.confirmed_at = self.now
+                if self.version and node.store.put(
                     CONFIGURATION,
                     (1, self.version),
-                    self.written[self.version].encode(),
-                    self.written[self.version][-1:].encode(),
+                    self.texts[self.version].encode(),
+                    self.texts[self.version][-1:].encode(),
                 ):
-                    self._ring(o)
-        elif self.now - self.led > CONTACT * 0.4:
-            self.primary = next((o.name for o in c if o.on and not o.frozen and o is not head), self.primary)
+                    self._notify_followers(node)
+        elif self.now - self.primary_confirmed_at > CONTACT * 0.4:
+            self.primary = next(
+                (node.name for node in controllers if node.is_running and not node.frozen and node is not primary),
+                self.primary,
+            )
         if int(self.now / MS) % 400 == 0:
-            for o in near:
-                self._ring(o)
-        self.at(40 * MS, self._core)
+            for node in reachable:
+                self._notify_followers(node)
+        self.at(40 * MS, self._run_controllers)
 
     def write(self):
         self.version += 1
-        self.written[self.version] = self.written.get(self.version - 1, "") + chr(97 + self.version % 26)
+        self.texts[self.version] = self.texts.get(self.version - 1, "") + chr(97 + self.version % 26)
 
     # -- membership --------------------------------------------------------------
-    def _lone(self):
-        """Routers that are cut from most others; reckoned anew when the cuts have changed."""
-        if len(self.cuts) != self.lone[0]:
-            bad = {}
-            for a, b in {tuple(sorted(c)) for c in self.cuts if c[0][0] == c[1][0] == "r"}:
-                bad[a], bad[b] = bad.get(a, 0) + 1, bad.get(b, 0) + 1
-            self.lone = (len(self.cuts), {r for r, k in bad.items() if 2 * k > len(self.routers)})
-        return self.lone[1]
-
-    def _seen(self, v, u):
-        n = self.nodes[u]
-        if not n.on or n.frozen:
+    def _isolated_routers(self):
+        """Routers that are cut off from more than half of the routers; cached until the number of cuts changes."""
+        if len(self.cuts) != self.isolated_cache[0]:
+            cut_links = {}
+            for first, second in {tuple(sorted(cut)) for cut in self.cuts if cut[0][0] == cut[1][0] == "r"}:
+                cut_links[first], cut_links[second] = cut_links.get(first, 0) + 1, cut_links.get(second, 0) + 1
+            self.isolated_cache = (
+                len(self.cuts),
+                {router for router, links in cut_links.items() if 2 * links > len(self.routers)},
+            )
+        return self.isolated_cache[1]
+
+    def _is_visible(self, observer, name):
+        node = self.nodes[name]
+        if not node.is_running or node.frozen:
             return False
-        return not self.cuts or u not in (lone := self._lone()) and v not in lone or self.path(u, v) and self.path(v, u)
+        return (
+            not self.cuts
+            or name not in (isolated := self._isolated_routers())
+            and observer not in isolated
+            or self.can_send(name, observer)
+            and self.can_send(observer, name)
+        )
 
-    def _look(self, n, life):
-        """What this router believes: each change is believed after a lag of its own."""
-        if n.life != life or not n.on:
+    def _update_membership(self, node, instance):
+        """Updates a router's membership table; each change takes effect after its own random delay."""
+        if node.instance != instance or not node.is_running:
             return
-        if not n.frozen and (self.flicker or self.now - self.stirred < CONTACT):
-            for u in self.routers:
-                up, was = self._seen(n.name, u), u in n.sees
-                if up == was:
-                    n.late.pop(u, None)
-                elif self.now >= n.late.setdefault(u, self.now + (0.1 + 0.5 * self.rng.random()) * CONTACT):
-                    (n.sees.add if up else n.sees.discard)(u)
-            if self.rng.random() < self.flicker:
-                n.sees.discard(self.rng.choice(self.routers))
-            seen = frozenset(n.sees - {n.name})
-            if seen != n.seen:
-                n.seen, n.tier = seen, plan_tier(n.name, n.zone, [(u, self.nodes[u].zone) for u in seen])
-        if not n.frozen:
-            n.up.update_tier(self.now, n.tier)
-        self.at(250 * MS, lambda: self._look(n, life))
-
-    # -- following ----------------------------------------------------------------
-    def _choose(self, n, life):
-        if n.life != life or not n.on:
+        if not node.frozen and (self.flapping or self.now - self.last_fault_at < CONTACT):
+            for name in self.routers:
+                is_visible, is_member = self._is_visible(node.name, name), name in node.members
+                if is_visible == is_member:
+                    node.pending_changes.pop(name, None)
+                elif self.now >= node.pending_changes.setdefault(
+                    name, self.now + (0.1 + 0.5 * self.rng.random()) * CONTACT
+                ):
+                    (node.members.add if is_visible else node.members.discard)(name)
+            if self.rng.random() < self.flapping:
+                node.members.discard(self.rng.choice(self.routers))
+            members = frozenset(node.members - {node.name})
+            if members != node.planned_members:
+                node.planned_members, node.tier = (
+                    members,
+                    plan_tier(node.name, node.zone, [(name, self.nodes[name].zone) for name in members]),
+                )
+        if not node.frozen:
+            node.upstream.update_tier(self.now, node.tier)
+        self.at(250 * MS, lambda: self._update_membership(node, instance))
+
+    # -- connections --------------------------------------------------------------
+    def _connect(self, node, instance):
+        if node.instance != instance or not node.is_running:
             return None
-        if n.frozen:
-            return self.at(20 * MS, lambda: self._choose(n, life))
-        cs = [c for c in self.nodes if c[0] == "c"]
-        self.rng.shuffle(cs)
-        to = n.up.choose(self.now, cs)
-        n.up.on_connecting(self.now, to)
-        if not n.up.direct:
-            for p in list(n.served):
-                self._close(p)
-        s, hop = self.nodes[to], (2 + 2 * self.rng.random()) * MS
-        if not (self.path(n.name, to) and self.path(to, n.name)) or s.dark:
-            self.at(n.up.timing.dial, lambda: self._over(n, life, LeaveReason.GONE))
-        elif not s.on:
-            self.at(hop, lambda: self._over(n, life, LeaveReason.GONE))
+        if node.frozen:
+            return self.at(20 * MS, lambda: self._connect(node, instance))
+        controllers = [name for name in self.nodes if name[0] == "c"]
+        self.rng.shuffle(controllers)
+        target = node.upstream.choose(self.now, controllers)
+        node.upstream.on_connecting(self.now, target)
+        if not node.upstream.direct:
+            for connection in list(node.followers):
+                self._close(connection)
+        source, delay = self.nodes[target], (2 + 2 * self.rng.random()) * MS
+        if not (self.can_send(node.name, target) and self.can_send(target, node.name)) or source.unreachable:
+            self.at(node.upstream.timing.dial, lambda: self._on_disconnected(node, instance, LeaveReason.GONE))
+        elif not source.is_running:
+            self.at(delay, lambda: self._on_disconnected(node, instance, LeaveReason.GONE))
         else:
-            self.at(hop, lambda: self._join(n, life, s, s.life))
+            self.at(delay, lambda: self._on_connected(node, instance, source, source.instance))
         return None
 
-    def _join(self, n, life, s, slife):
-        if n.life != life or not n.on:
+    def _on_connected(self, node, instance, source, source_instance):
+        if node.instance != instance or not node.is_running:
             return None
-        if not s.on or s.life != slife:
-            return self._over(n, life, LeaveReason.GONE)
-        p = n.pipe = Pipe(n.name, s.name, {CONFIGURATION: n.store.version(CONFIGURATION)})
-        n.up.tracker.start(self.now)
-        s.served[p] = True
-        self.most = max(self.most, self.direct())
-        self._greet(p, s, s.life)
-        self._check(n, p)
+        if not source.is_running or source.instance != source_instance:
+            return self._on_disconnected(node, instance, LeaveReason.GONE)
+        connection = node.connection = Connection(
+            node.name, source.name, {CONFIGURATION: node.store.version(CONFIGURATION)}
+        )
+        node.upstream.tracker.start(self.now)
+        source.followers[connection] = True
+        self.maximum_direct = max(self.maximum_direct, self.direct_connections())
+        self._accept(connection, source, source.instance)
+        self._check_upstream(node, connection)
         return None
 
-    def _greet(self, p, s, life):
-        if s.on and s.life == life and p.open:
-            if s.frozen:
-                return self.at(20 * MS, lambda: self._greet(p, s, life))
-            if not s.open() or not s.controller and len(s.served) > s.up.follower_limit():
-                return self._close(p)
-            p.greeted = True
-            self._send(p, FeedHeartbeat(0, 0, s.age(self.now), self._clock(s)))
-            self._flush(p)
-            self._timer(p, s, life)
+    def _accept(self, connection, source, instance):
+        if source.is_running and source.instance == instance and connection.is_open:
+            if source.frozen:
+                return self.at(20 * MS, lambda: self._accept(connection, source, instance))
+            if (
+                not source.can_serve()
+                or not source.is_controller
+                and len(source.followers) > source.upstream.follower_limit()
+            ):
+                return self._close(connection)
+            connection.is_accepted = True
+            self._send(connection, FeedHeartbeat(0, 0, source.confirmation_age_ms(self.now), self._clock_ms(source)))
+            self._send_updates(connection)
+            self._send_periodically(connection, source, instance)
         return None
 
-    def _clock(self, s):
-        return int(self.now / MS) + 977 * (ord(s.name[0]) + int(s.name[1:])) % 5003 + 10000
+    def _clock_ms(self, source):
+        return int(self.now / MS) + 977 * (ord(source.name[0]) + int(source.name[1:])) % 5003 + 10000
 
-    def _timer(self, p, s, life):
-        if p.open and s.on and s.life == life:
-            if not s.frozen:
-                self._flush(p)
-            self.at(CONTACT * 0.15, lambda: self._timer(p, s, life))
+    def _send_periodically(self, connection, source, instance):
+        if connection.is_open and source.is_running and source.instance == instance:
+            if not source.frozen:
+                self._send_updates(connection)
+            self.at(CONTACT * 0.15, lambda: self._send_periodically(connection, source, instance))
 
-    def _ring(self, s):
-        for p in list(s.served):
-            self._flush(p)
+    def _notify_followers(self, source):
+        for connection in list(source.followers):
+            self._send_updates(connection)
 
-    def _flush(self, p):
-        s = self.nodes[p.s]
-        if s.frozen:
+    def _send_updates(self, connection):
+        source = self.nodes[connection.source]
+        if source.frozen:
             return None
-        if not s.open():
-            return self._close(p)
-        for c in s.store.changes_after(p.place):
-            p.place[c.topic] = c.version
-            self._send(p, c)
-        self._send(p, FeedHeartbeat(0, 0, s.age(self.now), self._clock(s)))
+        if not source.can_serve():
+            return self._close(connection)
+        for change in source.store.changes_after(connection.versions):
+            connection.versions[change.topic] = change.version
+            self._send(connection, change)
+        self._send(connection, FeedHeartbeat(0, 0, source.confirmation_age_ms(self.now), self._clock_ms(source)))
         return None
 
-    def _send(self, p, rec):
-        d = (1 + 2 * self.rng.random() + self.nodes[p.s].slow + 200 * (self.rng.random() < self.loss)) * MS
-        p.last = max(p.last, self.now + d)
-        self.at(p.last - self.now, lambda: self._arrive(p, rec))
+    def _send(self, connection, message):
+        delay = (
+            1 + 2 * self.rng.random() + self.nodes[connection.source].delay_ms + 200 * (self.rng.random() < self.loss)
+        ) * MS
+        connection.last_delivery_at = max(connection.last_delivery_at, self.now + delay)
+        self.at(connection.last_delivery_at - self.now, lambda: self._deliver(connection, message))
 
-    def _arrive(self, p, rec):
-        if not p.open:
+    def _deliver(self, connection, message):
+        if not connection.is_open:
             return None
-        n = self.nodes[p.f]
-        if not self.path(p.s, p.f) or not self.path(p.f, p.s) and p.held and self.now - p.held > 800 * MS:
-            p.held = p.held or self.now
-            if self.now - p.held < 2000 * MS:
-                p.last = max(p.last, self.now + 50 * MS)
-                return self.at(50 * MS, lambda: self._arrive(p, rec))
-            return self._close(p, word=False)
-        p.held = None if self.path(p.f, p.s) else p.held or self.now
-        if n.frozen:
-            p.last = max(p.last, self.now + 20 * MS)
-            return self.at(20 * MS, lambda: self._arrive(p, rec))
-        if isinstance(rec, Change):
-            n.up.on_change(self.now)
-            if not self._take(n, rec):
-                self._close(p, word=False)
-                return self._over(n, n.life, LeaveReason.GONE)
+        node = self.nodes[connection.follower]
+        if (
+            not self.can_send(connection.source, connection.follower)
+            or not self.can_send(connection.follower, connection.source)
+            and connection.blocked_since
+            and self.now - connection.blocked_since > 800 * MS
+        ):
+            connection.blocked_since = connection.blocked_since or self.now
+            if self.now - connection.blocked_since < 2000 * MS:
+                connection.last_delivery_at = max(connection.last_delivery_at, self.now + 50 * MS)
+                return self.at(50 * MS, lambda: self._deliver(connection, message))
+            return self._close(connection, notify=False)
+        connection.blocked_since = (
+            None if self.can_send(connection.follower, connection.source) else connection.blocked_since or self.now
+        )
+        if node.frozen:
+            connection.last_delivery_at = max(connection.last_delivery_at, self.now + 20 * MS)
+            return self.at(20 * MS, lambda: self._deliver(connection, message))
+        if isinstance(message, Change):
+            node.upstream.on_change(self.now)
+            if not self._apply(node, message):
+                self._close(connection, notify=False)
+                return self._on_disconnected(node, node.instance, LeaveReason.GONE)
         else:
-            n.up.on_heartbeat(self.now, rec.confirmation_age_ms, rec.sent_at_ms)
-        self._ring(n)
-        self._check(n, p)
+            node.upstream.on_heartbeat(self.now, message.confirmation_age_ms, message.sent_at_ms)
+        self._notify_followers(node)
+        self._check_upstream(node, connection)
         return None
 
-    def _take(self, n, c):
-        """As the router's service does; never back a stamp, never a step on another base."""
-        have = n.store.version(CONFIGURATION)
-        if c.version <= have:
+    def _apply(self, node, change):
+        """Applies a change like the router does: never an older version, never a delta with another base."""
+        version = node.store.version(CONFIGURATION)
+        if change.version <= version:
             return True
-        if c.base != (0, 0) and c.base != have:
+        if change.base != (0, 0) and change.base != version:
             return False
-        n.text = n.text + c.payload.decode() if c.base != (0, 0) else c.payload.decode()
-        assert n.text == self.written[c.version[1]], (n.name, n.text, c.version)
-        n.store.put(CONFIGURATION, c.version, n.text.encode(), c.payload if c.base != (0, 0) else None)
+        node.text = node.text + change.payload.decode() if change.base != (0, 0) else change.payload.decode()
+        assert node.text == self.texts[change.version[1]], (node.name, node.text, change.version)
+        node.store.put(
+            CONFIGURATION, change.version, node.text.encode(), change.payload if change.base != (0, 0) else None
+        )
         return True
 
-    def _check(self, n, p):
-        if not p.open or n.pipe is not p or not n.on:
+    def _check_upstream(self, node, connection):
+        if not connection.is_open or node.connection is not connection or not node.is_running:
             return None
-        if n.frozen:
-            return self.at(20 * MS, lambda: self._check(n, p))
-        why = n.up.leave_reason(self.now)
-        if why is None:
-            return self.at(n.up.next_check_delay(self.now), lambda: self._check(n, p))
-        p.open = False
-        self.nodes[p.s].served.pop(p, None)
-        self._over(n, n.life, why)
+        if node.frozen:
+            return self.at(20 * MS, lambda: self._check_upstream(node, connection))
+        reason = node.upstream.leave_reason(self.now)
+        if reason is None:
+            return self.at(node.upstream.next_check_delay(self.now), lambda: self._check_upstream(node, connection))
+        connection.is_open = False
+        self.nodes[connection.source].followers.pop(connection, None)
+        self._on_disconnected(node, node.instance, reason)
         return None
 
-    def _close(self, p, word=True):
-        """The server's end closes; the follower hears of it if word gets through."""
-        p_open, p.open = p.open, False
-        self.nodes[p.s].served.pop(p, None)
-        n = self.nodes[p.f]
-        if p_open and n.pipe is p:
-            life = n.life
-            wait = 2 * MS if word and self.path(p.s, p.f) else max(0 * MS, n.up.next_check_delay(self.now))
-            self.at(wait, lambda: self._over(n, life, LeaveReason.GONE) if n.pipe is p else None)
-
-    def _over(self, n, life, why):
-        if n.life != life or not n.on:
+    def _close(self, connection, notify=True):
+        """Closes the source's end; without a notice, the follower detects it by its timeout."""
+        was_open, connection.is_open = connection.is_open, False
+        self.nodes[connection.source].followers.pop(connection, None)
+        node = self.nodes[connection.follower]
+        if was_open and node.connection is connection:
+            instance = node.instance
+            delay = (
+                2 * MS
+                if notify and self.can_send(connection.source, connection.follower)
+                else max(0 * MS, node.upstream.next_check_delay(self.now))
+            )
+            self.at(
+                delay,
+                lambda: (
+                    self._on_disconnected(node, instance, LeaveReason.GONE) if node.connection is connection else None
+                ),
+            )
+
+    def _on_disconnected(self, node, instance, reason):
+        if node.instance != instance or not node.is_running:
             return
-        n.pipe = None
-        n.up.on_disconnected(self.now, why)
-        self.at((20 + 40 * self.rng.random()) * MS, lambda: self._choose(n, life))
+        node.connection = None
+        node.upstream.on_disconnected(self.now, reason)
+        self.at((20 + 40 * self.rng.random()) * MS, lambda: self._connect(node, instance))
 
-    # -- looks ---------------------------------------------------------------------
-    def direct(self):
-        """How many routers are connected to controllers."""
-        return sum(len(n.served) for n in self.nodes.values() if n.controller)
+    # -- queries --------------------------------------------------------------------
+    def direct_connections(self):
+        """The number of router connections to controllers."""
+        return sum(len(node.followers) for node in self.nodes.values() if node.is_controller)
 
-    def behind(self, but=()):
+    def outdated_routers(self, excluded=()):
         """Routers that lack the newest version."""
         return [
-            r
-            for r in self.routers
-            if self.nodes[r].on and r not in but and self.nodes[r].store.version(CONFIGURATION)[1] < self.version
+            router
+            for router in self.routers
+            if self.nodes[router].is_running
+            and router not in excluded
+            and self.nodes[router].store.version(CONFIGURATION)[1] < self.version
         ]
 
     def relays(self):
-        """Routers that serve followers, those with the most first."""
+        """Routers that serve followers, those with the most followers first."""
         return sorted(
-            (r for r in self.routers if self.nodes[r].on and any(p.greeted for p in self.nodes[r].served)),
-            key=lambda r: -len(self.nodes[r].served),
+            (
+                router
+                for router in self.routers
+                if self.nodes[router].is_running
+                and any(connection.is_accepted for connection in self.nodes[router].followers)
+            ),
+            key=lambda router: -len(self.nodes[router].followers),
         )
 
-    def deep(self):
-        """Routers that serve followers though they follow a router: there must be none."""
-        return [r for r in self.relays() if not self.nodes[r].up.direct]
+    def nested_relays(self):
+        """Routers that serve followers although they follow a router; there must be none."""
+        return [router for router in self.relays() if not self.nodes[router].upstream.direct]
