--- a/tests/feed/test_store.py
+++ b/tests/feed/test_store.py
@@ -1,4 +1,4 @@
-"""The feed's decisions: what a follower lacks, and when it changes its source."""
+"""The feed without I/O: the changes that a follower lacks, decoding of payloads, and the change of source."""
 
 import random
 import unittest
@@ -32,8 +32,8 @@
 
 
 class Store(unittest.TestCase):
-    def follow(self, follower, store):
-        """Applies what the follower lacks; each change must fit and lead on."""
+    def catch_up(self, follower, store):
+        """Applies the changes that the follower lacks; each must match its version and increase it."""
         for change in store.changes_after({CONFIGURATION: follower.version}):
             if change.base != NO_VERSION:
                 self.assertEqual(change.base, follower.version)
@@ -50,14 +50,14 @@
                 delta = text[-1].encode() if rng.random() < 0.8 else None
                 store.put(CONFIGURATION, (epoch, number), text.encode(), delta)
                 if rng.random() < 0.4:
-                    self.follow(follower, store)
+                    self.catch_up(follower, store)
                     self.assertEqual(follower.text, text)
 
-    def test_its_version_never_goes_back(self):
+    def test_an_older_version_is_not_stored(self):
         store = VersionedStore()
         self.assertTrue(store.put(CONFIGURATION, (2, 5), b"new"))
-        for old in ((1, 9), (2, 5), (2, 4)):
-            self.assertFalse(store.put(CONFIGURATION, old, b"old"))
+        for old_version in ((1, 9), (2, 5), (2, 4)):
+            self.assertFalse(store.put(CONFIGURATION, old_version, b"old"))
         self.assertEqual(store.items[CONFIGURATION].payload, b"new")
 
     def test_topics_are_independent(self):
@@ -67,7 +67,7 @@
         changes = store.changes_after({CONFIGURATION: (1, 1)})
         self.assertEqual([change.topic for change in changes], [ENDPOINTS])
 
-    def test_a_resync_asks_for_a_snapshot_of_that_topic_only(self):
+    def test_a_resync_requests_a_snapshot_of_that_topic_only(self):
         store = VersionedStore()
         for topic in TOPICS:
             store.put(topic, (1, 2), b"x")
@@ -76,13 +76,13 @@
 
 
 class Payloads(unittest.TestCase):
-    def test_a_change_that_does_not_fit_is_refused_with_the_reason(self):
+    def test_a_change_that_does_not_apply_is_rejected_with_the_reason(self):
         old = {"revision": 1, "routes": [], "services": []}
-        listed = encode_state(CONFIGURATION, [])
+        list_payload = encode_state(CONFIGURATION, [])
         for change, state, reason in (
-            (Change(CONFIGURATION, 1, 2, 0, 0, listed), None, "found list, expected a snapshot (dict)"),
-            (Change(CONFIGURATION, 1, 2, 1, 1, listed), old, "the patch does not apply to revision 1"),
-            (Change(CONFIGURATION, 1, 2, 1, 1, listed), None, "found a delta before the first snapshot"),
+            (Change(CONFIGURATION, 1, 2, 0, 0, list_payload), None, "found list, expected a snapshot (dict)"),
+            (Change(CONFIGURATION, 1, 2, 1, 1, list_payload), old, "the patch does not apply to revision 1"),
+            (Change(CONFIGURATION, 1, 2, 1, 1, list_payload), None, "found a delta before the first snapshot"),
             (Change(CONFIGURATION, 1, 2, 0, 0, b"torn"), None, "incorrect header check"),
         ):
             with self.subTest(reason), self.assertRaises(PayloadError) as caught:
@@ -90,38 +90,38 @@
             self.assertIn(reason, str(caught.exception))
 
 
-class ChangeOfSource(unittest.TestCase):
-    def follow(self, story):
-        """Each line: seconds, what arrived, whether the follower then changes its source."""
+class SourceChange(unittest.TestCase):
+    def play(self, timeline):
+        """Plays a timeline; each line has the time in seconds, the message, and the follower's expected decision."""
         tracker = SourceTracker(SECOND, SECOND)
         tracker.start(0 * SECOND)
-        for line in story.strip().splitlines():
-            seconds, event, decision = line.split()
+        for row in timeline.strip().splitlines():
+            seconds, event, decision = row.split()
             now = float(seconds) * SECOND
             if event.startswith("heartbeat"):
                 age = event.removeprefix("heartbeat")
                 tracker.on_heartbeat(now, UNCONFIRMED if age == "?" else int(age))
             elif event == "change":
                 tracker.on_change(now)
-            self.assertEqual(tracker.should_move(now), decision == "moves", line)
+            self.assertEqual(tracker.should_move(now), decision == "moves", row)
 
-    def test_a_silent_source_is_left(self):
-        self.follow("""
+    def test_an_unresponsive_source_is_left(self):
+        self.play("""
             0.3  heartbeat10  stays
             1.2  .            stays
             1.4  .            moves
         """)
 
     def test_a_controller_partitioned_from_the_primary_is_left(self):
-        self.follow("""
+        self.play("""
             0.3  heartbeat100   stays
             0.9  heartbeat700   stays
             1.2  heartbeat1000  stays
             1.5  heartbeat1300  moves
         """)
 
-    def test_a_controller_that_knows_no_primary_is_given_time(self):
-        self.follow("""
+    def test_a_controller_without_a_primary_is_left_only_after_the_maximum_age(self):
+        self.play("""
             0.3  heartbeat?  stays
             0.9  heartbeat?  stays
             1.2  heartbeat?  moves
