--- a/sparloom/membership/swim.py
+++ b/sparloom/membership/swim.py
@@ -254,7 +254,7 @@
         return [*self._check_probes(), *self._expire_pending(), *self._probe_next()]
 
     def _extend_timeouts(self, gap: timedelta) -> None:
-        """Extends all time-outs by a pause of this process, during which it could not receive answers."""
+        """Extends all time-outs by the length of a pause of this process, which could not receive answers then."""
         for probe in self.probes:
             probe.sent_at += gap
         for entry in self.pending.values():
@@ -317,7 +317,7 @@
             rows.pop(key, None)
 
     def _probe_next(self) -> list[Send]:
-        """The probe of this period, and every ``RECONNECT_PERIODS`` probes of unreachable seeds or members."""
+        """The probe of this period; every ``RECONNECT_PERIODS``-th period also probes unreachable seeds and members."""
         if self.now < self.next_probe:
             return []
         self.next_probe = self.now + self.timing.period
--- a/sparloom/relay/plan.py
+++ b/sparloom/relay/plan.py
@@ -69,8 +69,8 @@
     return relays
 
 
-def plan_tier(me: str, zone: str, others: Collection[tuple[str, str]]) -> RelayTier:
-    """The tier from the view of router ``me``; ``others``: key and zone of each other router.
+def plan_tier(own_key: str, zone: str, others: Collection[tuple[str, str]]) -> RelayTier:
+    """The tier from the view of router ``own_key``; ``others``: key and zone of each other router.
 
     The group size is about the square root of the number of routers: a relay
     then has about as many followers as there are relays, and no node's messages
@@ -90,7 +90,7 @@
     (8, True, True)
     """
     zones: dict[str, list[str]] = {}
-    for router, router_zone in ((me, zone), *others):
+    for router, router_zone in ((own_key, zone), *others):
         zones.setdefault(router_zone, []).append(router)
     routers = 1 + len(others)
     by_zone = _relays_by_zone(zones, _group_size(routers))
@@ -99,5 +99,7 @@
     if routers - 1 < MINIMUM_GAIN * (ceil(routers / len(relays)) + len(relays)):
         return RelayTier()
     local = set(by_zone.get(zone, ()))
-    parents = sorted((key for key in relays if key != me), key=lambda key: (key not in local, -_weight(me, key)))
-    return RelayTier(relays, tuple(parents), me in relays, sum(key in local for key in parents))
+    parents = sorted(
+        (key for key in relays if key != own_key), key=lambda key: (key not in local, -_weight(own_key, key))
+    )
+    return RelayTier(relays, tuple(parents), own_key in relays, sum(key in local for key in parents))
--- a/sparloom/relay/upstream.py
+++ b/sparloom/relay/upstream.py
@@ -50,7 +50,7 @@
     A relay detects a fault before its followers do, so that it can connect to
     another controller before they leave it. A follower detects a fault and
     dials another relay within a third of the contact bound. A router that
-    neither serves followers nor follows a relay tolerates more.
+    neither serves followers nor follows a relay has a longer timeout.
 
     Attributes
     ----------
@@ -91,7 +91,7 @@
 
     Attributes
     ----------
-    me : this router's key.
+    key : this router's key.
     tier, suspects : the relay plan, and the suspect members, which are tried last.
     tracker : the freshness of the upstream node.
     parent : the key of the upstream node; None while disconnected.
@@ -113,7 +113,7 @@
     ('c:1', True)
     """
 
-    me: str
+    key: str
     timing: UpstreamTiming
     rng: Random
     tier: RelayTier = NO_TIER
@@ -230,8 +230,8 @@
         """The key of the node to follow next; ``controllers``: keys, best first.
 
         A router that should follow a relay falls back to a controller only if
-        no relay has answered within ``relay_search``, or if no heartbeat was
-        fresh for longer than ``stale_timeout``.
+        no relay has answered for ``relay_search``, or if the relays were stale
+        for longer than ``stale_timeout``.
         """
         if self._may_follow_relays(now):
             are_lost = self.relays_lost_at is not None and now - self.relays_lost_at >= self.timing.relay_search
@@ -324,7 +324,7 @@
         return LeaveReason.GENTLE if self._should_move(now) else None
 
     def _is_another_stale_relay(self, now: timedelta) -> bool:
-        """Whether this relay is stale like the previous ones, while untried relays of the zone may remain."""
+        """Whether to leave this relay at once: it is stale like the previous one, and the zone has untried relays."""
         if self.direct or not self.tracker.heartbeats or not 0 < self.stale_relays <= self.tier.local_parents:
             return False
         confirmation_age = self.tracker.confirmation_age(now)
--- a/tests/relay/test_upstream.py
+++ b/tests/relay/test_upstream.py
@@ -18,31 +18,33 @@
 
 
 def members(*sizes):
-    return [(f"z{z}-{i}", f"z{z}") for z, n in enumerate(sizes) for i in range(n)]
+    return [(f"z{zone}-{i}", f"z{zone}") for zone, size in enumerate(sizes) for i in range(size)]
 
 
 class Plan(unittest.TestCase):
     def test_small_fleets_have_no_tier(self):
         for sizes in ((1,), (2, 2, 1, 1), (4, 2, 2), (3, 3, 3)):
-            for me, zone in (routers := members(*sizes)):
-                self.assertEqual(plan_tier(me, zone, [router for router in routers if router[0] != me]), RelayTier())
+            for key, zone in (routers := members(*sizes)):
+                self.assertEqual(plan_tier(key, zone, [router for router in routers if router[0] != key]), RelayTier())
 
     def test_routers_with_the_same_membership_choose_the_same_relays(self):
         for sizes in ((17, 15, 13, 14, 14), (21, 21, 21), (40, 1, 39), (4, 4, 4, 4, 4)):
             routers = members(*sizes)
             tiers = {
-                me: plan_tier(
-                    me, zone, random.sample([router for router in routers if router[0] != me], len(routers) - 1)
+                key: plan_tier(
+                    key, zone, random.sample([router for router in routers if router[0] != key], len(routers) - 1)
                 )
-                for me, zone in routers
+                for key, zone in routers
             }
             self.assertEqual(len({tier.relays for tier in tiers.values()}), 1)
             relays = next(iter(tiers.values())).relays
             self.assertEqual({zone for key, zone in routers if key in relays}, {zone for _, zone in routers})
-            for me, zone in routers:
-                tier = tiers[me]
-                self.assertEqual((tier.is_relay, set(tier.parents)), (me in relays, set(relays) - {me}))
-                self.assertEqual({dict(routers)[key] for key in tier.parents[: tier.local_parents]} - {zone}, set())
+            for key, zone in routers:
+                tier = tiers[key]
+                self.assertEqual((tier.is_relay, set(tier.parents)), (key in relays, set(relays) - {key}))
+                self.assertEqual(
+                    {dict(routers)[parent] for parent in tier.parents[: tier.local_parents]} - {zone}, set()
+                )
             self.assertLessEqual(2 * (len(relays) + len(routers) / len(relays)), len(routers) + 1)
 
     def test_a_router_that_joins_or_leaves_changes_few_relays(self):
@@ -59,12 +61,12 @@
         lost = relays[0]
         alternatives = [
             next(
-                key
-                for key in plan_tier(me, zone, [router for router in routers if router[0] != me]).parents
-                if key != lost
+                parent
+                for parent in plan_tier(key, zone, [router for router in routers if router[0] != key]).parents
+                if parent != lost
             )
-            for me, zone in routers
-            if me not in relays
+            for key, zone in routers
+            if key not in relays
         ]
         self.assertLessEqual(max(map(alternatives.count, set(alternatives))), 0.35 * len(alternatives))
 
