--- a/sparloom/router/feed_client.py
+++ b/sparloom/router/feed_client.py
@@ -1,4 +1,4 @@
-"""Follows the feed of configurations and endpoint lists, from a controller or a relay."""
+"""Client of the feed of configurations and endpoint lists, which a controller or a relay serves (``FeedClient``)."""
 
 from __future__ import annotations
 
@@ -30,29 +30,32 @@
     from .router_state import RouterState
 
 MS = timedelta(milliseconds=1)
-# Parts of the contact bound.
-FIRST_DIAL_PART = 40
-STALL_CHECK_PART = 100
-RECORD_PART = 3
-# Seconds between two connections: at least so long, and a random part besides.
-MINIMUM_PAUSE_S = 0.02
-RANDOM_PAUSE_S = 0.04
+# The timeout of the first dial is the contact bound divided by this.
+FIRST_DIAL_DIVISOR = 40
+# The wait for a record that arrived during a stall of this process is the contact bound divided by this.
+STALL_CHECK_DIVISOR = 100
+# The timeout for the rest of a record whose first bytes have arrived is the contact bound divided by this.
+RECORD_TIMEOUT_DIVISOR = 3
+# Minimum delay before the next connection.
+MINIMUM_RECONNECT_DELAY_S = 0.02
+# Maximum random delay (jitter) that is added to the minimum delay.
+RECONNECT_JITTER_S = 0.04
 
 
 class FeedClient(Service):
-    """Follows one controller or relay at a time; ``Upstream`` says which, and when to leave it.
+    """Follows one source, a controller or a relay, at a time; ``Upstream`` selects it and decides when to leave it.
 
-    ``on_endpoints()`` is called when an endpoint list was taken, and then, as
-    after each other change, ``on_change()``.
+    ``on_endpoints()`` is called after an endpoint list has been applied.
+    ``on_change()`` is called after every change, and after ``on_endpoints()``.
 
     Attributes
     ----------
-    store: what this router has of each topic, with its version; relays serve from it.
+    store: the state of each topic with its version; relays serve from it.
     change_signal: notified of each heartbeat and each change.
-    upstream: the decisions whom to follow.
-    announced_version: the newest configuration that a heartbeat spoke of.
-    raw_configuration: the configuration as the feed has it; changes are applied to it.
-    resync: topics of which the whole state is asked for.
+    upstream: selects the source to follow.
+    announced_version: the newest configuration version that a heartbeat has announced.
+    raw_configuration: the configuration in the feed's form, to which deltas are applied.
+    topics_to_resync: topics for which this router requests a full snapshot.
     """
 
     def __init__(
@@ -71,13 +74,13 @@
         self.store = VersionedStore()
         self.change_signal = ChangeSignal()
         self.upstream = Upstream(state.key, UpstreamTiming.from_contact_bound(contact_bound), state.random)
-        self.dial_timeout = DialTimeout(contact_bound / FIRST_DIAL_PART, self.upstream.timing.dial)
+        self.dial_timeout = DialTimeout(contact_bound / FIRST_DIAL_DIVISOR, self.upstream.timing.dial)
         self.raw_configuration: dict[str, Any] | None = None
-        self.resync: set[int] = set()
+        self.topics_to_resync: set[int] = set()
         self.announced_version: tuple[int, int] = NO_VERSION
 
     def _controllers(self) -> list[str]:
-        """The addresses of controllers to follow, those of this zone first, else in random order."""
+        """Returns the addresses of the controllers: those of this zone first, otherwise in random order."""
         state = self.router_state
         zones = {peer.key: peer.zone for peer in self.membership.swim.alive() if peer.role == CONTROLLER}
         for seed in state.seeds:
@@ -95,88 +98,88 @@
                 with suppress(OSError, EOFError, DecodeError, TimeoutError):
                     reason = await self.follow(address)
                 upstream.on_disconnected(monotonic(), reason)
-            await asyncio.sleep(MINIMUM_PAUSE_S + RANDOM_PAUSE_S * self.router_state.random.random())
+            await asyncio.sleep(MINIMUM_RECONNECT_DELAY_S + RECONNECT_JITTER_S * self.router_state.random.random())
 
     async def follow(self, address: str) -> LeaveReason:
-        """Follows one controller or relay; gives the reason to leave it.
+        """Follows one controller or relay until there is a reason to leave it, and returns that reason.
 
         Raises
         ------
-        OSError, EOFError, TimeoutError: the connection failed or ended.
-        DecodeError: something came that is no record of the feed.
+        OSError, EOFError, TimeoutError: the connection failed or was closed.
+        DecodeError: the source sent something other than a record of the feed.
         """
         host, _, port = address.rpartition(":")
         upstream = self.upstream
         frames = await self.dial_timeout.dial(host, int(port))
         try:
-            await frames.write(self.store.subscription(self.router_state.settings.node, self.resync))
+            await frames.write(self.store.subscription(self.router_state.settings.node, self.topics_to_resync))
             upstream.tracker.start(monotonic())
             logging.info("feed: following source=%s depth=%d", address, upstream.depth)
             while True:
-                # After a stall of its own it first reads what waits, and then judges.
-                leave: LeaveReason | None = upstream.leave_reason(monotonic())
-                stall_check = upstream.timing.contact / STALL_CHECK_PART
-                record = await self._read(frames, stall_check if leave else upstream.next_check_delay(monotonic()))
-                if record is None and leave:
-                    logging.info("feed: left source=%s reason=%s", address, leave)
-                    return leave
-                if record is not None and not self._take_record(record):
+                # The reason may stem from a stall of this process: records that have already arrived are read first.
+                reason: LeaveReason | None = upstream.leave_reason(monotonic())
+                stall_check = upstream.timing.contact / STALL_CHECK_DIVISOR
+                record = await self._read(frames, stall_check if reason else upstream.next_check_delay(monotonic()))
+                if record is None and reason:
+                    logging.info("feed: left source=%s reason=%s", address, reason)
+                    return reason
+                if record is not None and not self._handle_record(record):
                     return LeaveReason.GONE
         finally:
             frames.close()
 
     async def _read(self, frames: Frames, wait: timedelta) -> Record | None:
-        """The next record, or None when none came in time; one that has begun to come may take longer."""
+        """Returns the next record, or None after a timeout; a record that has started to arrive gets more time."""
         loop = asyncio.get_running_loop()
-        longer = self.router_state.settings.bounds.contact.total_seconds() / RECORD_PART
-        begun = False
+        record_timeout_s = self.router_state.settings.bounds.contact.total_seconds() / RECORD_TIMEOUT_DIVISOR
+        started = False
 
         def extend() -> None:
-            nonlocal begun
-            begun = True
-            limit.reschedule(loop.time() + longer)
+            nonlocal started
+            started = True
+            timeout.reschedule(loop.time() + record_timeout_s)
 
         try:
-            async with asyncio.timeout(wait.total_seconds()) as limit:
+            async with asyncio.timeout(wait.total_seconds()) as timeout:
                 record: Record = await frames.read(extend)
                 return record
         except TimeoutError:
-            if begun or not limit.expired():
+            if started or not timeout.expired():
                 raise
             return None
 
-    def _take_record(self, record: Record) -> bool:
-        """Takes a record in; False where its sender must be left."""
+    def _handle_record(self, record: Record) -> bool:
+        """Handles a record; returns False if this router must leave the source."""
         if isinstance(record, FeedHeartbeat):
-            self._take_heartbeat(record)
+            self._handle_heartbeat(record)
             return True
         if isinstance(record, Change):
             return self.take_change(record)
         raise DecodeError(f"expected a heartbeat or a change of the feed, found {type(record).__name__}")
 
-    def _take_heartbeat(self, heartbeat: FeedHeartbeat) -> None:
-        """Confirms what this router has, only where it has the configuration that the heartbeat speaks of."""
+    def _handle_heartbeat(self, heartbeat: FeedHeartbeat) -> None:
+        """Marks this router's state as confirmed if it has the newest configuration and the confirmation is recent."""
         self.upstream.on_heartbeat(monotonic(), heartbeat.confirmation_age_ms, heartbeat.sent_at_ms)
         self.announced_version = max(self.announced_version, heartbeat.configuration_version)
         state = self.router_state
-        known = state.endpoint_list is not None and state.configuration is not None
+        initialized = state.endpoint_list is not None and state.configuration is not None
         up_to_date = self.store.version(CONFIGURATION) >= self.newest_configuration()
         recent = heartbeat.confirmation_age_ms < self.upstream.tracker.maximum_age / MS
-        state.confirmed = state.confirmed or known and up_to_date and recent
+        state.confirmed = state.confirmed or initialized and up_to_date and recent
         confirmed_at = self.upstream.tracker.confirmed_at
-        if confirmed_at is not None and ENDPOINTS not in self.resync:
-            state.note_confirmation(confirmed_at)
+        if confirmed_at is not None and ENDPOINTS not in self.topics_to_resync:
+            state.record_primary_confirmation(confirmed_at)
         if confirmed_at is not None and up_to_date and recent:
             state.note_configuration(confirmed_at)
         self.change_signal.notify()
 
     def newest_configuration(self) -> tuple[int, int]:
-        """The version of the newest configuration that this router has or has heard of."""
-        present: tuple[int, int] = self.store.version(CONFIGURATION)
-        return max(self.announced_version, present)
+        """Returns the newest configuration version that this router has or that a heartbeat has announced."""
+        current: tuple[int, int] = self.store.version(CONFIGURATION)
+        return max(self.announced_version, current)
 
     def take_change(self, change: Change) -> bool:
-        """Applies a change; False where it doesn't fit what this router has.
+        """Applies a change; returns False if it can't be applied to this router's state.
 
         Raises
         ------
@@ -185,10 +188,10 @@
         if change.topic not in TOPICS:
             raise DecodeError(f"expected a topic of {sorted(TOPICS)}, found {change.topic}")
         self.upstream.on_change(monotonic())
-        present = self.store.version(change.topic)
-        if change.version <= present:
+        current = self.store.version(change.topic)
+        if change.version <= current:
             return True
-        if change.base not in (NO_VERSION, present):
+        if change.base not in (NO_VERSION, current):
             return False
         is_configuration = change.topic == CONFIGURATION
         old = self.raw_configuration if is_configuration else self.router_state.endpoint_list
@@ -196,13 +199,13 @@
             new = feed_payload.apply_change(change, old)
         except feed_payload.PayloadError as error:
             logging.warning("feed: change rejected topic=%d error=%r", change.topic, str(error))
-            self.resync.add(change.topic)
+            self.topics_to_resync.add(change.topic)
             return False
-        self._use(is_configuration, new)
-        self._keep(change, new)
+        self._apply_state(is_configuration, new)
+        self._store_change(change, new)
         return True
 
-    def _use(self, is_configuration: bool, new: Any) -> None:
+    def _apply_state(self, is_configuration: bool, new: Any) -> None:
         state = self.router_state
         if is_configuration:
             self.raw_configuration = new
@@ -219,10 +222,10 @@
             self.on_endpoints()
         self.on_change()
 
-    def _keep(self, change: Change, new: Any) -> None:
-        """Stores a change for followers; the bytes of the whole state are made only when asked for."""
+    def _store_change(self, change: Change, new: Any) -> None:
+        """Stores a change for followers; the full snapshot is encoded only when it is requested."""
         if change.base == NO_VERSION:
-            self.resync.discard(change.topic)
+            self.topics_to_resync.discard(change.topic)
             self.store.put(change.topic, change.version, change.payload)
         else:
             encode = partial(feed_payload.encode_state, change.topic, new)
--- a/sparloom/router/in_flight_gossip.py
+++ b/sparloom/router/in_flight_gossip.py
@@ -1,6 +1,6 @@
-"""Exchanges in-flight counts and long prompts with the other routers.
+"""Gossip of in-flight counts and long prompt prefixes between routers (``InFlightGossip``).
 
-In a small fleet each router sends to every other. Where a tier of relays
+In a small fleet each router sends directly to every other. Where a relay tier
 exists, messages go through it (``sparloom.aggregation``).
 """
 
@@ -25,26 +25,27 @@
     from .membership_service import MembershipService
     from .router_state import RouterState
 
-# Prompt parts of so many tokens are worth telling the others.
+# Minimum size of a prompt part whose placement is sent to the other routers.
 LONG_PREFIX_TOKENS = 1024
 GOSSIP_MESSAGES = (InFlightUpdate, MemberUpdate, GroupAggregate, FleetTotal)
-# Changed counts go out every 4th tick (200 ms), unchanged ones every 20th (1 s).
-CHANGED_TICKS = 4
-UNCHANGED_TICKS = 20
-# A relay takes its own total every 2nd tick.
-RELAY_VIEW_TICKS = 2
+# Changed counts are sent every 4th tick (200 ms).
+CHANGED_INTERVAL_TICKS = 4
+# Unchanged counts are sent every 20th tick (1 s).
+UNCHANGED_INTERVAL_TICKS = 20
+# A relay updates its own counts from the aggregated total every 2nd tick (100 ms).
+RELAY_VIEW_INTERVAL_TICKS = 2
 MAXIMUM_UINT16 = 0xFFFF
 MAXIMUM_UINT32 = 0xFFFFFFFF
 
 
 class InFlightGossip:
-    """Sends what this router has in flight, and takes in what the others have.
+    """Sends this router's in-flight counts to the other routers and applies theirs.
 
     Attributes
     ----------
-    instance_id: the random number of this run of the process, in each message.
-    aggregator: the counts that go through the tier of relays.
-    tiered: whether messages went through the tier at the last tick.
+    instance_id: random ID of this run of the process, which every message carries.
+    aggregator: the counts that are exchanged through the relay tier.
+    tiered: whether messages went through the relay tier at the last tick.
     """
 
     def __init__(self, state: RouterState, membership: MembershipService, upstream: Upstream) -> None:
@@ -59,12 +60,12 @@
         self._urgent = False
         self._timer: asyncio.TimerHandle | None = None
         self._indexed_backends: BackendTable | None = None
-        self._ids_by_short_number: dict[int, list[str]] = {}
+        self._ids_by_short_id: dict[int, list[str]] = {}
         self._instances_version: int | None = None
         self._instances: dict[str, int] = {}
 
     def on_prompt_sent(self, backend: Backend, parts: Sequence[tuple[int, int]]) -> None:
-        """A prompt went out: the other routers are told at once of its long parts, given as (hash, tokens)."""
+        """Sends the placement of a prompt's long parts, given as (hash, tokens), to the other routers at once."""
         placements = [
             PrefixPlacement(backend.number, part, tokens) for part, tokens in parts if tokens >= LONG_PREFIX_TOKENS
         ]
@@ -77,13 +78,13 @@
             self._send_directly(0)
 
     def on_prefilled(self, slot: Slot) -> None:
-        """A prompt's prefill is over; that of a long one is told at the next tick."""
+        """Records the end of a prompt's prefill; that of a long prompt is sent at the next tick."""
         self._urgent = self._urgent or slot.prefill_tokens >= LONG_PREFIX_TOKENS
         slot.on_prefilled(slot.prefill_tokens)
 
     # -- sending ------------------------------------------------------------
     def _reports(self) -> list[InFlightReport]:
-        """What this router has in flight now, per backend."""
+        """Returns this router's present in-flight counts per backend."""
         now = monotonic()
         in_flight, backends = self.state.in_flight, self.state.backends.by_id
         return [
@@ -101,24 +102,24 @@
         ]
 
     def tick(self, turn: int) -> None:
-        """Sends what is due; called every 50 ms with the number of the tick."""
+        """Sends the messages that are due; called every 50 ms with the number of the tick."""
         state = self.state
         was_tiered = self.tiered
         self.tiered = state.relay_tier.exists or self.aggregator.is_active
-        if not state.relay_tier.exists and (turn % CHANGED_TICKS == 0 or self._urgent):
+        if not state.relay_tier.exists and (turn % CHANGED_INTERVAL_TICKS == 0 or self._urgent):
             self._send_directly(turn)
-        if self.tiered and turn % UNCHANGED_TICKS == 0:
+        if self.tiered and turn % UNCHANGED_INTERVAL_TICKS == 0:
             state.in_flight.note_callers(self._router_instances().items(), monotonic())
         if self.tiered or was_tiered:
             self._send_through_tier(was_tiered)
-            view_ticks = RELAY_VIEW_TICKS if self.aggregator.is_relay else CHANGED_TICKS
+            view_ticks = RELAY_VIEW_INTERVAL_TICKS if self.aggregator.is_relay else CHANGED_INTERVAL_TICKS
             if turn % view_ticks == 0 or not self.tiered:
-                self._take_view(monotonic())
+                self._update_shared_counts(monotonic())
 
     def _send_directly(self, turn: int) -> None:
-        """Sends to each router; nothing where nothing has changed, but for every 20th tick."""
+        """Sends an update to each router; unchanged counts are sent on every 20th tick only."""
         reports = self._reports()
-        if reports == self._last_sent and turn % UNCHANGED_TICKS and not self._unsent_placements:
+        if reports == self._last_sent and turn % UNCHANGED_INTERVAL_TICKS and not self._unsent_placements:
             return
         self._last_sent = reports
         self._urgent = False
@@ -136,17 +137,17 @@
     def _send_through_tier(self, was_tiered: bool) -> None:
         now, instances = monotonic(), self._router_instances()
         if not was_tiered:
-            self._hand_over_direct_counts()
+            self._transfer_direct_counts()
         self.aggregator.update_membership(now, self.state.relay_tier, instances, self.upstream.parent)
         self._report_to_aggregator(now)
         self._send_aggregates(now)
         self._urgent = False
 
-    def _hand_over_direct_counts(self) -> None:
-        """The tier is new: what peers told directly counts until they are heard through the tier."""
+    def _transfer_direct_counts(self) -> None:
+        """Passes the peers' direct counts to the aggregator, where they count until the tier delivers newer ones."""
         backends = self.state.backends.by_id
         for key, peer in self.state.in_flight.peers.items():
-            loads = {short_id(backends[id].number): figures for id, figures in peer.loads.items() if id in backends}
+            loads = {short_id(backends[id].number): load for id, load in peer.loads.items() if id in backends}
             self.aggregator.on_direct_update(peer.received_at, key, peer.instance_id, peer.sequence, loads)
 
     def _report_to_aggregator(self, now: timedelta) -> None:
@@ -158,7 +159,7 @@
             self.membership.datagrams.send(message.destinations, message.message)
 
     def _send_soon(self) -> None:
-        """Long prompts don't wait for the next tick."""
+        """Sends the placements of long prompts without waiting for the next tick."""
         delay = self.aggregator.flush_delay(monotonic())
         if delay is not None and not delay and not self.aggregator.is_relay:
             self._send_aggregates(monotonic())
@@ -170,24 +171,24 @@
         now = monotonic()
         self._send_aggregates(now)
         if self.aggregator.is_relay:
-            self._take_view(now)
+            self._update_shared_counts(now)
         self._send_soon()
 
     @staticmethod
     def call_later(delay: timedelta, callback: Callable[[], None]) -> asyncio.TimerHandle:
-        """Calls a function after a while."""
+        """Schedules a function call after a delay."""
         return asyncio.get_running_loop().call_later(delay.total_seconds(), callback)
 
     def _router_instances(self) -> dict[str, int]:
-        """The instance of each other router by key; made anew when membership has changed."""
+        """Returns the instance ID of each other router by key; rebuilt when the membership has changed."""
         swim = self.membership.swim
         if self._instances_version != swim.version:
             self._instances_version = swim.version
             self._instances = {peer.key: peer.instance_id for peer in swim.alive() if peer.role == ROUTER}
         return self._instances
 
-    def _take_view(self, now: timedelta) -> None:
-        """Makes the tier's total the count of all other routers."""
+    def _update_shared_counts(self, now: timedelta) -> None:
+        """Replaces the other routers' shared counts by the total from the relay tier."""
         state = self.state
         if self._indexed_backends is not state.backends:
             self._index_backends()
@@ -197,18 +198,18 @@
         if view is None:
             in_flight.shared = None
             return
-        ids = self._ids_by_short_number
-        in_flight.shared = {id: figures for number, figures in view.items() for id in ids.get(number, ())}
+        ids = self._ids_by_short_id
+        in_flight.shared = {id: load for short, load in view.items() for id in ids.get(short, ())}
 
     def _index_backends(self) -> None:
         self._indexed_backends = self.state.backends
-        self._ids_by_short_number = {}
+        self._ids_by_short_id = {}
         for backend in self._indexed_backends.by_id.values():
-            self._ids_by_short_number.setdefault(short_id(backend.number), []).append(backend.id)
+            self._ids_by_short_id.setdefault(short_id(backend.number), []).append(backend.id)
 
     # -- receiving ------------------------------------------------------------
     def on_message(self, message: InFlightUpdate | MemberUpdate | GroupAggregate | FleetTotal, source: str) -> None:
-        """Takes in another router's message; one of an instance that has ended is dropped."""
+        """Handles another router's message; drops it if it is from an instance that has ended."""
         if isinstance(message, InFlightUpdate):
             if self.membership.swim.is_current(message.node, message.instance_id):
                 self._on_update(message)
@@ -221,18 +222,18 @@
         if self.tiered:
             loads = {short_id(report.resource): report.load() for report in update.reports}
             self.aggregator.on_direct_update(now, update.node, update.instance_id, update.sequence, loads)
-        self._note_placements(update.placements)
+        self._add_placements(update.placements)
 
     def _on_aggregate(self, message: MemberUpdate | GroupAggregate | FleetTotal) -> None:
         now = monotonic()
         self.aggregator.on_message(now, message)
-        self._note_placements(message.placements)
+        self._add_placements(message.placements)
         if isinstance(message, FleetTotal):
-            self._take_view(now)
+            self._update_shared_counts(now)
         self._send_soon()
 
-    def _note_placements(self, placements: Iterable[PrefixPlacement]) -> None:
-        """What others sent to a backend is in its prefix cache."""
+    def _add_placements(self, placements: Iterable[PrefixPlacement]) -> None:
+        """Adds the prompt parts that other routers sent to a backend to its prefix cache."""
         backends = self.state.backends
         for placement in placements:
             id = backends.ids_by_number.get(placement.resource)
@@ -240,12 +241,15 @@
                 backends.by_id[id].cached.add(((placement.prefix, placement.tokens),))
 
     def on_departed(self, key: str, instance: int | None) -> None:
-        """All instances at an address but the given one have ended: they hold nothing any more."""
+        """Drops the counts of all instances at an address except the given one: the others have ended."""
         self.state.in_flight.drop_node(key, instance)
         self.aggregator.on_departed(key, instance)
 
-    def known_fleet_sizes(self) -> dict[str, int]:
-        """By how many the others divide, as far as they told; 0 for '' while a first total is waited for."""
+    def reported_fleet_sizes(self) -> dict[str, int]:
+        """Returns the fleet size by which each other router divides, by key.
+
+        The key '' has the value 0 while the first total of the relay tier is pending.
+        """
         now, state, instances = monotonic(), self.state, self._router_instances()
         if state.in_flight.shared is not None:
             through_tier: dict[str, int] = self.aggregator.fleet_sizes(now)
--- a/sparloom/router/router_node.py
+++ b/sparloom/router/router_node.py
@@ -1,4 +1,4 @@
-"""Composes the services of a router that need no client: membership, feed, gossip, queues, relay."""
+"""The part of a router behind the front end: ``RouterNode`` composes membership, feed, gossip, queues and relay."""
 
 from __future__ import annotations
 
@@ -36,13 +36,14 @@
     from .rollout_watcher import RolloutWatcher
     from .usage_reporter import UsageReporter
 
+# Prefix cache size of a backend whose service doesn't state one.
 DEFAULT_CACHE_TOKENS = 1 << 18
-# Membership is looked at in each fourth tick, beginning with the first.
-MEMBERSHIP_TICKS = 4
+# Readiness, the fleet size and the relay tier are updated on every fourth tick, starting with the first.
+MEMBERSHIP_INTERVAL_TICKS = 4
 
 
-def _delegated(owner: str, name: str) -> Any:
-    """A property that stands for an attribute of one of the parts."""
+def _delegated_property(owner: str, name: str) -> Any:
+    """Returns a property that reads and writes an attribute of one of the components."""
     return property(
         lambda node: getattr(getattr(node, owner), name),
         lambda node, value: setattr(getattr(node, owner), name, value),
@@ -50,43 +51,43 @@
 
 
 class RouterNode(Service):
-    """A router without its front.
+    """A router without its front end.
 
     Attributes
     ----------
-    snapshots: the present state; its attributes are reached through the node as well.
+    snapshots: the current state; most of its attributes are also available on the node.
     budgets: retry budgets by service.
     membership: SWIM, the datagram socket and the tick.
     queues: admission queues by service.
-    feed_client: follows the feed.
+    feed_client: subscribes to the feed of configurations and endpoint lists.
     gossip: exchanges in-flight counts with the other routers.
     prefix_recall: exchanges long prefixes with controllers.
-    usage: counts what begins, and reports it to the primary; None where the platform expects no duties.
-    rollouts: watches roll-outs; None where versions don't matter.
-    relay_server: passes the feed on.
-    zone_prober: finds zones unreachable, and reachable again.
-    serviceability: whether any runner is in reach.
+    usage: counts started requests and reports them to the primary; None where the platform expects no duties.
+    rollouts: watches roll-outs; None where roll-outs are disabled.
+    relay_server: serves the feed to other routers.
+    zone_prober: probes zones to detect that they are unreachable, and that they are reachable again.
+    serviceability: tracks whether enough runners are reachable.
     """
 
-    settings = _delegated("snapshots", "settings")
-    key = _delegated("snapshots", "key")
-    seeds = _delegated("snapshots", "seeds")
-    configuration = _delegated("snapshots", "configuration")
-    endpoint_list = _delegated("snapshots", "endpoint_list")
-    backends = _delegated("snapshots", "backends")
-    confirmed = _delegated("snapshots", "confirmed")
-    started_at = _delegated("snapshots", "started_at")
-    in_flight = _delegated("snapshots", "in_flight")
-    fleet_size = _delegated("snapshots", "fleet_size")
-    relay_tier = _delegated("snapshots", "relay_tier")
-    prefixes_known = _delegated("snapshots", "prefixes_known")
-    zones = _delegated("snapshots", "zones")
-    random = _delegated("snapshots", "random")
-    ready = _delegated("snapshots", "ready")
-    note_isolation = _delegated("snapshots", "note_isolation")
-    lives_before_isolation = _delegated("snapshots", "lives_before_isolation")
-    swim = _delegated("membership", "swim")
-    datagrams = _delegated("membership", "datagrams")
+    settings = _delegated_property("snapshots", "settings")
+    key = _delegated_property("snapshots", "key")
+    seeds = _delegated_property("snapshots", "seeds")
+    configuration = _delegated_property("snapshots", "configuration")
+    endpoint_list = _delegated_property("snapshots", "endpoint_list")
+    backends = _delegated_property("snapshots", "backends")
+    confirmed = _delegated_property("snapshots", "confirmed")
+    started_at = _delegated_property("snapshots", "started_at")
+    in_flight = _delegated_property("snapshots", "in_flight")
+    fleet_size = _delegated_property("snapshots", "fleet_size")
+    relay_tier = _delegated_property("snapshots", "relay_tier")
+    prefixes_known = _delegated_property("snapshots", "prefixes_known")
+    zones = _delegated_property("snapshots", "zones")
+    random = _delegated_property("snapshots", "random")
+    ready = _delegated_property("snapshots", "ready")
+    note_isolation = _delegated_property("snapshots", "note_isolation")
+    lives_before_isolation = _delegated_property("snapshots", "lives_before_isolation")
+    swim = _delegated_property("membership", "swim")
+    datagrams = _delegated_property("membership", "datagrams")
 
     def __init__(self, settings: Settings) -> None:
         super().__init__()
@@ -106,13 +107,13 @@
         self.relay_server = RelayServer(state, self.feed_client)
         self.zone_prober = ZoneProber(state)
         self.serviceability = Serviceability(state)
-        # The routers, with their zones, for which the tier was planned.
+        # The (key, zone) pairs of the routers for which the relay tier was planned.
         self.tier_members: frozenset[tuple[str, str]] | None = None
 
     def _usage_reporter(self, settings: Settings) -> UsageReporter | None:
         if not settings.duties.expected:
             return None
-        # Other deployments don't spend time and memory of a start on it.
+        # Imported here so that other deployments don't spend startup time and memory on it.
         from .usage_reporter import UsageReporter
 
         return UsageReporter(self.snapshots, self.membership, self.queues)
@@ -120,18 +121,18 @@
     def _rollout_watcher(self, settings: Settings) -> RolloutWatcher | None:
         if not settings.rollouts.enabled:
             return None
-        # Nor do they on this.
+        # Imported here for the same reason as UsageReporter.
         from .rollout_watcher import RolloutWatcher
 
         return RolloutWatcher(self.snapshots, self.membership, lambda: self.shelf.version(CONFIGURATION)[0])
 
     @property
     def shelf(self) -> VersionedStore:
-        """The versions of what this router has."""
+        """The versions of the configuration and the endpoint list that this router has."""
         return self.feed_client.store
 
     def forwarding_services(self) -> ForwardingServices:
-        """What the forwarding of requests needs of this router."""
+        """Returns the components that the forwarding of requests depends on."""
         state = self.snapshots
         return ForwardingServices(
             state,
@@ -146,27 +147,27 @@
         )
 
     def nodes(self) -> int:
-        """Among how many routers budgets are divided; one that is partitioned doesn't take itself for the only one."""
+        """Returns the number of routers by which budgets are divided; a network partition doesn't lower it to 1."""
         return self.snapshots.fleet_size.divisor
 
     def budget(self, service: str) -> RetryBudget:
-        """The retry budget of a service."""
+        """Returns the retry budget of a service."""
         return self.budgets.of(service)
 
     def use(self, settings: Settings) -> None:
-        """Goes by other checked settings from now on."""
+        """Applies new, validated settings."""
         self.snapshots.note_isolation(settings.isolation)
         self.snapshots.settings = settings
         self.membership.update_seeds()
 
     async def on_start(self) -> None:
-        """Starts the parts; the tick begins after them."""
+        """Starts the components; the tick starts after them."""
         await self.membership.open()
         await self.add_runtime_dependency(self.relay_server)
         await self.add_runtime_dependency(self.feed_client)
 
     async def on_stop(self) -> None:
-        """Leaves the fleet before anything else ends, then closes the connections to the backends."""
+        """Leaves the fleet before the other components stop, then closes the connections to the backends."""
         if self.membership.is_open and self.usage is not None:
             self.usage.send(monotonic())
         self.membership.close()
@@ -176,7 +177,7 @@
                 await backend.client_session.close()
 
     @Service.task
-    async def _beat(self) -> None:
+    async def _run_ticks(self) -> None:
         await self.membership.run(lambda: self.should_stop)
 
     def _on_message(self, source: str, message: Record) -> None:
@@ -193,7 +194,7 @@
     def _on_tick(self, turn: int) -> None:
         self.queues.tick()
         self.zone_prober.tick()
-        if turn % MEMBERSHIP_TICKS == 1:
+        if turn % MEMBERSHIP_INTERVAL_TICKS == 1:
             self.serviceability.tick(monotonic())
             self.update_fleet_size()
             self.update_relay_tier()
@@ -204,7 +205,7 @@
                 reporter.tick()
 
     def update_fleet_size(self) -> None:
-        """Notes among how many routers capacity is divided."""
+        """Updates the number of routers by which capacity is divided."""
         state = self.snapshots
         remembered = self.membership.remembered_routers()
         announced = state.endpoint_list.fleet_size if state.endpoint_list else 0
@@ -212,13 +213,13 @@
             monotonic(),
             1 + len(self.membership.routers()),
             announced,
-            self.gossip.known_fleet_sizes(),
+            self.gossip.reported_fleet_sizes(),
             bisect(remembered, state.key),
             1 + len(remembered),
         )
 
     def update_relay_tier(self) -> None:
-        """Plans the tier of relays again when membership has changed; suspects are still members."""
+        """Plans the relay tier anew if the membership has changed; suspected routers are still members."""
         state = self.snapshots
         routers = self.membership.routers()
         members = frozenset((peer.key, peer.zone) for peer in routers)
@@ -229,7 +230,7 @@
         self.feed_client.upstream.update_tier(monotonic(), state.relay_tier, suspects)
 
     def update_backends(self) -> None:
-        """Takes the next snapshot of the backends, after a change came."""
+        """Rebuilds the backend table after a change of the configuration or the endpoint list."""
         state = self.snapshots
         versions = state.configuration.versions if state.configuration else {}
         if self.rollouts is not None:
@@ -242,16 +243,16 @@
             self.prefix_recall.request()
 
     def _cache_tokens(self, service: str) -> int:
-        """How many tokens a backend of a service caches."""
+        """Returns the prefix cache size, in tokens, of the backends of a service."""
         configuration = self.snapshots.configuration
-        found = configuration.services.get(service) if configuration else None
-        return found.cache_tokens if found and found.cache_tokens else DEFAULT_CACHE_TOKENS
+        configured = configuration.services.get(service) if configuration else None
+        return configured.cache_tokens if configured and configured.cache_tokens else DEFAULT_CACHE_TOKENS
 
     async def wait_known(self, maximum: timedelta) -> None:
-        """Waits after a start until this router can place prompts, for a third of the contact bound at most.
+        """Waits after a start until this router can place prompts, for at most a third of the contact bound.
 
-        It can once the configuration and the endpoint list came, and the
-        controllers have answered which prefixes are cached where.
+        It can do so when it has the configuration and the endpoint list, and
+        the controllers have answered which prefixes each backend caches.
         """
         known = self.snapshots.prefixes_known
         if known.is_set():
--- a/sparloom/router/router_state.py
+++ b/sparloom/router/router_state.py
@@ -1,4 +1,4 @@
-"""The router's present view of its fleet: snapshots that its services replace and read."""
+"""The router's current view of the fleet (``RouterState``) and its retry budgets (``RetryBudgets``)."""
 
 from __future__ import annotations
 
@@ -24,48 +24,51 @@
     from sparloom.settings import Settings
 
 
-# The tick is due each 50 ms; if it comes this late, the process stood still and blames no zone.
-LATE_TICK = timedelta(milliseconds=150)
-# An unreachable zone is probed so often, as a part of the contact bound.
-ZONE_PROBE_PART = 1 / 16
-# For this part of the contact bound nothing must have come from any zone before all of them are doubted.
-LONG_SILENCE_PART = 1 / 4
-# Without confirmation, a router counts as ready after so many contact bounds.
-UNCONFIRMED_READY_BOUNDS = 2
-# A list is a poll older than the confirmation of its primary (a quarter of the drain bound), and a request takes
-# a moment to arrive: after this part of the drain bound without a confirmation, any runner may be leaving.
+# Longest gap between two ticks, which are due every 50 ms. After a longer gap the process itself was stalled, and no
+# zone is suspected.
+LATE_TICK_THRESHOLD = timedelta(milliseconds=150)
+# Interval between probes of an unreachable zone, as a fraction of the contact bound.
+ZONE_PROBE_FRACTION = 1 / 16
+# All zones are suspected when no zone has answered for this fraction of the contact bound.
+ALL_ZONES_SUSPECT_FRACTION = 1 / 4
+# An unconfirmed router becomes ready after this multiple of the contact bound.
+UNCONFIRMED_READY_MULTIPLE = 2
+# Fraction of the drain bound after which, without a confirmation, any runner may be leaving. It is below 1 because an
+# endpoint list can be one poll (a quarter of the drain bound) older than the primary's confirmation, and because a
+# request takes time to arrive.
 DOUBT_AFTER_DRAIN_PART = 0.7
-# After this part of the contact bound without a confirmation, this router is out of touch.
-OUT_OF_TOUCH_AFTER_PART = 1.25
+# Multiple of the contact bound after which, without a confirmation, this router counts as disconnected.
+DISCONNECTED_AFTER_MULTIPLE = 1.25
 
 
 class RouterState:
-    """What this router knows now.
+    """The state that the router's services share.
 
-    Settings, configuration and endpoint list are immutable: a change puts a new
-    object here, so identity shows whether they are the same. ``backends`` is a
-    new table after each change too, but its ``Backend`` objects go on into the
-    next table and are updated in place.
+    Settings, configuration and endpoint list are immutable: a change replaces
+    the object, so two of them can be compared by identity. A change also
+    replaces the ``backends`` table, but its ``Backend`` objects are carried
+    over to the next table and updated in place.
 
     Attributes
     ----------
-    settings: the checked startup file.
+    settings: the validated startup file.
     key: this router's internal HOST:PORT.
-    instance_id: random number of this run of the process.
-    configuration: the operator's configuration; None until the first one came.
-    endpoint_list: the newest list of runners; None until the first one came.
-    backends: the runners of that list, with what traffic has shown of them.
-    confirmed: whether a primary has confirmed what this router holds.
-    primary_confirmed_at: when the primary was confirmed last, as far as this router was told; None before the first.
-    configuration_confirmed_at: when the configuration that this router has was last known to be the newest; None if
+    instance_id: random ID of this run of the process.
+    configuration: the operators' configuration; None until the first one is received.
+    endpoint_list: the newest list of runners; None until the first one is received.
+    backends: the runners of that list, with their state as observed from traffic.
+    confirmed: whether a primary has confirmed that this router's configuration and endpoints are current.
+    primary_confirmed_at: time of the newest confirmation of the primary that this router knows of; None before the
+        first one.
+    configuration_confirmed_at: the last time at which this router's configuration was known to be the newest; None if
         it never was.
-    started_at: when this process started, on the monotonic clock.
-    in_flight: requests in flight per backend, own and of the other routers.
-    fleet_size: among how many routers budgets and capacity are divided.
-    relay_tier: the relays, as membership has them now.
-    zones: which zones' runners give this router no sign of life.
-    prefixes_known: set once controllers told the cached prefixes, or time for that is over.
-    random: source of all random draws of this router.
+    started_at: start time of this process, on the monotonic clock.
+    in_flight: requests in flight per backend, from this router and from the others.
+    fleet_size: the number of routers by which budgets and capacity are divided.
+    relay_tier: the relays according to the current membership.
+    zones: reachability of each zone from this router.
+    prefixes_known: set when the controllers have sent the cached prefixes, or when the wait for them has timed out.
+    random: the random number generator of this router.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -82,14 +85,16 @@
         self.fleet_size = FleetSize(settings.bounds.contact)
         self.relay_tier = RelayTier()
         contact = settings.bounds.contact
-        self.zones = ZoneReachability(LATE_TICK, contact * ZONE_PROBE_PART, contact * LONG_SILENCE_PART)
+        self.zones = ZoneReachability(
+            LATE_TICK_THRESHOLD, contact * ZONE_PROBE_FRACTION, contact * ALL_ZONES_SUSPECT_FRACTION
+        )
         self.prefixes_known = asyncio.Event()
         self.random = random.Random()
         self.instance_id = int.from_bytes(os.urandom(7))
-        self._before_isolation: frozenset[str] = frozenset()
-        # Shares of rates by rate and backend, and the configuration that they go by.
-        self._shares_by: Configuration | None = None
-        self._shares: dict[tuple[int, int], int] = {}
+        self._backend_ids_before_isolation: frozenset[str] = frozenset()
+        # Cached rate shares by (rate, backend number), and the configuration from which they were computed.
+        self._rate_shares_configuration: Configuration | None = None
+        self._rate_shares: dict[tuple[int, int], int] = {}
 
     @property
     def seeds(self) -> tuple[str, ...]:
@@ -97,71 +102,72 @@
         return tuple(f"{seed.host}:{self.settings.controller_port}" for seed in self.settings.seeds)
 
     def ready(self) -> bool:
-        """Whether a configuration and runners are known, and are confirmed or the time to confirm them is over."""
+        """Whether a configuration and an endpoint list exist, and are confirmed or the confirmation has timed out."""
         if self.configuration is None or self.endpoint_list is None:
             return False
-        unconfirmed_for = monotonic() - self.started_at
-        return self.confirmed or unconfirmed_for > self.settings.bounds.contact * UNCONFIRMED_READY_BOUNDS
+        uptime = monotonic() - self.started_at
+        return self.confirmed or uptime > self.settings.bounds.contact * UNCONFIRMED_READY_MULTIPLE
 
-    def note_confirmation(self, at: timedelta) -> None:
-        """Notes that the primary was confirmed at a moment, and that what it published by then is here."""
-        known = self.primary_confirmed_at
-        self.primary_confirmed_at = at if known is None else max(known, at)
+    def record_primary_confirmation(self, at: timedelta) -> None:
+        """Records that the primary was confirmed at a time, and that all that it had published by then is applied."""
+        previous = self.primary_confirmed_at
+        self.primary_confirmed_at = at if previous is None else max(previous, at)
 
     def note_configuration(self, at: timedelta) -> None:
-        """Notes that the configuration that this router has was the newest one at a moment."""
-        known = self.configuration_confirmed_at
-        self.configuration_confirmed_at = at if known is None else max(known, at)
+        """Records that this router's configuration was the newest one at a time."""
+        previous = self.configuration_confirmed_at
+        self.configuration_confirmed_at = at if previous is None else max(previous, at)
 
     def configuration_age(self, now: timedelta) -> timedelta:
-        """For how long the configuration that this router has may have been out of date."""
+        """Returns the time for which this router's configuration may have been out of date."""
         confirmed_at = self.configuration_confirmed_at
         return timedelta.max if confirmed_at is None else max(timedelta(0), now - confirmed_at)
 
     def doubts_endpoints(self, now: timedelta) -> bool:
-        """Whether a runner may have left for longer than the drain bound without this router having been told.
+        """Whether a runner may have been draining for longer than the drain bound without this router knowing.
 
-        Only until this router is out of touch: from then on what it knows is all there is.
+        False once this router is disconnected: it then uses its last endpoint list, since it has no other.
         """
         if self.primary_confirmed_at is None:
             return False
         bounds, age = self.settings.bounds, now - self.primary_confirmed_at
-        return bounds.drain * DOUBT_AFTER_DRAIN_PART <= age < bounds.contact * OUT_OF_TOUCH_AFTER_PART
+        return bounds.drain * DOUBT_AFTER_DRAIN_PART <= age < bounds.contact * DISCONNECTED_AFTER_MULTIPLE
 
     def share_of_cold_rate(self, rate: int, salt: int, now: timedelta) -> int:
-        """This router's share of what a cold backend bears within a second; ``salt`` is the backend's number.
+        """Returns this router's share of the requests per second that a cold backend accepts.
 
-        None is sure without a place in the table, or where that may not be the newest any more. A router
-        that has just started may follow one at the same address, whose sends count together with its own.
+        ``salt`` is the backend's number. The share is 0 if this router isn't in the table of rate holders, or if that
+        table may be out of date. It is also 0 just after a start: this process may have replaced one at the same
+        address, and the requests of both count against one share.
         """
         configuration = self.configuration
         if configuration is None or configuration.rate_holders is None:
             return 0
-        age, up_for, contact_bound = self.configuration_age(now), now - self.started_at, self.settings.bounds.contact
-        if not configuration.rate_holders.is_usable(age, up_for, contact_bound):
+        age, uptime, contact_bound = self.configuration_age(now), now - self.started_at, self.settings.bounds.contact
+        if not configuration.rate_holders.is_usable(age, uptime, contact_bound):
             return 0
-        if configuration is not self._shares_by:
-            self._shares_by, self._shares = configuration, {}
-        share = self._shares.get((rate, salt))
+        if configuration is not self._rate_shares_configuration:
+            self._rate_shares_configuration, self._rate_shares = configuration, {}
+        share = self._rate_shares.get((rate, salt))
         if share is None:
-            share = self._shares[rate, salt] = configuration.rate_holders.share(self.key, rate, salt)
+            share = self._rate_shares[rate, salt] = configuration.rate_holders.share(self.key, rate, salt)
         return share
 
     def note_isolation(self, isolation: Isolation | None) -> None:
-        """Remembers which backends are older than other settings of isolation, which are about to be used."""
+        """Records the backends that exist before new isolation settings take effect, if those settings differ."""
         if isolation != self.settings.isolation:
-            self._before_isolation = frozenset(self.backends.by_id)
+            self._backend_ids_before_isolation = frozenset(self.backends.by_id)
 
     def lives_before_isolation(self) -> int:
-        """How many listed backends are older than the settings of isolation, as far as this process knows."""
-        return len(self._before_isolation & self.backends.by_id.keys())
+        """Returns how many listed backends predate the isolation settings, as far as this process knows."""
+        return len(self._backend_ids_before_isolation & self.backends.by_id.keys())
 
 
 class RetryBudgets:
-    """The retry budgets of this router.
+    """The retry budgets of this router, one per service.
 
-    A budget is made when its service is first asked for, by the settings of
-    that moment; it counts from the start of the process.
+    A budget is created on first use, from the settings at that time. It starts
+    counting at the start of the process.
     """
 
     def __init__(self, state: RouterState) -> None:
@@ -169,7 +175,7 @@
         self._by_service: dict[str, RetryBudget] = {}
 
     def of(self, service: str) -> RetryBudget:
-        """The budget of a service."""
+        """Returns the budget of a service."""
         budget = self._by_service.get(service)
         if budget is None:
             bounds = self._state.settings.bounds
--- a/tests/router/test_in_flight_gossip.py
+++ b/tests/router/test_in_flight_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip of in-flight counts and long prompts: directly in a small fleet, through the tier in a large one."""
+"""Tests of the gossip of in-flight counts and long prompts: direct in a small fleet, through relays in a large one."""
 
 import random
 import unittest
@@ -21,7 +21,7 @@
 
 
 class FakeDatagrams:
-    """Delivers each message at once, and counts them."""
+    """Delivers each message immediately and counts the messages."""
 
     def __init__(self, key, fleet):
         self.key = key
@@ -35,7 +35,7 @@
 
 
 class Fleet:
-    """Routers that know each other, on a clock that is moved by hand."""
+    """Routers on a manual clock; with ``known``, all of them start in each other's membership table."""
 
     def __init__(self, size, known=True):
         self.now = START
@@ -55,8 +55,8 @@
         settings = from_dict({**STARTUP, **node}).unwrap()
         router = RouterNode(settings)
         router.random = random.Random(number)
-        me = Peer(router.key, ROUTER, settings.zone, "", router.gossip.instance_id, 0, 0)
-        router.swim = Swim(me, (), SwimTiming.of(timedelta(seconds=3)), router.random)
+        own_peer = Peer(router.key, ROUTER, settings.zone, "", router.gossip.instance_id, 0, 0)
+        router.swim = Swim(own_peer, (), SwimTiming.of(timedelta(seconds=3)), router.random)
         router.datagrams = FakeDatagrams(router.key, self)
         endpoints = [Endpoint(f"i-{r}", "s", f"10.1.0.{r}:1", "z0", 8, False, 0) for r in range(4)]
         router.endpoint_list = EndpointList(endpoints, size)
@@ -96,21 +96,21 @@
     def prefill_tokens(self, router):
         return router.in_flight.prefill_tokens("i-1", self.fleet.now)
 
-    def test_each_counts_the_calls_of_all(self):
+    def test_each_router_counts_the_requests_of_all_routers(self):
         for size, tiered in ((4, False), (36, True)):
             routers = self.start_routers(size)
             self.assertEqual({router.relay_tier.exists for router in routers}, {tiered})
             slots = [self.acquire(router, tokens=64) for router in routers]
             self.fleet.tick(12)
-            seen = {(self.count(router), self.prefill_tokens(router)) for router in routers}
-            self.assertEqual(seen, {(size, 64 * size)})
+            counts = {(self.count(router), self.prefill_tokens(router)) for router in routers}
+            self.assertEqual(counts, {(size, 64 * size)})
             for slot in slots[1:]:
                 slot.release(self.fleet.now)
             self.fleet.tick(12)
             self.assertEqual({self.count(router) for router in routers}, {1})
             self.assertEqual(sum(self.count(router, "i-2") for router in routers), 0)
 
-    def test_long_prefixes_reach_all_within_two_ticks(self):
+    def test_long_prefixes_reach_all_routers_within_two_ticks(self):
         for size in (4, 36):
             routers = self.start_routers(size)
             follower = next(router for router in routers if not router.relay_tier.is_relay)
@@ -120,17 +120,17 @@
                 sender.gossip.on_prompt_sent(sender.backends.by_id["i-3"], ((prefix, 5000), (1, 10)))
                 self.fleet.tick(2)
                 others = [router for router in routers if router is not sender]
-                without = [other.key for other in others if prefix not in other.backends.by_id["i-3"].cached.prefixes]
-                self.assertEqual(without, [])
+                missing = [other.key for other in others if prefix not in other.backends.by_id["i-3"].cached.prefixes]
+                self.assertEqual(missing, [])
 
-    def test_the_fleet_size_arrives_through_the_tier(self):
+    def test_the_fleet_size_is_exchanged_through_the_relay_tier(self):
         routers = self.start_routers(36)
         self.assertEqual({router.fleet_size.divisor for router in routers}, {36})
-        self.assertEqual({min(router.gossip.known_fleet_sizes().values()) for router in routers}, {36})
+        self.assertEqual({min(router.gossip.reported_fleet_sizes().values()) for router in routers}, {36})
         self.assertTrue(all(router.fleet_size.admitting for router in routers))
 
-    def test_while_a_fleet_finds_itself_no_call_counts_twice(self):
-        """Each learns of the others one by one: some have a tier when others have none."""
+    def test_no_request_is_counted_twice_while_membership_converges(self):
+        """Routers discover each other one by one, so some have a relay tier while others don't."""
         self.fleet = Fleet(30, known=False)
         routers, rng = self.fleet.running, random.Random(1)
         for router in routers:
@@ -146,25 +146,25 @@
         self.fleet.tick(80)
         self.assertEqual({self.count(router) for router in routers}, {30})
 
-    def test_a_fleet_that_shrinks_goes_back_to_direct_messages(self):
+    def test_a_fleet_that_shrinks_returns_to_direct_messages(self):
         routers = self.start_routers(30)
         slots = [self.acquire(router) for router in routers]
         self.fleet.tick(12)
         remaining = routers[:6]
-        for gone in routers[6:]:
-            dead = Peer(gone.key, ROUTER, gone.settings.zone, "", gone.gossip.instance_id, 1, 2)
+        for stopped in routers[6:]:
+            dead_peer = Peer(stopped.key, ROUTER, stopped.settings.zone, "", stopped.gossip.instance_id, 1, 2)
             for router in remaining:
-                router.swim._learn(dead)
+                router.swim._learn(dead_peer)
                 router.membership.report_departed()
         self.fleet.running = remaining
         for _ in range(20):
             self.fleet.tick(4)
             self.assertLessEqual(max(self.count(router) for router in remaining), 30)
-        seen = {(router.relay_tier.exists, router.gossip.tiered, self.count(router)) for router in remaining}
-        self.assertEqual(seen, {(False, False, 6)})
+        states = {(router.relay_tier.exists, router.gossip.tiered, self.count(router)) for router in remaining}
+        self.assertEqual(states, {(False, False, 6)})
         self.assertEqual(len(slots), 30)
 
-    def test_datagrams_are_a_quarter_of_those_without_a_tier(self):
+    def test_the_relay_tier_sends_less_than_a_quarter_of_the_datagrams_of_direct_gossip(self):
         routers = self.start_routers(72)
         before = sum(router.datagrams.sent for router in routers)
         for turn in range(20):
--- a/tests/support/router_fixture.py
+++ b/tests/support/router_fixture.py
@@ -1,4 +1,4 @@
-"""A router's front on loopback, with a configuration and runners given by hand."""
+"""A router's front end on loopback, with a given configuration and fake runners, and a raw HTTP client."""
 
 import asyncio
 import random
@@ -59,15 +59,15 @@
 }
 
 
-class NoDatagrams:
-    """Stands for the datagram socket; sends nothing."""
+class NullDatagrams:
+    """A fake datagram socket that sends nothing."""
 
-    def send(self, to, rec):
+    def send(self, to, record):
         pass
 
 
 class Rig:
-    """The front, some stand-in runners, and a raw client."""
+    """A front end with fake runners, and a raw HTTP client (``send``)."""
 
     def __init__(self, runners=1, policy=POLICY, startup=STARTUP):
         self.runner_count, self.policy, self.up = runners, policy, from_dict(startup).unwrap()
@@ -81,13 +81,13 @@
         return self
 
     def _make_node(self):
-        """A node that isn't started: it has all that it needs to forward requests."""
+        """Returns a node that isn't started but can forward requests."""
         node = RouterNode(self.up)
         node.started_at = monotonic() - timedelta(minutes=1)
         node.random = random.Random(1)
-        me = Peer("me:1", ROUTER, "z1", "", 1, 0, 0)
-        node.swim = Swim(me, (), SwimTiming.of(timedelta(seconds=3)), node.random)
-        node.datagrams = NoDatagrams()
+        own_peer = Peer("me:1", ROUTER, "z1", "", 1, 0, 0)
+        node.swim = Swim(own_peer, (), SwimTiming.of(timedelta(seconds=3)), node.random)
+        node.datagrams = NullDatagrams()
         node.configuration = build(self.policy)
         node.confirmed = True
         endpoints = [Endpoint(runner.id, "s", f"127.0.0.1:{runner.port}", "z1", 8, False, 0) for runner in self.runners]
@@ -105,9 +105,9 @@
                 await backend.client_session.close()
 
     async def send(self, path, body=b"hello", heads=(), method="POST", id="a1", left=2000, raw=None):
-        """Sends one request on a connection of its own; gives the answer up to its close."""
+        """Sends a request on a new connection; returns the response, which is read until the connection closes."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        lines = [
+        request_lines = [
             f"{method} {path} HTTP/1.1",
             "Host: h.example",
             f"X-Sparloom-Attempt-Id: {id}",
@@ -116,39 +116,39 @@
             "Connection: close",
             *heads,
         ]
-        writer.write(raw if raw is not None else ("\r\n".join(lines) + "\r\n\r\n").encode() + body)
-        got = await reader.read(-1)
+        writer.write(raw if raw is not None else ("\r\n".join(request_lines) + "\r\n\r\n").encode() + body)
+        response = await reader.read(-1)
         writer.close()
-        return Answer(got)
+        return Answer(response)
 
 
 class Answer:
-    """A raw answer, taken apart by hand."""
+    """A raw HTTP response, parsed without a library."""
 
     def __init__(self, raw):
         head, _, self.rest = raw.partition(b"\r\n\r\n")
-        lines = head.decode("latin-1").split("\r\n")
+        header_lines = head.decode("latin-1").split("\r\n")
         self.raw = raw
-        self.status = int(lines[0].split()[1]) if raw else 0
-        self.heads = {k.lower(): v for k, _, v in (ln.partition(": ") for ln in lines[1:])}
+        self.status = int(header_lines[0].split()[1]) if raw else 0
+        self.heads = {name.lower(): value for name, _, value in (line.partition(": ") for line in header_lines[1:])}
 
     @property
     def whole(self):
-        """Whether the answer looks complete."""
+        """Whether the response is complete, by its content length or its last chunk."""
         if "content-length" in self.heads:
             return len(self.rest) == int(self.heads["content-length"])
         return self.rest.endswith(b"0\r\n\r\n")
 
     @property
     def body(self):
-        """The body, chunks undone."""
+        """The body without chunk framing."""
         if "content-length" in self.heads:
             return self.rest
-        out, rest = b"", self.rest
+        decoded, rest = b"", self.rest
         while rest:
-            size, _, rest = rest.partition(b"\r\n")
-            n = int(size, 16)
-            if not n:
+            size_line, _, rest = rest.partition(b"\r\n")
+            size = int(size_line, 16)
+            if not size:
                 break
-            out, rest = out + rest[:n], rest[n + 2 :]
-        return out
+            decoded, rest = decoded + rest[:size], rest[size + 2 :]
+        return decoded
