--- a/sparloom/router/membership_service.py
+++ b/sparloom/router/membership_service.py
@@ -1,4 +1,4 @@
-"""The router's membership: SWIM over the datagram socket, and the tick that drives all periodic work."""
+"""The router's membership (``MembershipService``): SWIM over UDP, and the tick that drives all periodic work."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 
     from .router_state import RouterState
 
+# Interval of the tick.
 TICK = timedelta(milliseconds=50)
 SWIM_MESSAGES = (Ping, Ack, PingRequest, TableComparison)
 
@@ -24,15 +25,15 @@
 class MembershipService:
     """Owns the failure detector, the datagram socket and the tick.
 
-    ``on_message(source, message)`` gets every message that isn't SWIM's own,
-    ``on_departed(key, instance)`` each peer whose run has ended (with the
-    instance that goes on there, or None), and ``on_tick(turn)`` is called
-    every 50 ms, after SWIM's own tick.
+    ``on_message(source, message)`` is called for every message that isn't a
+    SWIM message. ``on_departed(key, instance)`` is called for each peer whose
+    run has ended, with the instance that still runs at its address or None.
+    ``on_tick(turn)`` is called every 50 ms, after SWIM's own tick.
 
     Attributes
     ----------
-    swim: beliefs about the other processes; set by ``open``.
-    datagrams: the socket that messages are sent from; set by ``open``.
+    swim: the failure detector with its table of peers; set by ``open``.
+    datagrams: the datagram socket; set by ``open``.
     is_open: whether ``open`` has been called.
     """
 
@@ -53,7 +54,7 @@
         self.is_open = False
 
     async def open(self) -> None:
-        """Binds the datagram socket; messages are handled from now on, and ``run`` may begin."""
+        """Binds the datagram socket and starts to handle messages; ``run`` may be called after this."""
         state, settings = self.state, self.state.settings
         peer = Peer(state.key, ROUTER, settings.zone, "", state.instance_id, 0, 0)
         self.swim = Swim(peer, state.seeds, SwimTiming.of(settings.bounds.contact), state.random)
@@ -61,21 +62,21 @@
         self.datagrams = await Datagrams.open(settings.ip, settings.router_port, self._receive)
 
     def update_seeds(self) -> None:
-        """Takes the seeds of the present settings."""
+        """Passes the seeds of the current settings to SWIM."""
         if self.is_open:
             self.swim.seeds = self.state.seeds
 
     def close(self) -> None:
-        """Tells the others that this router leaves, and closes the socket."""
+        """Announces to the peers that this router leaves, and closes the socket."""
         self._send(self.swim.leave())
         self.datagrams.close()
 
     def routers(self) -> list[Peer]:
-        """The other routers that are believed up, suspects included."""
+        """Returns the other routers that are alive or suspected."""
         return [peer for peer in self.swim.alive() if peer.role == ROUTER]
 
     def remembered_routers(self) -> list[str]:
-        """The keys of the other routers in the membership's table, those that have died of late included; sorted."""
+        """Returns the sorted keys of the other routers in the membership table, recently dead ones included."""
         return sorted(key for key, entry in self.swim.table.items() if entry.peer.role == ROUTER)
 
     def _receive(self, source: str, message: Record) -> None:
@@ -90,12 +91,12 @@
             self.datagrams.send(message.to, message.record)
 
     def report_departed(self) -> None:
-        """Reports the peers whose run has ended since the last call."""
+        """Calls ``on_departed`` for each peer whose run has ended since the last call."""
         for key, instance in self.swim.take_departed():
             self.on_departed(key, instance)
 
     async def run(self, should_stop: Callable[[], bool]) -> None:
-        """Ticks until told to stop."""
+        """Ticks until ``should_stop()`` is true."""
         turn = 0
         while not should_stop():
             turn += 1
--- a/sparloom/router/prefix_recall.py
+++ b/sparloom/router/prefix_recall.py
@@ -1,4 +1,4 @@
-"""Exchanges long prefixes with controllers, so that a router that starts knows what backends have cached."""
+"""Exchange of long prefixes with controllers (``PrefixRecall``): a starting router learns what backends have cached."""
 
 from __future__ import annotations
 
@@ -22,26 +22,27 @@
     from .membership_service import MembershipService
     from .router_state import RouterState
 
-# A batch goes out once a second, a query is repeated every 200 ms.
+# A batch is sent every 20th tick (1 s).
 BATCH_TICKS = 20
-QUERY_TICKS = 4
+# A query is repeated every 4th tick (200 ms).
+QUERY_INTERVAL_TICKS = 4
 PLACEMENTS_PER_DATAGRAM = 48
-# Requests wait for the answers for this part of the contact bound.
-WAIT_PART = 30
+# Requests wait for the answers for the contact bound divided by this.
+ANSWER_TIMEOUT_DIVISOR = 30
 
 
 class PrefixRecall:
-    """The router's side of the placement table that controllers keep.
+    """The router's side of the placement table that controllers store.
 
-    A router that starts doesn't know what backends have cached, and after a
-    loss of all power no router does; without this each long prompt would be
-    prefilled anew, mostly at another backend than the one that has it. So each
-    router sends one near controller its long prefixes, and queries all
-    controllers at its start. The first requests wait a moment for the answers.
+    A starting router doesn't know what backends have cached, and after a full
+    power loss no router does. Each long prompt would then be prefilled again,
+    mostly on another backend than the one that has cached it. Each router
+    therefore sends its long prefixes to one nearby controller, and queries all
+    controllers when it starts. The first requests wait briefly for the answers.
 
     Attributes
     ----------
-    batch: tokens by (backend number, part), not yet sent.
+    batch: tokens by (backend number, part hash), not yet sent.
     """
 
     def __init__(self, state: RouterState, membership: MembershipService) -> None:
@@ -49,25 +50,25 @@
         self.membership = membership
         self.batch: dict[tuple[int, int], int] = {}
         self._queried_at: timedelta | None = None
-        self._queried: frozenset[str] = frozenset()
-        self._answered: set[str] = set()
+        self._queried_controllers: frozenset[str] = frozenset()
+        self._answered_controllers: set[str] = set()
 
     def on_prompt_sent(self, backend: Backend, parts: Sequence[tuple[int, int]]) -> None:
-        """A prompt went out: its long parts, given as (hash, tokens), go into the next batch."""
+        """Adds the long parts of a prompt that was sent, given as (hash, tokens), to the next batch."""
         self.batch.update({(backend.number, part): tokens for part, tokens in parts if tokens >= LONG_PREFIX_TOKENS})
 
     def tick(self, turn: int) -> None:
-        """Sends the batch once a second, and queries again the controllers that haven't answered yet."""
+        """Sends the batch once a second, and repeats the query to controllers that haven't answered."""
         if self.batch and turn % BATCH_TICKS == 0:
             self._send_batch()
-        if self._queried_at is not None and turn % QUERY_TICKS == 0:
+        if self._queried_at is not None and turn % QUERY_INTERVAL_TICKS == 0:
             if monotonic() - self._queried_at > self.state.settings.bounds.contact:
                 self._queried_at = None
             else:
                 self._send_queries()
 
     def _send_batch(self) -> None:
-        """Sends the batch to one controller of this zone, or else of another; keeps it where there is none."""
+        """Sends the batch to one controller, preferably of this zone; retains it if no controller is alive."""
         zone = self.state.settings.zone
         controllers = self._controllers()
         if not controllers:
@@ -83,27 +84,27 @@
         return [peer for peer in self.membership.swim.alive() if peer.role == CONTROLLER]
 
     def request(self) -> None:
-        """Queries all controllers at the start; ``prefixes_known`` is set once they answered, or after a moment."""
+        """Queries all controllers at the start; ``prefixes_known`` is set when all have answered or after a timeout."""
         if self._queried_at is not None:
             return
         self._queried_at = monotonic()
         self._send_queries()
-        wait = self.state.settings.bounds.contact.total_seconds() / WAIT_PART
-        asyncio.get_running_loop().call_later(wait, self.state.prefixes_known.set)
+        timeout_s = self.state.settings.bounds.contact.total_seconds() / ANSWER_TIMEOUT_DIVISOR
+        asyncio.get_running_loop().call_later(timeout_s, self.state.prefixes_known.set)
 
     def _send_queries(self) -> None:
-        self._queried = frozenset(self.state.seeds) | {peer.key for peer in self._controllers()}
-        for controller in self._queried - self._answered:
+        self._queried_controllers = frozenset(self.state.seeds) | {peer.key for peer in self._controllers()}
+        for controller in self._queried_controllers - self._answered_controllers:
             self.membership.datagrams.send(controller, PlacementQuery(self.state.key))
 
     def on_message(self, source: str, answer: PrefixPlacements) -> None:
-        """Takes in an answer; what it tells is older than all that this router has seen itself."""
+        """Applies an answer; its placements count as older than all that this router has observed itself."""
         backends = self.state.backends
         for placement in answer.placements:
             id = backends.ids_by_number.get(placement.resource)
             if id is not None:
                 backends.by_id[id].cached.add_recalled(placement.prefix, placement.tokens)
-        self._answered.add(source)
-        if self._queried_at is not None and self._queried <= self._answered:
+        self._answered_controllers.add(source)
+        if self._queried_at is not None and self._queried_controllers <= self._answered_controllers:
             self._queried_at = None
             self.state.prefixes_known.set()
--- a/sparloom/router/zone_prober.py
+++ b/sparloom/router/zone_prober.py
@@ -1,6 +1,8 @@
-"""Opens connections into zones that are doubted, to find them unreachable, or unreachable, to notice their return.
+"""Probes zones by opening connections to their runners (``ZoneProber``).
 
-No request is risked for it: a connection is closed as soon as it is open.
+Probes into a suspected zone decide whether it is unreachable. Probes into an
+unreachable zone detect when it is reachable again. A probe sends no request:
+its connection is closed as soon as it is open.
 """
 
 from __future__ import annotations
@@ -18,12 +20,12 @@
     from .backends import Backend
     from .router_state import RouterState
 
-# A connection that is not open after this part of the contact bound counts as failed.
-PROBE_TIMEOUT_PART = 1 / 40
+# Connect timeout of a probe, as a fraction of the contact bound.
+PROBE_TIMEOUT_FRACTION = 1 / 40
 
 
 class ZoneProber:
-    """Judges the zones at each tick, and carries out the probes that are due."""
+    """Updates the reachability of the zones at each tick, and runs the probes that are due."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
@@ -31,18 +33,18 @@
         self._reported: frozenset[str] = frozenset()
 
     def tick(self) -> None:
-        """Time moves on; called every 50 ms."""
+        """Starts the probes that are due and logs changes of reachability; called every 50 ms."""
         zones = self._state.zones
         zones.tick(monotonic())
         for due in zones.due_probes(monotonic()):
-            self._begin(due)
+            self._start_probes(due)
         self._report_changes()
 
-    def _begin(self, due: DueProbe) -> None:
+    def _start_probes(self, due: DueProbe) -> None:
         state = self._state
         backends = [backend for backend in state.backends.by_id.values() if backend.zone == due.zone]
         if not backends:
-            # None is listed any more that could be silent.
+            # A zone without listed runners has none that could fail to respond, so it is no longer suspected.
             state.zones.note_sign(due.zone, monotonic())
             return
         for backend in state.random.sample(backends, min(due.runners, len(backends))):
@@ -58,20 +60,20 @@
             logging.info("zones: unreachable zone=%s silent=%d", zone, unreachable[zone].silent_runners)
         for zone in self._reported - unreachable.keys():
             logging.info("zones: reachable again zone=%s", zone)
-            self._forget_absences(zone)
+            self._clear_absences(zone)
         self._reported = frozenset(unreachable)
 
-    def _forget_absences(self, zone: str) -> None:
+    def _clear_absences(self, zone: str) -> None:
         for backend in self._state.backends.by_id.values():
             if backend.zone == zone:
                 backend.forget_absence()
 
     async def _probe(self, backend: Backend) -> None:
-        """Try to connect to a runner; a connection that opens, or is refused, is a sign of its zone."""
+        """Tries to connect to a runner; a connection that opens or is refused shows that its zone is reachable."""
         host, _, port = backend.address.rpartition(":")
         zones = self._state.zones
         try:
-            connection = await dial(host, int(port), self._state.settings.bounds.contact * PROBE_TIMEOUT_PART)
+            connection = await dial(host, int(port), self._state.settings.bounds.contact * PROBE_TIMEOUT_FRACTION)
         except ConnectionRefusedError:
             zones.note_sign(backend.zone, monotonic())
         except (OSError, TimeoutError):
@@ -81,6 +83,6 @@
             zones.note_sign(backend.zone, monotonic())
 
     def close(self) -> None:
-        """Ends what is under way."""
+        """Cancels the probes in progress."""
         for probe in self._probes:
             probe.cancel()
--- a/tests/router/test_serviceability.py
+++ b/tests/router/test_serviceability.py
@@ -1,7 +1,8 @@
-"""Regression: routers that could reach no runner stayed ready and refused all of their clients.
+"""Regression: routers that could reach no runner stayed ready and rejected all requests.
 
-Nothing got into their zone for 4.7 s, while all but one of its runners had come back as other instances: 489 of 1,400
-requests were refused there, and other zones had routers and runners enough (trouble day of a places deployment).
+No traffic entered their zone for 4.7 s, while all but one of its runners had restarted as new instances. On a day with
+faults in a ``places`` deployment, 489 of 1,400 requests were rejected there, although other zones had enough routers
+and runners.
 """
 
 import asyncio
@@ -17,23 +18,23 @@
 from sparloom.transport import monotonic
 from tests.support.router_fixture import Rig
 
-PATIENCE_S = 3.0 / 8
-LOG = ["readiness: hardly a runner in reach", "readiness: runners in reach again"]
+GRACE_S = 3.0 / 8
+LOG = ["readiness: too few runners reachable", "readiness: enough runners reachable"]
 SECOND = timedelta(seconds=1)
 
 
 class Serviceability(unittest.TestCase):
-    def play(self, story):
+    def run_scenario(self, scenario):
         async def run():
             async with Rig(2) as self.rig:
                 self.backends = list(self.rig.state.backends.by_id.values())
-                await story()
+                await scenario()
 
         with world(1) as loop:
             loop.run_until_complete(run())
 
     async def ready(self, seconds=0.0):
-        """What the platform is told after some seconds of ticks."""
+        """Runs the ticks of some seconds; returns whether the readiness endpoint then reports the router as ready."""
         for _ in range(round(seconds / 0.05)):
             await asyncio.sleep(0.05)
             self.rig.state.serviceability.tick(monotonic())
@@ -45,45 +46,45 @@
         outcome = await client.send("/once/x", f"a{id(client)}")
         return outcome.status, client.open
 
-    def test_a_router_that_reaches_no_runner_is_unready_and_closes_connections_with_its_refusals(self):
-        async def story():
+    def test_a_router_that_reaches_no_runner_is_unready_and_closes_the_connections_of_rejected_requests(self):
+        async def scenario():
             self.assertTrue(await self.ready(1.0))
             for runner in self.rig.runners:
                 runner.script = ["moved"] * 4
             self.assertEqual(await self.send(), (503, True))
-            self.assertTrue(await self.ready(PATIENCE_S - 0.1))
+            self.assertTrue(await self.ready(GRACE_S - 0.1))
             self.assertFalse(await self.ready(0.2))
             self.assertEqual(await self.send(), (503, False))
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_one_runner_in_reach_is_enough_for_eight_and_too_little_for_nine(self):
-        async def story():
+    def test_one_reachable_runner_is_enough_of_eight_but_not_of_nine(self):
+        async def scenario():
             for listed, ready in ((8, True), (9, False)):
-                endpoints = [Endpoint(f"i-{n}", "s", f"127.0.0.1:{n + 1}", "z1", 8, False, 0) for n in range(listed)]
+                endpoints = [Endpoint(f"i-{i}", "s", f"127.0.0.1:{i + 1}", "z1", 8, False, 0) for i in range(listed)]
                 self.rig.state.endpoint_list = EndpointList(endpoints, 1)
                 self.rig.state.update_backends()
                 for backend in list(self.rig.state.backends.by_id.values())[1:]:
                     backend.record_absence(monotonic(), 10 * SECOND)
-                self.assertEqual(await self.ready(PATIENCE_S + 0.1), ready)
+                self.assertEqual(await self.ready(GRACE_S + 0.1), ready)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_runners_that_take_no_requests_do_not_count(self):
-        async def story():
+    def test_draining_runners_do_not_count(self):
+        async def scenario():
             endpoints = [
-                Endpoint(f"i-{n}", "s", f"127.0.0.1:{n + 1}", "z1", 8, draining, 0)
-                for n, draining in enumerate((True, True, False))
+                Endpoint(f"i-{i}", "s", f"127.0.0.1:{i + 1}", "z1", 8, draining, 0)
+                for i, draining in enumerate((True, True, False))
             ]
             self.rig.state.endpoint_list = EndpointList(endpoints, 1)
             self.rig.state.update_backends()
             self.rig.state.backends.by_id["i-2"].record_absence(monotonic(), 10 * SECOND)
-            self.assertFalse(await self.ready(PATIENCE_S + 0.1))
+            self.assertFalse(await self.ready(GRACE_S + 0.1))
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_one_of_two_runners_in_reach_is_enough(self):
-        async def story():
+    def test_one_reachable_runner_of_two_is_enough(self):
+        async def scenario():
             self.backends[0].record_absence(monotonic(), 10 * SECOND)
             self.assertTrue(await self.ready(2.0))
             self.backends[1].record_failure(monotonic(), 10 * SECOND)
@@ -95,10 +96,10 @@
                 self.assertTrue(await self.ready(1.0))
             self.assertEqual([record.getMessage() for record in log.records], LOG)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_runners_in_an_unreachable_zone_are_out_of_reach(self):
-        async def story():
+    def test_runners_in_an_unreachable_zone_are_unreachable(self):
+        async def scenario():
             zones = self.rig.state.zones
             zones.await_sign("i-0", "z1", monotonic(), SECOND, lambda: None)
             self.assertTrue(await self.ready(0.05))
@@ -107,14 +108,14 @@
                 zones.tick(monotonic())
             for runner in ("i-0", "i-1"):
                 zones.note_failed_probe("z1", runner, monotonic())
-            self.assertFalse(await self.ready(PATIENCE_S + 0.1))
+            self.assertFalse(await self.ready(GRACE_S + 0.1))
             zones.note_sign("z1", monotonic())
             self.assertTrue(await self.ready(0.05))
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_the_routers_own_tick_judges_zones_and_readiness(self):
-        async def story():
+    def test_the_routers_tick_updates_zone_reachability_and_readiness(self):
+        async def scenario():
             node = self.rig.state
             node.zones.await_sign("i-0", "z1", monotonic(), SECOND, lambda: None)
             for backend in self.backends:
@@ -126,15 +127,15 @@
             self.assertFalse(await self.ready())
             self.assertGreater(sum(runner.pipes for runner in self.rig.runners), 0)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_a_router_without_a_list_is_not_called_cut_off(self):
-        async def story():
+    def test_a_router_without_listed_runners_does_not_count_as_partitioned(self):
+        async def scenario():
             self.rig.state.backends = type(self.rig.state.backends)()
             await self.ready(2.0)
             self.assertFalse(self.rig.state.serviceability.cut_off)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
 
 if __name__ == "__main__":
