--- a/sparloom/router/__init__.py
+++ b/sparloom/router/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: carries requesters' asks to runners and their replies back."""
+"""The data plane: relays clients' requests to runners and returns their responses."""
--- a/sparloom/router/cold_rate.py
+++ b/sparloom/router/cold_rate.py
@@ -1,11 +1,12 @@
-"""How many requests this router may send to a cold backend within a second.
-
-A backend that has just started bears few requests (``coldPerS`` of its
-service), and the bound on them counts those of all routers together. So each
-router has a share of them that is sure, by the table that the primary keeps
-(``configuration/rate_holders.py``) and never by what others were seen to send:
-with more routers than requests a part of the routers may send none, others for
-each backend. What a router doesn't use of its share is lost.
+"""Rate limit for requests to cold backends (``fleet_limit``, ``ColdSends``).
+
+A backend that has just started can serve few requests (``coldPerS`` of its
+service), and the limit applies to all routers together. Each router therefore
+has a guaranteed share of the limit. The share comes from the primary's table
+(``configuration/rate_holders.py``) and never from the observed traffic of other
+routers. If there are more routers than requests per second, some routers have a
+share of zero for a backend, and which ones differs from backend to backend.
+The unused rest of a share is not passed to other routers.
 """
 
 from __future__ import annotations
@@ -20,12 +21,13 @@
     from sparloom.configuration import Service
     from sparloom.settings import ColdBounds
 
-# The bound is over each second; requests may take this much longer or shorter on their way.
+# Window of the rate limit. The limit applies to each second at the backend; the additional 100 ms allow for differences
+# in transit time.
 WINDOW = timedelta(milliseconds=1100)
 
 
 def fleet_limit(service: Service | None, bounds: ColdBounds) -> int | None:
-    """How many requests all routers together may send to a cold backend within a second; None for any number.
+    """Returns how many requests per second all routers together may send to a cold backend; None for no limit.
 
     >>> from sparloom.configuration import Service
     >>> from sparloom.settings import ColdBounds
@@ -39,7 +41,7 @@
 
 @define(slots=True, eq=False)
 class ColdSends:
-    """The requests that this router sent to one backend a short while ago.
+    """The times of the requests that this router sent to one backend within the last ``WINDOW``.
 
     >>> sends, second = ColdSends(), timedelta(seconds=1)
     >>> sends.note(second)
@@ -50,11 +52,11 @@
     _sent: deque[timedelta] = field(factory=deque)
 
     def allows(self, now: timedelta, limit: int) -> bool:
-        """Whether one more may be sent now, where ``limit`` may be within a second."""
+        """Whether one more request may be sent now, under a limit of ``limit`` requests per second."""
         while self._sent and now - self._sent[0] >= WINDOW:
             self._sent.popleft()
         return len(self._sent) < limit
 
     def note(self, now: timedelta) -> None:
-        """Count a request that is sent now."""
+        """Counts a request that is sent now."""
         self._sent.append(now)
--- a/sparloom/router/program.py
+++ b/sparloom/router/program.py
@@ -1,4 +1,4 @@
-"""Starts and stops the router's services."""
+"""The router program (``Router``): starts and stops the router's services."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class Router(ServingProgram):
-    """A whole router.
+    """A complete router: the node and its front end.
 
     Attributes
     ----------
-    settings: the checked startup file.
-    node: all parts that need no client.
-    front: the address that clients call.
+    settings: the validated startup file.
+    node: the components behind the front end.
+    front: the front end, which serves clients over HTTP.
     """
 
     def __init__(self, settings: Settings, path: str) -> None:
@@ -31,22 +31,22 @@
         self.front = Frontend(settings, self.node)
 
     async def on_start(self) -> None:
-        """Starts the node before the front."""
+        """Starts the node before the front end."""
         await self.add_runtime_dependency(self.node)
         await self.add_runtime_dependency(self.front)
         await self.start_metrics_reporter()
 
     def apply_settings(self, settings: Settings) -> None:
-        """Goes by other checked settings from now on."""
+        """Applies new, validated settings."""
         self.node.use(settings)
         self.settings = self.front.settings = settings
 
     async def graceful_shutdown(self) -> None:
-        """Lets the requests in flight end."""
+        """Waits for the requests in flight to complete."""
         await self.front.drain()
         logging.info("router: stopping")
 
 
 async def serve(settings: Settings, path: str) -> None:
-    """Runs a router until SIGTERM or SIGINT; SIGHUP reads the startup file again."""
+    """Runs a router until SIGTERM or SIGINT; SIGHUP reloads the startup file."""
     await serve_until_signalled(Router(settings, path))
--- a/sparloom/router/relay_server.py
+++ b/sparloom/router/relay_server.py
@@ -1,4 +1,4 @@
-"""Passes the feed on to routers that follow this one."""
+"""Server that relays the feed to routers that follow this one (``RelayServer``)."""
 
 from __future__ import annotations
 
@@ -22,24 +22,26 @@
     from .router_state import RouterState
 
 MS = timedelta(milliseconds=1)
-# Parts of the contact bound.
-HEARTBEAT_PART = 10
-WRITE_TIMEOUT_PART = 3
-# A relay passes heartbeats on as they come; by itself it waits longer than its source does.
-HEARTBEAT_SLACK = 1.5
+# The heartbeat interval of a source is the contact bound divided by this.
+HEARTBEAT_DIVISOR = 10
+# The timeout for a follower's subscription, and for writes to it, is the contact bound divided by this.
+WRITE_TIMEOUT_DIVISOR = 3
+# Factor by which a relay's own heartbeat interval exceeds its source's. A relay forwards heartbeats as they arrive, and
+# sends one of its own only when its source is late.
+HEARTBEAT_INTERVAL_FACTOR = 1.5
 
 
 class RelayServer(Service):
     """Serves followers while this router itself follows a controller; a source for ``serve_follower``.
 
     The port is not bound early: a router that is not ready to serve should
-    reject followers at once, so that they go on to the next one.
+    reject followers at once, so that they try the next one.
 
     Attributes
     ----------
-    write_timeout: how long a follower may take no byte, or take to subscribe.
+    write_timeout: the longest time that a follower may accept no byte, or that it may take to subscribe.
     followers: the node name of each follower by its connection.
-    server: the listening server; None where the port is taken or before the start.
+    server: the listening server; None before the start, or if the port is in use.
     """
 
     def __init__(self, state: RouterState, feed_client: FeedClient) -> None:
@@ -47,23 +49,23 @@
         contact_bound = state.settings.bounds.contact
         self.router_state = state
         self.feed_client = feed_client
-        self.write_timeout = contact_bound / WRITE_TIMEOUT_PART
+        self.write_timeout = contact_bound / WRITE_TIMEOUT_DIVISOR
         self.server: asyncio.Server | None = None
         self.followers: dict[Frames, str] = {}
-        self._heartbeat_interval = contact_bound / HEARTBEAT_PART * HEARTBEAT_SLACK
+        self._heartbeat_interval = contact_bound / HEARTBEAT_DIVISOR * HEARTBEAT_INTERVAL_FACTOR
 
     @property
     def store(self) -> VersionedStore:
-        """What is served: what this router itself has."""
+        """The state that is served, which is this router's own."""
         return self.feed_client.store
 
     @property
     def change_signal(self) -> ChangeSignal:
-        """Notified of changes and of each heartbeat from above."""
+        """Notified of changes and of each heartbeat from the source that this router follows."""
         return self.feed_client.change_signal
 
     async def on_start(self) -> None:
-        """Listens; where the port is taken this router simply doesn't serve."""
+        """Listens for followers; if the port is in use, this router serves none."""
         settings = self.router_state.settings
         address = Address(settings.ip, settings.router_port)
         try:
@@ -72,7 +74,7 @@
             self.server = None
 
     async def on_stop(self) -> None:
-        """Ends all connections."""
+        """Closes the server and all connections."""
         if self.server:
             self.server.close()
         for frames in list(self.followers):
@@ -83,15 +85,15 @@
         return self.feed_client.upstream.can_serve() and not self.should_stop
 
     def heartbeat_interval(self) -> timedelta:
-        """How long a follower waits for a heartbeat when none comes from above."""
+        """Returns the interval of this relay's own heartbeats, which it sends when none arrives from its source."""
         return self._heartbeat_interval
 
     def newest_configuration(self) -> tuple[int, int]:
-        """The version of the newest configuration that this router has or has heard of."""
+        """Returns the newest configuration version that this router has or that a heartbeat has announced."""
         return self.feed_client.newest_configuration()
 
     def confirmation_age_ms(self) -> int:
-        """Milliseconds since the primary was confirmed, as known here; it grows while this router is partitioned."""
+        """Returns the milliseconds since the last known confirmation of the primary; grows during a partition."""
         age = self._last_confirmed_age_ms()
         return UNCONFIRMED if age is None else min(UNCONFIRMED - 1, age)
 
@@ -104,7 +106,7 @@
         try:
             async with asyncio.timeout(self.write_timeout.total_seconds()):
                 first = await frames.read()
-            if isinstance(first, Subscribe) and self._has_room():
+            if isinstance(first, Subscribe) and self._accepts_followers():
                 self.followers[frames] = first.node
                 await serve_follower(frames, first.versions, self)
         except (OSError, EOFError, DecodeError, TimeoutError, asyncio.CancelledError):
@@ -113,11 +115,11 @@
             self.followers.pop(frames, None)
             frames.close()
 
-    def _has_room(self) -> bool:
+    def _accepts_followers(self) -> bool:
         return self.is_open() and len(self.followers) < self.feed_client.upstream.follower_limit()
 
     def told(self) -> dict[str, Any]:
-        """This router's place in the tier, for its beliefs (a JSON object)."""
+        """Returns this router's position in the relay tier, for the beliefs endpoint (a JSON object)."""
         upstream = self.feed_client.upstream
         return {
             "follows": upstream.parent,
--- a/sparloom/router/usage_reporter.py
+++ b/sparloom/router/usage_reporter.py
@@ -1,7 +1,7 @@
-"""Counts the requests of tenants as they begin, and reports them by datagram.
+"""Usage reports of a router (``UsageReporter``): counts tenants' requests as they start, and reports them by datagram.
 
-Reports go to the primary, which names the controllers that may follow it:
-those are told the same, so that nothing is lost with a primary.
+Reports go to the primary, which names its standby controllers. The same
+reports go to the standbys, so that a failure of the primary loses no counts.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
     from .membership_service import MembershipService
     from .router_state import RouterState
 
-# A controller that has not replied for so many intervals is left for the next one.
+# Report intervals without a reply after which the router tries the next controller.
 UNANSWERED_INTERVALS = 3
 
 
 class UsageReporter:
-    """This router's part of the duties: what it counts, and what it has in hand.
+    """This router's part of the duties: reports its counts of started requests, and its load per scaled service.
 
     Attributes
     ----------
-    counter: what began, by window and tenant.
-    clock: the true time.
+    counter: the started requests by window and tenant.
+    clock: estimates the true time from exchanges with the primary.
     """
 
     def __init__(self, state: RouterState, membership: MembershipService, queues: AdmissionQueues) -> None:
@@ -42,12 +42,12 @@
         self._primary: str | None = None
         self._standbys: tuple[str, ...] = ()
         self._clock_source = ""
-        self._turn = 0
+        self._next_index = 0
         self._sent_at = timedelta(0)
         self._replied_at = timedelta(0)
 
     def on_began(self, tenant: str) -> None:
-        """A request of a tenant has begun to run: its first part has come."""
+        """Counts a request of a tenant that has started to run: the first chunk of its answer has arrived."""
         if tenant and self._state.settings.duties.reports_usage:
             self.counter.add(self._window(), tenant)
 
@@ -60,13 +60,13 @@
         return interval
 
     def tick(self) -> None:
-        """Send a report if one is due."""
+        """Sends reports if they are due."""
         now = monotonic()
         if now - self._sent_at >= self._interval():
             self.send(now)
 
     def send(self, now: timedelta) -> None:
-        """Send reports now, to the primary and to those that may follow it."""
+        """Sends reports now, to the primary and to its standbys."""
         if now - self._replied_at > self._interval() * UNANSWERED_INTERVALS:
             self._primary, self._replied_at = self._next_controller(), now
         if self._primary is None:
@@ -95,13 +95,13 @@
         )
 
     def _next_controller(self) -> str | None:
-        """The controllers in turn; each router begins with another one."""
+        """Returns the next controller in round-robin order; the start of the rotation differs between routers."""
         alive = sorted(peer.key for peer in self._membership.swim.alive() if peer.role == CONTROLLER)
-        known = alive or sorted(self._state.seeds)
-        if not known:
+        candidates = alive or sorted(self._state.seeds)
+        if not candidates:
             return None
-        self._turn += 1
-        return known[(self._turn + self._state.instance_id) % len(known)]
+        self._next_index += 1
+        return candidates[(self._next_index + self._state.instance_id) % len(candidates)]
 
     def _loads(self) -> list[ServiceLoad]:
         configuration = self._state.configuration
@@ -111,7 +111,7 @@
         return [ServiceLoad(name, *self._queues.load(name)) for name in scaled]
 
     def on_message(self, source: str, message: Record) -> None:
-        """Take a message, if it is a controller's reply to the newest report; earlier ones tell nothing more."""
+        """Handles a controller's reply to the newest report; other messages and replies are ignored."""
         if isinstance(message, UsageReply):
             self._on_reply(source, message)
 
@@ -126,7 +126,7 @@
             self._primary = reply.primary or self._next_controller()
 
     def _on_primary_reply(self, source: str, reply: UsageReply, now: timedelta) -> None:
-        """The primary tells the true time, who may follow it, and what is decided."""
+        """Applies the primary's reply: the true time, its standbys, and the last window that is decided."""
         if source != self._clock_source:
             self._clock_source = source
             self.clock.forget_exchanges()
