--- a/sparloom/router/job_channel.py
+++ b/sparloom/router/job_channel.py
@@ -1,4 +1,8 @@
-"""The router's connection to the job primary: finds it, keeps one connection, and matches replies to calls."""
+"""The router's calls to the job primary (``JobChannel``).
+
+The channel finds the primary, maintains one connection to it, and matches
+replies to calls.
+"""
 
 from __future__ import annotations
 
@@ -22,20 +26,21 @@
     from .router_state import RouterState
 
 DIAL_TIMEOUT = timedelta(milliseconds=500)
-STALL_TIMEOUT = timedelta(seconds=1)
-# A call that is not answered within this is made again, on another connection.
+# Timeout for writes on the connection.
+WRITE_TIMEOUT = timedelta(seconds=1)
+# A call without a reply for this time is retried on another connection.
 REPLY_TIMEOUT_S = 1.5
-# Between two looks for the primary, in seconds.
-RETRY_PAUSE_S = 0.05
+# Delay between two attempts to find the primary.
+RETRY_DELAY_S = 0.05
 MAXIMUM_CALL_NUMBER = 0xFFFFFFFF
 CONNECTION_ERRORS = (OSError, EOFError, DecodeError, TimeoutError)
 
 
 class JobChannelError(SparloomError):
-    """A call brought no reply; ``may_have_run`` tells whether it may have taken effect."""
+    """A call got no reply before its deadline; ``may_have_run`` states whether it may have taken effect."""
 
     def __init__(self, may_have_run: bool) -> None:
-        super().__init__("no job primary has replied in time")
+        super().__init__("no reply from a job primary before the deadline")
         self.may_have_run = may_have_run
 
 
@@ -50,8 +55,9 @@
 class _Connection:
     """One connection with the calls that wait for a reply on it.
 
-    It numbers its calls itself, at the moment of sending: a number that was
-    taken before a wait could be that of another call after it.
+    The connection assigns the number of each call when it sends the call. A
+    number that was assigned before an ``await`` could by then belong to another
+    call.
     """
 
     def __init__(self, frames: Frames) -> None:
@@ -65,19 +71,19 @@
             while True:
                 reply = await self.frames.read()
                 if isinstance(reply, JobReply):
-                    self._settle(reply)
+                    self._resolve(reply)
         except CONNECTION_ERRORS:
             pass
         finally:
             self.close()
 
-    def _settle(self, reply: JobReply) -> None:
-        """Hand a reply to the call that it answers.
+    def _resolve(self, reply: JobReply) -> None:
+        """Pass a reply to the call with its number.
 
         Raises
         ------
         DecodeError
-            It names another question than the call of its number asked.
+            The reply names another action or job than the call with its number.
         """
         pending = self.pending.get(reply.number)
         if pending is None:
@@ -88,19 +94,19 @@
             pending.reply.set_result(reply)
 
     def _next_number(self) -> int:
-        """Return a number that no pending call on this connection has."""
+        """Return a number that no pending call on this connection uses."""
         while True:
             self._last_number = (self._last_number + 1) & MAXIMUM_CALL_NUMBER
             if self._last_number not in self.pending:
                 return self._last_number
 
     async def call(self, call: JobCall, timeout_s: float) -> JobReply:
-        """Return the reply to a call, whose own number is replaced.
+        """Send a call, with its number replaced, and return the reply.
 
         Raises
         ------
         EOFError, OSError, TimeoutError
-            No reply came.
+            No reply arrived.
         """
         number = self._next_number()
         # mypy can't see that ``record`` makes attrs classes.
@@ -109,24 +115,24 @@
         self.pending[number] = _PendingCall(numbered, future)
         try:
             async with asyncio.timeout(timeout_s):
-                await self.frames.write(numbered, STALL_TIMEOUT)
+                await self.frames.write(numbered, WRITE_TIMEOUT)
                 return await future
         finally:
             self.pending.pop(number, None)
 
     def close(self) -> None:
-        """Close the connection; those that wait are told."""
+        """Close the connection; pending calls fail with ``EOFError``."""
         self.reader.cancel()
         self.frames.close()
         for pending in self.pending.values():
             if not pending.reply.done():
-                pending.reply.set_exception(EOFError("the connection to the job primary ended"))
+                pending.reply.set_exception(EOFError("connection to the job primary closed"))
 
 
 class JobChannel:
-    """Makes calls to the job primary, whichever member that is.
+    """Makes calls to the job primary, whichever controller that is.
 
-    Every call may be made again without harm, since a job is known by its id.
+    Calls are idempotent, since a job is identified by its ID, so every call may be retried.
     """
 
     def __init__(self, state: RouterState, membership: MembershipService) -> None:
@@ -134,7 +140,7 @@
         self._connection: _Connection | None = None
         self._connecting = asyncio.Lock()
         self._primary = ""
-        self._turn = 0
+        self._next_index = 0
 
     def close(self) -> None:
         """Close the connection."""
@@ -143,22 +149,22 @@
             self._connection = None
 
     async def call(self, call: JobCall, deadline: timedelta) -> JobReply:
-        """Return the primary's reply, found on the monotonic clock by a deadline.
+        """Return the primary's reply; ``deadline`` is a time on the monotonic clock.
 
         Raises
         ------
         JobChannelError
-            None came in time.
+            No reply arrived before the deadline.
         """
         may_have_run = False
-        while (left_s := (deadline - monotonic()).total_seconds()) > 0:
-            connection = await self._connect(left_s)
+        while (remaining_s := (deadline - monotonic()).total_seconds()) > 0:
+            connection = await self._connect(remaining_s)
             if connection is None:
-                await asyncio.sleep(min(left_s, RETRY_PAUSE_S))
+                await asyncio.sleep(min(remaining_s, RETRY_DELAY_S))
                 continue
             may_have_run_before, may_have_run = may_have_run, True
             try:
-                reply = await connection.call(call, min(left_s, REPLY_TIMEOUT_S))
+                reply = await connection.call(call, min(remaining_s, REPLY_TIMEOUT_S))
             except CONNECTION_ERRORS:
                 self._drop(connection)
                 continue
@@ -168,7 +174,7 @@
             self._drop(connection)
             self._primary = reply.text
             if not reply.text:
-                await asyncio.sleep(min(left_s, RETRY_PAUSE_S))
+                await asyncio.sleep(min(remaining_s, RETRY_DELAY_S))
         raise JobChannelError(may_have_run)
 
     def _drop(self, connection: _Connection) -> None:
@@ -177,20 +183,20 @@
             self._connection, self._primary = None, ""
 
     def _next_address(self) -> str | None:
-        """The primary's address if it was named, else one controller after the other."""
+        """Return the address of the primary if a reply named it, else of the next controller in round-robin order."""
         if self._primary:
             address, self._primary = self._primary, ""
             return address
         alive = [peer.key for peer in self._membership.swim.alive() if peer.role == CONTROLLER]
-        known = sorted({*alive, *(() if alive else self._state.seeds)})
-        if not known:
+        candidates = sorted({*alive, *(() if alive else self._state.seeds)})
+        if not candidates:
             return None
-        self._turn += 1
-        host = known[(self._turn + self._state.instance_id) % len(known)].rpartition(":")[0]
+        self._next_index += 1
+        host = candidates[(self._next_index + self._state.instance_id) % len(candidates)].rpartition(":")[0]
         return f"{host}:{self._state.settings.job_port}"
 
-    async def _connect(self, left_s: float) -> _Connection | None:
-        """The connection, opened if there is none; None where that fails."""
+    async def _connect(self, remaining_s: float) -> _Connection | None:
+        """Return the open connection, or dial a new one; None if that fails."""
         async with self._connecting:
             if self._connection is not None and not self._connection.reader.done():
                 return self._connection
@@ -199,7 +205,7 @@
                 return None
             host, _, port = address.rpartition(":")
             try:
-                frames = await dial(host, int(port), min(DIAL_TIMEOUT, timedelta(seconds=left_s)))
+                frames = await dial(host, int(port), min(DIAL_TIMEOUT, timedelta(seconds=remaining_s)))
             except CONNECTION_ERRORS:
                 return None
             self._connection = _Connection(frames)
--- a/sparloom/router/job_requests.py
+++ b/sparloom/router/job_requests.py
@@ -1,4 +1,4 @@
-"""Clients' calls about jobs: read from HTTP, handed to the job primary, answered."""
+"""HTTP handler for clients' job requests (``JobRequests``): forwards them to the job primary and returns its reply."""
 
 from __future__ import annotations
 
@@ -23,32 +23,34 @@
 
 JOB_ID_DIGITS = 16
 RETRY_AFTER = {"Retry-After": "0.3"}
-# A call without a deadline is answered within this; one with a deadline a little before it.
-DEFAULT_TIME = timedelta(seconds=3)
+# Timeout of a request that states no deadline.
+DEFAULT_TIMEOUT = timedelta(seconds=3)
+# Time before the deadline by which a request is answered.
 ANSWER_MARGIN = timedelta(milliseconds=60)
-# The part of its time that a call may spend on finding the primary: the client may then still try elsewhere.
-SEARCH_PART = 0.6
+# Fraction of the remaining time for which the call to the primary is tried. The client can use the rest to retry on
+# another router.
+CALL_TIME_FRACTION = 0.6
 
 _ACTIONS = {"POST": JobAction.SUBMIT, "GET": JobAction.SHOW, "DELETE": JobAction.CANCEL}
 
 
-def _answer(status: int, body: dict[str, object] | None = None, retry: bool = False) -> web.Response:
+def _json_response(status: int, body: dict[str, object] | None = None, retry: bool = False) -> web.Response:
     raw = json.dumps(body or {}, separators=(",", ":")).encode()
     headers = RETRY_AFTER if retry else None
     return web.Response(status=status, body=raw, content_type="application/json", headers=headers)
 
 
 def refuse() -> web.Response:
-    """Return the answer to a call that was not carried out and never will be.
+    """Return the response to a request that has not been executed and will not be.
 
     >>> refuse().status
     503
     """
-    return _answer(HTTPStatus.SERVICE_UNAVAILABLE, retry=True)
+    return _json_response(HTTPStatus.SERVICE_UNAVAILABLE, retry=True)
 
 
 def job_id(text: str) -> int | None:
-    """Return the job's id in the rest of a path; None where it is none.
+    """Return the job ID that a path ends with; None if it is malformed.
 
     >>> job_id("00000000000000ab"), job_id("ab"), job_id("zz000000000000ab")
     (171, None, None)
@@ -59,7 +61,7 @@
 
 
 class JobRequests:
-    """Answers the calls of the queues that the configuration names."""
+    """Answers the requests to the job queues that the configuration defines."""
 
     def __init__(self, state: RouterState, channel: JobChannel) -> None:
         self._state, self._channel = state, channel
@@ -69,14 +71,14 @@
         self._channel.close()
 
     async def answer(self, http_request: web.BaseRequest, body: bytes, route: Route) -> web.Response:
-        """Answer a call whose path and host lead to a queue."""
-        rest = http_request.raw_path.partition("?")[0].removeprefix(route.prefix)
-        action = JobAction.COUNT if not rest and http_request.method == "GET" else _ACTIONS.get(http_request.method)
-        job = 0 if action is JobAction.COUNT else job_id(rest)
+        """Answer a request whose host and path match the route of a queue."""
+        suffix = http_request.raw_path.partition("?")[0].removeprefix(route.prefix)
+        action = JobAction.COUNT if not suffix and http_request.method == "GET" else _ACTIONS.get(http_request.method)
+        job = 0 if action is JobAction.COUNT else job_id(suffix)
         if action is None:
-            return _answer(HTTPStatus.METHOD_NOT_ALLOWED)
+            return _json_response(HTTPStatus.METHOD_NOT_ALLOWED)
         if job is None:
-            return _answer(HTTPStatus.NOT_FOUND, {"error": f"a job's id has {JOB_ID_DIGITS} hex digits"})
+            return _json_response(HTTPStatus.NOT_FOUND, {"error": f"a job's id has {JOB_ID_DIGITS} hex digits"})
         configuration = self._state.configuration
         if configuration is None:
             return refuse()
@@ -84,12 +86,12 @@
         service = configuration.services.get(call.policy.service)
         if action is JobAction.SUBMIT and service is not None and not service.supported:
             return refuse()
-        time_left = time_remaining(http_request.headers, DEFAULT_TIME) - ANSWER_MARGIN
+        remaining = time_remaining(http_request.headers, DEFAULT_TIMEOUT) - ANSWER_MARGIN
         try:
-            reply = await self._channel.call(call, monotonic() + time_left * SEARCH_PART)
+            reply = await self._channel.call(call, monotonic() + remaining * CALL_TIME_FRACTION)
         except JobChannelError as error:
             uncertain = error.may_have_run and action in (JobAction.SUBMIT, JobAction.CANCEL)
-            return _answer(HTTPStatus.GATEWAY_TIMEOUT) if uncertain else refuse()
+            return _json_response(HTTPStatus.GATEWAY_TIMEOUT) if uncertain else refuse()
         return self._response(action, reply)
 
     @staticmethod
@@ -101,15 +103,15 @@
     @staticmethod
     def _response(action: JobAction, reply: JobReply) -> web.Response:
         if reply.outcome == JobOutcome.GONE:
-            return _answer(HTTPStatus.GONE)
+            return _json_response(HTTPStatus.GONE)
         if reply.outcome == JobOutcome.INVALID:
-            return _answer(HTTPStatus.BAD_REQUEST, {"error": reply.text})
+            return _json_response(HTTPStatus.BAD_REQUEST, {"error": reply.text})
         if reply.outcome == JobOutcome.UNKNOWN:
-            return _answer(HTTPStatus.GATEWAY_TIMEOUT)
+            return _json_response(HTTPStatus.GATEWAY_TIMEOUT)
         if reply.outcome != JobOutcome.OK:
             return refuse()
         if action is JobAction.SHOW:
-            return _answer(HTTPStatus.OK, {"state": JobState(reply.state).name.lower()})
+            return _json_response(HTTPStatus.OK, {"state": JobState(reply.state).name.lower()})
         if action is JobAction.COUNT:
-            return _answer(HTTPStatus.OK, {"queued": reply.count})
-        return _answer(HTTPStatus.OK)
+            return _json_response(HTTPStatus.OK, {"queued": reply.count})
+        return _json_response(HTTPStatus.OK)
--- a/tests/router/test_job_channel.py
+++ b/tests/router/test_job_channel.py
@@ -1,8 +1,8 @@
-"""Which reply a call about a job gets, over loopback.
+"""Tests of the matching of replies to job calls, over loopback.
 
-In a rehearsal a job that was being served was shown as completed: two calls
-that waited for one connection went out under one number, and the first reply
-settled the second call.
+Regression: a running job was shown as completed. Two calls that waited for the
+same connection were sent with the same number, and the second call got the
+first call's reply. Seen in a simulated run.
 """
 
 import asyncio
@@ -17,24 +17,25 @@
 from sparloom.transport import Frames, dial, monotonic
 
 POLICY = QueuePolicy(1, "s", 0, 3)
-DIAL_S = 0.02
-REPLY_S = 0.01
-LONG = timedelta(seconds=20)
+DIAL_DELAY_S = 0.02
+REPLY_DELAY_S = 0.01
+CALL_TIMEOUT = timedelta(seconds=20)
 
 
-def show(job):
+def show_call(job):
     return JobCall(0, JobAction.SHOW, job, "h /q/", POLICY, b"")
 
 
 class SlowPrimary:
-    """Answers each call with the job's own number as its count, late, in an order that a test may choose."""
+    """A job primary that answers each call with its job ID as the count, after a delay that a test may set."""
 
     def __init__(self):
         self.calls = []
         self.connections = []
-        self.delay_s = lambda call: REPLY_S
+        self.delay_s = lambda call: REPLY_DELAY_S
         self.drop_after = None
-        self.foreign = set()
+        # Jobs whose next reply names another job.
+        self.misnamed_jobs = set()
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -62,8 +63,8 @@
     async def reply(self, frames, call):
         await asyncio.sleep(self.delay_s(call))
         job = call.job
-        if call.job in self.foreign:
-            self.foreign.discard(call.job)
+        if call.job in self.misnamed_jobs:
+            self.misnamed_jobs.discard(call.job)
             job = call.job + 1000
         text = f"{JobAction(call.action).name} {job:016x}"
         await frames.write(JobReply(call.number, JobOutcome.OK, 0, job, text))
@@ -87,63 +88,63 @@
 
     @staticmethod
     async def slow_dial(host, port, _timeout):
-        await asyncio.sleep(DIAL_S)
-        return await dial(host, port, LONG)
+        await asyncio.sleep(DIAL_DELAY_S)
+        return await dial(host, port, CALL_TIMEOUT)
 
     async def count(self, job):
-        return (await self.channel.call(show(job), monotonic() + LONG)).count
+        return (await self.channel.call(show_call(job), monotonic() + CALL_TIMEOUT)).count
 
-    async def assert_own_replies(self, jobs):
+    async def assert_matching_replies(self, jobs):
         self.assertEqual(await asyncio.gather(*map(self.count, jobs)), list(jobs))
 
 
-class OwnReplies(JobChannelCase):
-    async def test_calls_that_wait_for_one_connection_get_their_own_replies(self):
-        self.primary.delay_s = lambda call: REPLY_S * call.job
-        await self.assert_own_replies(range(1, 6))
+class MatchingReplies(JobChannelCase):
+    async def test_calls_that_wait_for_one_connection_get_matching_replies(self):
+        self.primary.delay_s = lambda call: REPLY_DELAY_S * call.job
+        await self.assert_matching_replies(range(1, 6))
 
-    async def test_replies_that_pass_each_other(self):
-        self.primary.delay_s = lambda call: REPLY_S * (8 - call.job)
-        await self.assert_own_replies(range(1, 8))
+    async def test_replies_in_reverse_order(self):
+        self.primary.delay_s = lambda call: REPLY_DELAY_S * (8 - call.job)
+        await self.assert_matching_replies(range(1, 8))
 
-    async def test_a_connection_that_drops_amid_calls(self):
+    async def test_a_connection_that_is_closed_with_calls_pending(self):
         self.primary.drop_after = 4
-        await self.assert_own_replies(range(1, 6))
+        await self.assert_matching_replies(range(1, 6))
         self.assertEqual(len(self.primary.connections), 2)
 
-    async def test_a_call_whose_caller_has_left_gives_its_number_to_no_other(self):
-        self.primary.delay_s = lambda call: REPLY_S * (5 if call.job == 1 else 9)
+    async def test_the_number_of_a_cancelled_call_is_not_reused(self):
+        self.primary.delay_s = lambda call: REPLY_DELAY_S * (5 if call.job == 1 else 9)
         first = asyncio.ensure_future(self.count(1))
         async with asyncio.timeout(5):
             while not self.primary.calls:
                 await asyncio.sleep(0.001)
         first.cancel()
-        # The late reply to the first comes while these wait.
-        await self.assert_own_replies((2, 3))
+        # The late reply to the first call arrives while these calls wait.
+        await self.assert_matching_replies((2, 3))
 
-    async def test_a_call_given_up_after_its_time_out_gives_its_number_to_no_other(self):
-        self.primary.delay_s = lambda call: 0.3 if call.job == 1 and len(self.primary.calls) == 1 else REPLY_S
+    async def test_the_number_of_a_call_that_timed_out_is_not_reused(self):
+        self.primary.delay_s = lambda call: 0.3 if call.job == 1 and len(self.primary.calls) == 1 else REPLY_DELAY_S
         with mock.patch.object(job_channel, "REPLY_TIMEOUT_S", 0.1):
-            await self.assert_own_replies((1,))
-            await self.assert_own_replies((2, 3))
+            await self.assert_matching_replies((1,))
+            await self.assert_matching_replies((2, 3))
 
-    async def test_no_number_is_in_use_twice_on_a_connection(self):
-        self.primary.delay_s = lambda call: REPLY_S * (call.job % 3)
+    async def test_concurrent_calls_on_a_connection_have_different_numbers(self):
+        self.primary.delay_s = lambda call: REPLY_DELAY_S * (call.job % 3)
         await asyncio.gather(*map(self.count, range(1, 30)))
         numbers = [call.number for call in self.primary.calls]
         self.assertEqual(len(numbers), len(set(numbers)))
 
 
-class ForeignReplies(JobChannelCase):
-    async def test_a_reply_that_names_another_job_ends_the_connection_and_the_call_is_made_again(self):
-        self.primary.foreign.add(7)
-        await self.assert_own_replies((7,))
+class MismatchedReplies(JobChannelCase):
+    async def test_a_reply_that_names_another_job_closes_the_connection_and_the_call_is_retried(self):
+        self.primary.misnamed_jobs.add(7)
+        await self.assert_matching_replies((7,))
         self.assertEqual([call.job for call in self.primary.calls], [7, 7])
         self.assertEqual(len(self.primary.connections), 2)
 
-    async def test_a_reply_of_a_program_that_names_no_question_is_taken(self):
+    async def test_a_reply_without_a_call_summary_is_accepted(self):
         async def reply(frames, call):
             await frames.write(JobReply(call.number, JobOutcome.OK, 0, call.job, ""))
 
         self.primary.reply = reply
-        await self.assert_own_replies((1, 2))
+        await self.assert_matching_replies((1, 2))
