--- a/sparloom/router/router_state.py
+++ b/sparloom/router/router_state.py
@@ -108,15 +108,15 @@
         uptime = monotonic() - self.started_at
         return self.confirmed or uptime > self.settings.bounds.contact * UNCONFIRMED_READY_MULTIPLE
 
-    def record_primary_confirmation(self, at: timedelta) -> None:
+    def record_primary_confirmation(self, confirmed_at: timedelta) -> None:
         """Records that the primary was confirmed at a time, and that all that it had published by then is applied."""
         previous = self.primary_confirmed_at
-        self.primary_confirmed_at = at if previous is None else max(previous, at)
+        self.primary_confirmed_at = confirmed_at if previous is None else max(previous, confirmed_at)
 
-    def note_configuration(self, at: timedelta) -> None:
+    def note_configuration(self, confirmed_at: timedelta) -> None:
         """Records that this router's configuration was the newest one at a time."""
         previous = self.configuration_confirmed_at
-        self.configuration_confirmed_at = at if previous is None else max(previous, at)
+        self.configuration_confirmed_at = confirmed_at if previous is None else max(previous, confirmed_at)
 
     def configuration_age(self, now: timedelta) -> timedelta:
         """Returns the time for which this router's configuration may have been out of date."""
