--- a/sparloom/consensus/store.py
+++ b/sparloom/consensus/store.py
@@ -12,7 +12,7 @@
 
 FILE = "ledger.db"
 JOURNAL = FILE + "-journal"
-SET_ASIDE = FILE + ".unreadable"
+UNREADABLE_FILE = FILE + ".unreadable"
 PRAGMAS = (
     # Prevents a second process from writing to the file.
     "locking_mode=EXCLUSIVE",
@@ -108,7 +108,7 @@
             # SQLite would roll a remaining journal back into the new file.
             with contextlib.suppress(OSError):
                 os.remove(os.path.join(folder, JOURNAL))
-            os.replace(os.path.join(folder, FILE), os.path.join(folder, SET_ASIDE))
+            os.replace(os.path.join(folder, FILE), os.path.join(folder, UNREADABLE_FILE))
             return cls(folder)
 
     def load(self) -> tuple[Register, Data] | None:
--- a/sparloom/controller/durable_writer.py
+++ b/sparloom/controller/durable_writer.py
@@ -12,7 +12,7 @@
 from absl import logging
 
 from sparloom.consensus import Store
-from sparloom.consensus.store import SET_ASIDE
+from sparloom.consensus.store import UNREADABLE_FILE
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -62,7 +62,7 @@
     @property
     def set_aside(self) -> bool:
         """Whether the folder contains an unreadable file that was set aside."""
-        return os.path.exists(os.path.join(self.folder, SET_ASIDE))
+        return os.path.exists(os.path.join(self.folder, UNREADABLE_FILE))
 
     async def load(self) -> tuple[Register, Data] | None:
         """Returns the stored register and data, or None if there are none; retries until the disk responds."""
--- a/tests/controller/test_durable_writer.py
+++ b/tests/controller/test_durable_writer.py
@@ -7,7 +7,7 @@
 import unittest
 
 from sparloom.consensus import EMPTY, Data, Register, Save, Store
-from sparloom.consensus.store import FILE, SET_ASIDE
+from sparloom.consensus.store import FILE, UNREADABLE_FILE
 from sparloom.controller.durable_writer import DurableWriter
 
 DATA = Data(7, 1, 3, b"xyz")
@@ -95,7 +95,7 @@
         with open(os.path.join(self.folder, FILE), "r+b") as file:
             file.write(b"torn" * 1024)
         self.assertIsNone(self.load_from_disk())
-        self.assertIn(SET_ASIDE, os.listdir(self.folder))
+        self.assertIn(UNREADABLE_FILE, os.listdir(self.folder))
 
     def test_a_register_with_an_unknown_layout_is_not_loaded(self):
         self.save_to_disk(register(7, copy_version=7), DATA)
--- a/tests/golden_names.py
+++ b/tests/golden_names.py
@@ -62,7 +62,7 @@
     headers.REQUEST_URGENCY,
     headers.LAST_EVENT_ID,
 )
-FILE_NAMES = (store.FILE, store.SET_ASIDE, remember.FILE)
+FILE_NAMES = (store.FILE, store.UNREADABLE_FILE, remember.FILE)
 START_PLACES = (checks.VARIABLE, checks.DEFAULT)
 LARGEST_BODY = control.MAXIMUM_BODY_BYTES
 RETRY_AFTER = control.RETRY_AFTER
--- a/tests/support/agreed_store.py
+++ b/tests/support/agreed_store.py
@@ -94,13 +94,13 @@
         return data
 
 
-class AgreedNode:
+class ControllerNode:
     """One controller that uses the store; subclasses define the service that it runs."""
 
     def __init__(self, group, name):
         self.group, self.name, self.luck = group, name, group.luck
         self.settings = evolve(group.settings, node=name)
-        self.cut, self.cut_at, self.thawed = False, timedelta(0), asyncio.Event()
+        self.cut, self.partitioned_at, self.thawed = False, timedelta(0), asyncio.Event()
         self.thawed.set()
         self.service = None
 
@@ -129,7 +129,7 @@
         self.writer.on_committed(data)
 
 
-class AgreedGroup:
+class ControllerGroup:
     """Base class of groups of nodes; subclasses define ``nodes``, ``store`` and ``luck``."""
 
     def leader(self):
@@ -140,7 +140,7 @@
         """Elects a node as leader in the next epoch."""
         node.lead(self.store.epoch + 1)
 
-    def elect_other(self):
+    def elect_any_available(self):
         """Elects a random node among those that can lead."""
         candidates = [node for node in self.nodes if node.service is not None and not node.cut and node.thawed.is_set()]
         if candidates:
--- a/tests/support/duty_group.py
+++ b/tests/support/duty_group.py
@@ -22,7 +22,7 @@
 from sparloom.transport import monotonic
 from sparloom.usage import ServiceLoad, UsageChannel, UsageCounter, UsageReport, window_number
 from sparloom.usage.clock import microseconds
-from tests.support.agreed_store import AgreedGroup, AgreedNode, Store
+from tests.support.agreed_store import ControllerGroup, ControllerNode, Store
 from tests.support.router_fixture import POLICY, STARTUP
 
 # Maximum time between a quorum's confirmation and the call that it is for.
@@ -81,7 +81,7 @@
         self.node = node
 
     async def _post(self, path, fence, body):
-        partitioned_for = monotonic() - self.node.cut_at if self.node.cut else timedelta(0)
+        partitioned_for = monotonic() - self.node.partitioned_at if self.node.cut else timedelta(0)
         if partitioned_for > MAX_CONFIRMATION_AGE:
             self.node.group.unconfirmed_calls.append((self.node.name, fence))
         self.node.group.check_alternation(self.node.name)
@@ -91,7 +91,7 @@
         return result_from_status(status or 500)
 
 
-class Node(AgreedNode):
+class Node(ControllerNode):
     """One controller that runs a duty service."""
 
     async def start(self):
@@ -156,7 +156,7 @@
         return reply
 
 
-class DutyGroup(AgreedGroup):
+class DutyGroup(ControllerGroup):
     """Nodes, routers and a platform, under faults drawn from a seed."""
 
     def __init__(self, seed, nodes=3, routers=3):
@@ -256,7 +256,7 @@
             await asyncio.sleep(self.luck.uniform(0.5, 2.0))
             leader = next((node for node in self.nodes if node.name == self.store.leader), None)
             if leader is None or leader.service is None or leader.cut or not leader.thawed.is_set():
-                self.elect_other()
+                self.elect_any_available()
             elif leader.consensus.believed is None:
                 self.elect(leader)
 
@@ -279,7 +279,7 @@
 
     async def cut(self):
         node = self.leader()
-        node.cut, node.cut_at = True, monotonic()
+        node.cut, node.partitioned_at = True, monotonic()
         await asyncio.sleep(self.luck.uniform(0.2, 6.0))
         node.cut = False
         await self.notice(node, DEPOSED_NOTICE_S)
@@ -287,7 +287,7 @@
     async def transfer(self):
         """Leadership moves to another node and soon returns, which the lease must cover."""
         node = self.leader()
-        self.elect_other()
+        self.elect_any_available()
         asyncio.ensure_future(self.notice(node, DEPOSED_NOTICE_S))
         await asyncio.sleep(self.luck.uniform(0.05, 1.5))
         if node.service is not None and node.thawed.is_set() and not node.cut:
--- a/tests/support/rollout_group.py
+++ b/tests/support/rollout_group.py
@@ -32,7 +32,7 @@
 from sparloom.router.rollout_watcher import RolloutWatcher
 from sparloom.settings import from_dict
 from sparloom.transport import monotonic
-from tests.support.agreed_store import AgreedGroup, AgreedNode, Store
+from tests.support.agreed_store import ControllerGroup, ControllerNode, Store
 from tests.support.router_fixture import POLICY, STARTUP
 
 SETTINGS = {
@@ -81,7 +81,7 @@
     listed: bool = True
 
 
-class Node(AgreedNode):
+class Node(ControllerNode):
     """One controller."""
 
     async def start(self):
@@ -176,7 +176,7 @@
         return not failed
 
 
-class RolloutGroup(AgreedGroup):
+class RolloutGroup(ControllerGroup):
     """Three controllers, several routers, and runners of an old and a new version."""
 
     def __init__(self, seed, defect=None, routers=10, rate=8.0, duration_s=14.0):
@@ -339,7 +339,7 @@
         while True:
             await asyncio.sleep(self.luck.uniform(0.5, 2.0))
             if not self.has_working_leader():
-                self.elect_other()
+                self.elect_any_available()
 
     def elect(self, node):
         """A leader change counts as a disruption of the controllers."""
@@ -420,7 +420,7 @@
     async def transfer_leadership(self):
         """Another node becomes the leader; the old one notices after a delay."""
         node = self.leader()
-        self.elect_other()
+        self.elect_any_available()
         asyncio.ensure_future(self.notice(node, STEP_DOWN_WITHIN_S))
 
     async def freeze_routers(self):
