--- a/sparloom/controller/change_requests.py
+++ b/sparloom/controller/change_requests.py
@@ -72,7 +72,7 @@
 
     NEW = "the change is valid and not committed yet"
     ALREADY_COMMITTED = "the change was committed before"
-    FORGOTTEN = "the change may have been committed before"
+    POSSIBLY_COMMITTED = "the change may have been committed before"
     STALE = "the base of the change is not the current revision"
     INVALID = "the change is invalid on its base"
     CONFLICT = "a conflicting change is in progress"
@@ -198,7 +198,7 @@
     if _was_committed(state, request):
         return Judgement(Verdict.ALREADY_COMMITTED)
     if state.history.may_have_dropped(request.revision, request.base):
-        return Judgement(Verdict.FORGOTTEN)
+        return Judgement(Verdict.POSSIBLY_COMMITTED)
     if request.base != state.revision:
         return Judgement(Verdict.STALE)
     if request.revision <= state.revision:
--- a/sparloom/controller/configuration_writer.py
+++ b/sparloom/controller/configuration_writer.py
@@ -23,7 +23,7 @@
 
 from .change_requests import ChangeRequest, StateUpdate, Verdict, judge
 from .control_state import State
-from .evacuation_orders import EvacuationOrder, judge_evacuation
+from .evacuation_orders import EvacuationOrder, evaluate_evacuation
 from .offload import is_large, run_offloaded
 
 if TYPE_CHECKING:
@@ -260,7 +260,7 @@
         while deadline.remaining() and is_client_waiting():
             if self.pending is not None:
                 pending = self.pending
-                committed = await self._committed_in_time(pending, deadline)
+                committed = await self._is_committed_by_deadline(pending, deadline)
                 if request.is_retry_of(pending.request):
                     return Acknowledged(pending.state.revision) if committed else OutcomeUnknown()
                 continue
@@ -276,7 +276,7 @@
         return OutcomeUnknown()
 
     @staticmethod
-    async def _committed_in_time(pending: PendingWrite, deadline: Deadline) -> bool:
+    async def _is_committed_by_deadline(pending: PendingWrite, deadline: Deadline) -> bool:
         """Whether a write is known to be committed by the deadline."""
         task = pending.committed
         done, _ = await asyncio.wait({task}, timeout=deadline.remaining().total_seconds())
@@ -284,7 +284,7 @@
 
     async def _evaluate(self, request: AnyChange, state: State) -> Judgement:
         if isinstance(request, EvacuationOrder):
-            return judge_evacuation(state, request)
+            return evaluate_evacuation(state, request)
         if isinstance(request, StateUpdate):
             return request.judge(state)
         is_slow = is_large(state.configuration) or is_large(request.change)
@@ -298,7 +298,7 @@
         judgement = await self._evaluate(request, snapshot.state)
         if judgement.verdict is Verdict.ALREADY_COMMITTED:
             return Acknowledged(request.revision if isinstance(request, ChangeRequest) else snapshot.state.revision)
-        if judgement.verdict is Verdict.FORGOTTEN:
+        if judgement.verdict is Verdict.POSSIBLY_COMMITTED:
             return OutcomeUnknown()
         if judgement.verdict is Verdict.STALE:
             return Stale(snapshot.state.revision)
--- a/sparloom/controller/evacuation_orders.py
+++ b/sparloom/controller/evacuation_orders.py
@@ -63,12 +63,12 @@
     return f"the zone {zone} is unknown" if known and zone not in known else None
 
 
-def judge_evacuation(state: State, order: EvacuationOrder) -> Judgement:
+def evaluate_evacuation(state: State, order: EvacuationOrder) -> Judgement:
     """Evaluates an order against a committed state.
 
     >>> from .control_state import State
-    >>> first = judge_evacuation(State({}), EvacuationOrder("z", True))
-    >>> first.verdict.name, judge_evacuation(first.state, EvacuationOrder("z", True)).verdict.name
+    >>> first = evaluate_evacuation(State({}), EvacuationOrder("z", True))
+    >>> first.verdict.name, evaluate_evacuation(first.state, EvacuationOrder("z", True)).verdict.name
     ('NEW', 'ALREADY_COMMITTED')
     """
     if (order.zone in state.evacuated) is order.evacuate:
--- a/sparloom/controller/rollout_updates.py
+++ b/sparloom/controller/rollout_updates.py
@@ -35,7 +35,7 @@
     """
     if isinstance(update, OrderRollout) and not state.revision:
         # Before the first configuration the set of services is unknown.
-        return Judgement(Verdict.FORGOTTEN)
+        return Judgement(Verdict.POSSIBLY_COMMITTED)
     if isinstance(update, OrderRollout) and not _is_configured(state, update.service):
         return Judgement(Verdict.UNKNOWN_NAME, fault=f"the configuration has no service {update.service}")
     before = state.rollouts or RolloutsState()
--- a/tests/controller/test_control_api.py
+++ b/tests/controller/test_control_api.py
@@ -237,7 +237,7 @@
             judge(state, parse_change_request("PUT", base, json.dumps(change).encode()).unwrap()).verdict
             for base, change in changes
         ]
-        self.assertEqual(verdicts, [Verdict.ALREADY_COMMITTED, Verdict.FORGOTTEN, Verdict.NEW])
+        self.assertEqual(verdicts, [Verdict.ALREADY_COMMITTED, Verdict.POSSIBLY_COMMITTED, Verdict.NEW])
         with self.assertRaises(ControlStateError):
             State.unpack(b"\x09" + bytes(40))
 
--- a/tests/evacuation/test_evacuation_orders.py
+++ b/tests/evacuation/test_evacuation_orders.py
@@ -7,7 +7,7 @@
 from sparloom.configuration import build
 from sparloom.controller.change_requests import Verdict
 from sparloom.controller.control_state import VERSION, VERSION_WITH_EVACUATIONS, State
-from sparloom.controller.evacuation_orders import EvacuationOrder, judge_evacuation, zone_fault
+from sparloom.controller.evacuation_orders import EvacuationOrder, evaluate_evacuation, zone_fault
 from sparloom.feed import CONFIGURATION, NO_VERSION, Change
 from sparloom.feed.payload import apply_change, encode_delta, encode_state
 from tests.controller.test_control_api import ControlApiCase, FakeRequest, revision
@@ -43,7 +43,7 @@
             (evacuated, False, Verdict.NEW),
         ):
             with self.subTest(evacuate=evacuate, evacuated=state.evacuated):
-                self.assertIs(judge_evacuation(state, EvacuationOrder("z", evacuate)).verdict, verdict)
+                self.assertIs(evaluate_evacuation(state, EvacuationOrder("z", evacuate)).verdict, verdict)
 
     def test_unknown_and_overlong_zone_names_are_rejected(self):
         self.assertEqual(zone_fault("y", {"z": "r"}), "the zone y is unknown")
--- a/tests/rollouts/test_state.py
+++ b/tests/rollouts/test_state.py
@@ -58,7 +58,7 @@
 
     def test_orders_are_checked_against_the_configuration(self):
         configured = State({"revision": 1, "services": [{"name": "s"}]})
-        self.assertEqual(evaluate_rollout_update(State({}), ORDER).verdict.name, "FORGOTTEN")
+        self.assertEqual(evaluate_rollout_update(State({}), ORDER).verdict.name, "POSSIBLY_COMMITTED")
         self.assertEqual(evaluate_rollout_update(configured, ORDER).verdict.name, "NEW")
         self.assertEqual(evaluate_rollout_update(configured, OrderRollout("t", "v2", 1)).verdict.name, "UNKNOWN_NAME")
 
--- a/tests/simulator/test_history.py
+++ b/tests/simulator/test_history.py
@@ -109,7 +109,7 @@
         self.assertIn("4 held, 0 did not", done.stdout)
 
     def test_a_handler_that_acknowledges_before_the_write_is_caught(self):
-        self.assertIsNotNone(self.caught("_committed_in_time", staticmethod(_acknowledged_early)))
+        self.assertIsNotNone(self.caught("_is_committed_by_deadline", staticmethod(_acknowledged_early)))
 
     def test_reads_and_refusals_without_confirmation_are_caught(self):
         self.assertIsNotNone(self.caught("confirmed", _unconfirmed))
@@ -129,7 +129,7 @@
 
     def test_an_evacuation_that_is_acknowledged_and_not_written_is_caught(self):
         taken = Judgement(Verdict.ALREADY_COMMITTED)
-        self.assertIsNotNone(self.caught("judge_evacuation", lambda _state, _order: taken, configuration_writer))
+        self.assertIsNotNone(self.caught("evaluate_evacuation", lambda _state, _order: taken, configuration_writer))
 
     def test_a_handler_that_goes_by_the_number_alone_is_caught(self):
         with mock.patch("sparloom.controller.configuration_writer.judge", _number_only):
