--- a/simulator/check/duties.py
+++ b/simulator/check/duties.py
@@ -17,7 +17,7 @@
 from attrs import evolve, frozen
 
 from sparloom.duties import DecidedWindow, DutyState, DutyUpdate, ScaleOrder
-from sparloom.duties.lease import first_act
+from sparloom.duties.lease import earliest_action
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -136,7 +136,7 @@
     node = world.node(name)
     committed = DutyUpdate(name, claim=True, first_window=FIRST_WINDOW).apply(world.committed)
     assert committed is not None, "a claim follows on any state"
-    acts_from = first_act(name, committed.previous_holder, node.acts_from, world.now, WAIT)
+    acts_from = earliest_action(name, committed.previous_holder, node.acts_from, world.now, WAIT)
     claimed = DutyNode(name, committed.usage_fence, acts_from)
     return evolve(world.with_node(claimed), committed=committed, leader=name, elections=world.elections + 1)
 
--- a/sparloom/controller/duty_service.py
+++ b/sparloom/controller/duty_service.py
@@ -21,7 +21,7 @@
 from mode import Service
 
 from sparloom.duties import DecidedWindow, DutyState, DutyUpdate, ScaleOrder
-from sparloom.duties.lease import first_act
+from sparloom.duties.lease import earliest_action
 from sparloom.duties.scaling import ScalePolicy, total_demand
 from sparloom.duties.state import MAX_PENDING_WINDOWS
 from sparloom.membership import ROUTER
@@ -218,7 +218,7 @@
         self.collector.decide(claimed.next_window - 1)
         duties = self.settings.duties
         wait = duties.lease + duties.thaw_slack
-        term.active_from = first_act(node, claimed.previous_holder, self._active_from, monotonic(), wait)
+        term.active_from = earliest_action(node, claimed.previous_holder, self._active_from, monotonic(), wait)
         self._active_from = term.active_from
         term.usage_fence = claimed.usage_fence
         wait_ms = max(0.0, (term.active_from - monotonic()).total_seconds()) * 1000
--- a/sparloom/controller/platform_calls.py
+++ b/sparloom/controller/platform_calls.py
@@ -20,8 +20,8 @@
     from sparloom.duties import DecidedWindow, ScaleOrder
     from sparloom.settings import Settings
 
-HOLDER = "X-Sparloom-Duty-Holder"
-FENCE = "X-Sparloom-Fence-Number"
+HOLDER_HEADER = "X-Sparloom-Duty-Holder"
+FENCE_HEADER = "X-Sparloom-Fence-Number"
 USAGE_PATH = "/usage"
 SCALE_PATH = "/scale"
 # Maximum call rate of this node, as a fraction of the rate that the platform allows to all nodes together.
@@ -95,7 +95,7 @@
         if self._session is None:
             timeout = aiohttp.ClientTimeout(total=self._timeout.total_seconds())
             self._session = open_session(Connector(), timeout=timeout)
-        headers = {HOLDER: self._settings.node, FENCE: str(fence), "Content-Type": "application/json"}
+        headers = {HOLDER_HEADER: self._settings.node, FENCE_HEADER: str(fence), "Content-Type": "application/json"}
         data = json.dumps(body, separators=(",", ":")).encode()
         url = f"http://{platform.address}{path}"
         try:
--- a/sparloom/duties/lease.py
+++ b/sparloom/duties/lease.py
@@ -8,7 +8,7 @@
     from datetime import timedelta
 
 
-def first_act(
+def earliest_action(
     node: str, previous_holder: str, own_earliest_action: timedelta | None, now: timedelta, wait: timedelta
 ) -> timedelta:
     """Return the earliest time at which a node may act after committing its claim now.
@@ -32,11 +32,11 @@
 
     >>> from datetime import timedelta
     >>> second = timedelta(seconds=1)
-    >>> first_act("a", "b", None, 5 * second, 3 * second) == 8 * second
+    >>> earliest_action("a", "b", None, 5 * second, 3 * second) == 8 * second
     True
-    >>> first_act("a", "a", 8 * second, 6 * second, 3 * second) == 8 * second
+    >>> earliest_action("a", "a", 8 * second, 6 * second, 3 * second) == 8 * second
     True
-    >>> first_act("a", "", None, 5 * second, 3 * second) == 5 * second
+    >>> earliest_action("a", "", None, 5 * second, 3 * second) == 5 * second
     True
     """
     if not previous_holder:
--- a/sparloom/router/usage_reporter.py
+++ b/sparloom/router/usage_reporter.py
@@ -129,7 +129,7 @@
         """Applies the primary's reply: the true time, its standbys, and the last window that is decided."""
         if source != self._clock_source:
             self._clock_source = source
-            self.clock.forget_exchanges()
+            self.clock.clear_exchanges()
         self._primary, self._standbys, self._replied_at = source, tuple(reply.standbys), now
         self.clock.on_exchange(reply.sent_at_us * MICROSECOND, now, reply.true_us)
         self.counter.decide(reply.decided_through)
--- a/sparloom/usage/clock.py
+++ b/sparloom/usage/clock.py
@@ -79,7 +79,7 @@
         self._exchanges.append((round_trip, true_us + round_trip // 2 - microseconds(now)))
         self._offset_us = min(self._exchanges)[1]
 
-    def forget_exchanges(self) -> None:
+    def clear_exchanges(self) -> None:
         """Drop the recent exchanges after a change of collector, whose time may differ; the offset remains in use."""
         self._exchanges.clear()
 
--- a/tests/simulator/test_duty_model.py
+++ b/tests/simulator/test_duty_model.py
@@ -40,14 +40,14 @@
         self.assertEqual((report.found, report.states), ("", 25_000))
 
     def test_a_holder_that_does_not_wait_for_the_lease_is_found(self):
-        with mock.patch.object(duties, "first_act", lambda node, previous, own, now, wait: now):
+        with mock.patch.object(duties, "earliest_action", lambda node, previous, own, now, wait: now):
             self.assertIn("within the lease", self.found())
 
     def test_a_second_claim_that_forgets_the_wait_of_the_first_is_found(self):
         def forgetful(node, previous, own, now, wait):
             return now if previous in ("", node) else now + wait
 
-        with mock.patch.object(duties, "first_act", forgetful):
+        with mock.patch.object(duties, "earliest_action", forgetful):
             self.assertIn("within the lease", self.found(100_000))
 
     def test_fences_that_are_not_new_are_found(self):
--- a/tests/test_wire_table.py
+++ b/tests/test_wire_table.py
@@ -27,7 +27,7 @@
         for path in (platform_calls.USAGE_PATH, platform_calls.SCALE_PATH):
             self.assertRegex(self.page(), rf"\| `POST {path}` \| platform[^|]* \| served \|")
         header_row = next(line for line in self.page().splitlines() if line.endswith("| sent with calls of duties |"))
-        for header in (platform_calls.HOLDER, platform_calls.FENCE):
+        for header in (platform_calls.HOLDER_HEADER, platform_calls.FENCE_HEADER):
             self.assertIn(f"`{header}`", header_row)
         self.assertIn(f"| duties `{USAGE_DUTY}`, `{SCALING_DUTY}` | served |", self.page())
 
