--- a/sparloom/controller/job_answers.py
+++ b/sparloom/controller/job_answers.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from sparloom.scheduler.jobs import Job, queue_checksum
-from sparloom.scheduler.messages import JobAction, JobOutcome, JobReply, JobState, question_of
+from sparloom.scheduler.messages import JobAction, JobOutcome, JobReply, JobState, call_summary
 from sparloom.scheduler.specification import parse_job
 
 from .job_term import wall_clock_ms
@@ -32,7 +32,7 @@
 
 
 def _reply(call: JobCall, outcome: JobOutcome, state: int = 0, count: int = 0, text: str = "") -> JobReply:
-    return JobReply(call.number, outcome, state, count, text or question_of(call))
+    return JobReply(call.number, outcome, state, count, text or call_summary(call))
 
 
 async def _submit(term: JobTerm, call: JobCall, wake: asyncio.Event) -> JobReply:
--- a/sparloom/router/job_channel.py
+++ b/sparloom/router/job_channel.py
@@ -15,7 +15,7 @@
 from sparloom.codec import DecodeError
 from sparloom.errors import SparloomError
 from sparloom.membership import CONTROLLER
-from sparloom.scheduler.messages import JobOutcome, JobReply, answers, question_of
+from sparloom.scheduler.messages import JobOutcome, JobReply, answers, call_summary
 from sparloom.transport import dial, monotonic
 
 if TYPE_CHECKING:
@@ -89,7 +89,7 @@
         if pending is None:
             return
         if not answers(pending.call, reply):
-            raise DecodeError(f"expected a reply to {question_of(pending.call)}, found {reply.text}")
+            raise DecodeError(f"expected a reply to {call_summary(pending.call)}, found {reply.text}")
         if not pending.reply.done():
             pending.reply.set_result(reply)
 
--- a/sparloom/scheduler/messages.py
+++ b/sparloom/scheduler/messages.py
@@ -119,7 +119,7 @@
         The number of waiting jobs, for ``COUNT``.
     text
         What is wrong (``INVALID``), or the primary's HOST:PORT if it is known (``NOT_PRIMARY``); otherwise the
-        summary of the call that is answered (``question_of``), which older programs leave empty.
+        summary of the call that is answered (``call_summary``), which older programs leave empty.
     """
 
     number: UInt32
@@ -129,10 +129,10 @@
     text: str
 
 
-def question_of(call: JobCall) -> str:
+def call_summary(call: JobCall) -> str:
     """Return a summary of a call, which its reply repeats.
 
-    >>> question_of(JobCall(1, JobAction.SHOW, 171, "h /q/", QueuePolicy(1, "s", 0, 3), b""))
+    >>> call_summary(JobCall(1, JobAction.SHOW, 171, "h /q/", QueuePolicy(1, "s", 0, 3), b""))
     'SHOW 00000000000000ab'
     """
     return f"{JobAction(call.action).name} {call.job:016x}"
@@ -153,7 +153,7 @@
         return True
     if reply.outcome == JobOutcome.INVALID:
         return call.action == JobAction.SUBMIT
-    return reply.text in ("", question_of(call))
+    return reply.text in ("", call_summary(call))
 
 
 @record(117)
