--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -65,7 +65,7 @@
     COMPLETE = "the response was complete"
     FAILED = "the backend returned a server error, an incomplete response or none"
     NOT_RUN = "the backend did not run the request"
-    BROKEN_OFF_HERE = "the client disconnected, or a hedged attempt replaced this one"
+    ABANDONED = "the client disconnected, or a hedged attempt replaced this one"
 
 
 class Attempt:
@@ -80,7 +80,7 @@
     connected: False once no connection could be opened, so that no byte of the request left the router.
     in_flight_before: requests of all routers that were in flight at the backend before this one.
     timed_out: whether this router stopped waiting for the backend.
-    first_part_at, last_part_at: when the first and the last chunk of the response arrived.
+    first_chunk_at, last_chunk_at: when the first and the last chunk of the response arrived.
     parts: the number of chunks; chunks are recorded only while rollouts are watched.
     inactivity: the timer that detects an unresponsive backend.
     """
@@ -100,8 +100,8 @@
         self.in_flight_before = choice.in_flight
         self._response: aiohttp.ClientResponse | None = None
         self._asked_at = monotonic()
-        self.first_part_at: timedelta | None = None
-        self.last_part_at: timedelta | None = None
+        self.first_chunk_at: timedelta | None = None
+        self.last_chunk_at: timedelta | None = None
         self.parts = 0
         self.timed_out = False
         self.connected = True
@@ -126,10 +126,10 @@
         """When the request was sent; before that, when the attempt was created."""
         return self._asked_at
 
-    def note_part(self, now: timedelta) -> None:
+    def record_chunk(self, now: timedelta) -> None:
         """Record the arrival of a chunk of the response."""
-        self.first_part_at = now if self.first_part_at is None else self.first_part_at
-        self.last_part_at = now
+        self.first_chunk_at = now if self.first_chunk_at is None else self.first_chunk_at
+        self.last_chunk_at = now
         self.parts += 1
 
     @property
--- a/sparloom/router/backends.py
+++ b/sparloom/router/backends.py
@@ -169,7 +169,7 @@
         """
         self.absent_until = now + duration
 
-    def forget_absence(self) -> None:
+    def clear_absence(self) -> None:
         """Clear the absence after its whole zone was unreachable, since failed connections then show nothing."""
         self.absent_until = NOT_SUSPECTED
 
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -160,7 +160,7 @@
 
     async def _run_attempt(self, attempt: Attempt) -> Verdict | None:
         """Run an attempt and report its end to the rollout watcher; return None if its response is complete."""
-        rollouts, end = self._services.rollouts, AttemptEnd.BROKEN_OFF_HERE
+        rollouts, end = self._services.rollouts, AttemptEnd.ABANDONED
         if rollouts is not None:
             rollouts.on_sent(attempt.backend)
         try:
@@ -181,7 +181,7 @@
             return AttemptEnd.COMPLETE
         # A hedged attempt may have ended the wait for this one before the deadline.
         if attempt.timed_out and self._time_left() > ZERO:
-            return AttemptEnd.BROKEN_OFF_HERE
+            return AttemptEnd.ABANDONED
         return AttemptEnd.FAILED
 
     async def _open_and_relay(self, attempt: Attempt) -> Verdict | None:
@@ -263,7 +263,7 @@
         """Handle data from the backend: its attempt goes on, and a hedged attempt is cancelled."""
         attempt.inactivity.record_progress()
         if self._services.rollouts is not None:
-            attempt.note_part(monotonic())
+            attempt.record_chunk(monotonic())
         if not self._start_reported and attempt.response.status == OK:
             self._start_reported = True
             if self._services.usage is not None:
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -110,7 +110,7 @@
     # -- listening ----------------------------------------------------------------
     async def on_start(self) -> None:
         """Listen on both addresses."""
-        readiness = web.Server(self._answer_platform, access_log=None)
+        readiness = web.Server(self._handle_platform_request, access_log=None)
         await self.serve(readiness, bind(_require_address(self.settings.listen.readiness, "readiness")))
         await self.serve_clients(bind(_require_address(self.settings.listen.front, "front")))
 
@@ -158,7 +158,7 @@
         return self.stopping or self.node.serviceability.cut_off
 
     # -- the platform -------------------------------------------------------------
-    async def _answer_platform(self, http_request: web.BaseRequest) -> web.Response:
+    async def _handle_platform_request(self, http_request: web.BaseRequest) -> web.Response:
         if http_request.path == BELIEFS_PATH:
             return web.json_response(self.beliefs())
         if http_request.path != READY_PATH:
--- a/sparloom/router/rollout_watcher.py
+++ b/sparloom/router/rollout_watcher.py
@@ -177,7 +177,7 @@
         slow = None if self._has_load_step_pace(watch, attempt, on_trial) else self._is_slow(attempt, route, on_trial)
         if watch is None or ended is AttemptEnd.NOT_RUN:
             return
-        answered = ended is not AttemptEnd.BROKEN_OFF_HERE
+        answered = ended is not AttemptEnd.ABANDONED
         if not answered and slow is None:
             return
         loaded = attempt.in_flight_before >= max(1, backend.slots) * LOADED_SLOT_FRACTION
@@ -201,8 +201,8 @@
             return None
         pace = measure_pace(
             attempt.asked_at,
-            attempt.first_part_at,
-            attempt.last_part_at,
+            attempt.first_chunk_at,
+            attempt.last_chunk_at,
             attempt.parts,
             is_stream=route.kind == "streaming",
         )
--- a/sparloom/router/zone_prober.py
+++ b/sparloom/router/zone_prober.py
@@ -66,7 +66,7 @@
     def _clear_absences(self, zone: str) -> None:
         for backend in self._state.backends.by_id.values():
             if backend.zone == zone:
-                backend.forget_absence()
+                backend.clear_absence()
 
     async def _probe(self, backend: Backend) -> None:
         """Tries to connect to a runner; a connection that opens or is refused shows that its zone is reachable."""
--- a/tests/rollouts/test_watcher.py
+++ b/tests/rollouts/test_watcher.py
@@ -127,8 +127,8 @@
             backend=backend,
             in_flight_before=before,
             asked_at=self.now,
-            first_part_at=self.now + 60 * MS,
-            last_part_at=self.now + 60 * MS + pace * (parts - 1),
+            first_chunk_at=self.now + 60 * MS,
+            last_chunk_at=self.now + 60 * MS + pace * (parts - 1),
             parts=parts,
         )
         self.watcher.on_ended(attempt, route, ended)
@@ -160,8 +160,8 @@
         self.apply(document())
         for _ in range(8):
             self.end("a")
-        self.end("b", AttemptEnd.BROKEN_OFF_HERE, pace=200 * MS)
-        self.end("b", AttemptEnd.BROKEN_OFF_HERE, parts=0)
+        self.end("b", AttemptEnd.ABANDONED, pace=200 * MS)
+        self.end("b", AttemptEnd.ABANDONED, parts=0)
         self.assertEqual(self.tallies()[True, False], (0, 0, 1, 1))
 
     def test_the_pace_of_a_loaded_runner_is_not_compared(self):
--- a/tests/router/test_serviceability.py
+++ b/tests/router/test_serviceability.py
@@ -38,7 +38,7 @@
         for _ in range(round(seconds / 0.05)):
             await asyncio.sleep(0.05)
             self.rig.state.serviceability.tick(monotonic())
-        answer = await self.rig.front._answer_platform(type("Asked", (), {"path": READY_PATH})())
+        answer = await self.rig.front._handle_platform_request(type("Asked", (), {"path": READY_PATH})())
         return answer.status == 200
 
     async def send(self):
--- a/tests/support/rollout_group.py
+++ b/tests/support/rollout_group.py
@@ -167,8 +167,8 @@
             backend=backend,
             in_flight_before=in_flight_before,
             asked_at=asked_at,
-            first_part_at=asked_at + pace,
-            last_part_at=asked_at + pace * CHUNKS,
+            first_chunk_at=asked_at + pace,
+            last_chunk_at=asked_at + pace * CHUNKS,
             parts=0 if failed else CHUNKS,
         )
         route_kind = SimpleNamespace(name=route, kind="streaming")
