--- a/sparloom/controller/control_api.py
+++ b/sparloom/controller/control_api.py
@@ -22,7 +22,7 @@
 from returns.pipeline import is_successful
 from returns.result import Failure, Result, Success
 
-from sparloom.discovery.zones import services_without_runners, zone_figures
+from sparloom.discovery.zones import services_without_runners, zone_counts
 from sparloom.feed import CONFIGURATION, ENDPOINTS
 from sparloom.metrics.reporter import process_figures
 from sparloom.settings import SettingsError
@@ -392,7 +392,7 @@
                 "runners": list(feed.store.version(ENDPOINTS)),
                 "revision": configuration["revision"] if configuration else 0,
                 "evacuated": sorted(feed.evacuated_zones() or ()),
-                "zones": zone_figures(endpoints, feed.evacuated_zones() or ()),
+                "zones": zone_counts(endpoints, feed.evacuated_zones() or ()),
                 "fleet": {endpoint.id: "draining" if endpoint.draining else "ready" for endpoint in endpoints},
                 "members": {peer.key: MEMBER_STATES[peer.state] for peer in peers},
                 "view": self._view(),
--- a/sparloom/controller/rollout_api.py
+++ b/sparloom/controller/rollout_api.py
@@ -10,7 +10,7 @@
 
 from returns.result import Failure, Result, Success
 
-from sparloom.discovery import SEPARATOR
+from sparloom.discovery import POOL_SEPARATOR
 from sparloom.rollouts.updates import OrderRollout
 from sparloom.transport import wall_clock_ms
 
@@ -58,7 +58,7 @@
 
 
 def _is_name(value: Any) -> bool:
-    return isinstance(value, str) and 0 < len(value) <= MAXIMUM_NAME_LENGTH and min(value) > SEPARATOR
+    return isinstance(value, str) and 0 < len(value) <= MAXIMUM_NAME_LENGTH and min(value) > POOL_SEPARATOR
 
 
 def _duration_ms(value: Any) -> int | None:
--- a/sparloom/discovery/__init__.py
+++ b/sparloom/discovery/__init__.py
@@ -1,7 +1,7 @@
 """Service discovery: the platform's list of runners, polled by the primary controller."""
 
 from .endpoints import (
-    SEPARATOR,
+    POOL_SEPARATOR,
     Endpoint,
     EndpointDelta,
     EndpointList,
@@ -17,7 +17,7 @@
 )
 
 __all__ = [
-    "SEPARATOR",
+    "POOL_SEPARATOR",
     "Endpoint",
     "EndpointDelta",
     "EndpointList",
--- a/sparloom/discovery/endpoints.py
+++ b/sparloom/discovery/endpoints.py
@@ -23,7 +23,7 @@
 # Calls are made at half the rate that the platform allows.
 RATE_LIMIT_DIVISOR = 2
 # Separates service and version in the name of a pool. Names written by operators don't contain it.
-SEPARATOR = "\x1f"
+POOL_SEPARATOR = "\x1f"
 
 
 def pool_name(service: str, version: str) -> str:
@@ -32,7 +32,7 @@
     >>> service_of(pool_name("s", "v2")), version_of(pool_name("s", "v2"))
     ('s', 'v2')
     """
-    return f"{service}{SEPARATOR}{version}"
+    return f"{service}{POOL_SEPARATOR}{version}"
 
 
 def service_of(pool: str) -> str:
@@ -41,7 +41,7 @@
     >>> service_of("s")
     's'
     """
-    return pool.partition(SEPARATOR)[0]
+    return pool.partition(POOL_SEPARATOR)[0]
 
 
 def version_of(pool: str) -> str:
@@ -50,7 +50,7 @@
     >>> version_of("s")
     ''
     """
-    return pool.partition(SEPARATOR)[2]
+    return pool.partition(POOL_SEPARATOR)[2]
 
 
 @record(70)
--- a/sparloom/discovery/zones.py
+++ b/sparloom/discovery/zones.py
@@ -12,7 +12,7 @@
     from .endpoints import Endpoint
 
 
-def zone_figures(endpoints: Iterable[Endpoint], evacuated: Collection[str]) -> dict[str, dict[str, Any]]:
+def zone_counts(endpoints: Iterable[Endpoint], evacuated: Collection[str]) -> dict[str, dict[str, Any]]:
     """Returns for each zone whether it is evacuated, and its numbers of listed, draining and cold runners.
 
     Parameters
@@ -22,7 +22,7 @@
     evacuated
         The evacuated zones; included even if they have no listed runner.
 
-    >>> zone_figures([], ["z"])
+    >>> zone_counts([], ["z"])
     {'z': {'evacuated': True, 'runners': 0, 'draining': 0, 'cold': 0}}
     """
     listed = sorted(endpoints, key=lambda endpoint: endpoint.zone)
--- a/sparloom/load_balancing/zone_reachability.py
+++ b/sparloom/load_balancing/zone_reachability.py
@@ -41,7 +41,7 @@
 
 
 @define(eq=False, slots=True)
-class AwaitedSign:
+class AwaitedActivity:
     """A call that waits for its runner to open a connection or send data.
 
     Attributes
@@ -76,12 +76,12 @@
     ----------
     since
         When it became unreachable.
-    silent_runners
+    unresponsive_runners
         Number of its runners with overdue calls when it was suspected.
     """
 
     since: timedelta
-    silent_runners: int
+    unresponsive_runners: int
 
 
 @define(slots=True)
@@ -90,13 +90,13 @@
 
     Attributes
     ----------
-    silent_runners
+    unresponsive_runners
         Number of its runners with overdue calls.
     failed
         Ids of the runners whose probes failed.
     """
 
-    silent_runners: int
+    unresponsive_runners: int
     failed: set[str] = field(factory=set)
 
 
@@ -131,16 +131,16 @@
     >>> zones = ZoneReachability(
     ...     maximum_tick_gap=150 * ms, probe_interval=250 * ms, global_inactivity_timeout=1000 * ms
     ... )
-    >>> wait = zones.await_sign("a", "z1", timedelta(0), 200 * ms, lambda: None)
+    >>> wait = zones.await_activity("a", "z1", timedelta(0), 200 * ms, lambda: None)
     >>> for now in range(0, 250, 50):
-    ...     zones.note_sign("z2", now * ms); zones.tick(now * ms)
+    ...     zones.note_activity("z2", now * ms); zones.tick(now * ms)
     >>> zones.due_probes(250 * ms)
     [DueProbe(zone='z1', runners=2)]
     >>> for runner in ("b", "c"):
     ...     zones.note_failed_probe("z1", runner, 350 * ms)
     >>> zones.is_unreachable("z1"), zones.is_unreachable("z2")
     (True, False)
-    >>> zones.note_sign("z1", 400 * ms); zones.is_unreachable("z1")
+    >>> zones.note_activity("z1", 400 * ms); zones.is_unreachable("z1")
     False
     """
 
@@ -149,8 +149,8 @@
     global_inactivity_timeout: timedelta
     unreachable: dict[str, UnreachableZone] = field(factory=dict)
     suspected: dict[str, SuspectedZone] = field(factory=dict)
-    _awaited: dict[str, dict[AwaitedSign, None]] = field(factory=dict)
-    _abandoned: list[AwaitedSign] = field(factory=list)
+    _awaited: dict[str, dict[AwaitedActivity, None]] = field(factory=dict)
+    _abandoned: list[AwaitedActivity] = field(factory=list)
     _last_activity: dict[str, timedelta] = field(factory=dict)
     _last_probes: dict[str, timedelta] = field(factory=dict)
     _ticked_at: timedelta | None = None
@@ -159,26 +159,26 @@
         """Returns whether a zone is currently unreachable."""
         return zone in self.unreachable
 
-    def await_sign(
+    def await_activity(
         self, runner: str, zone: str, now: timedelta, timeout: timedelta, on_unreachable: Callable[[], None]
-    ) -> AwaitedSign:
+    ) -> AwaitedActivity:
         """Registers a call that waits for a runner. It is overdue after ``timeout`` without activity."""
-        awaited = AwaitedSign(runner, zone, now, timeout, on_unreachable)
+        awaited = AwaitedActivity(runner, zone, now, timeout, on_unreachable)
         self._awaited.setdefault(zone, {})[awaited] = None
         return awaited
 
-    def stop_waiting(self, awaited: AwaitedSign) -> None:
+    def stop_waiting(self, awaited: AwaitedActivity) -> None:
         """Unregisters a call; the time that it waited no longer counts."""
         self._awaited[awaited.zone].pop(awaited, None)
 
-    def give_up(self, awaited: AwaitedSign, now: timedelta) -> None:
+    def on_connect_timeout(self, awaited: AwaitedActivity, now: timedelta) -> None:
         """Unregisters a call whose connection did not open in time; it counts for ``ABANDONED_CALL_TTL`` more."""
         self.stop_waiting(awaited)
         awaited.timeout = min(awaited.timeout, now - awaited.since)
         awaited.expires_at = now + ABANDONED_CALL_TTL
         self._abandoned.append(awaited)
 
-    def note_sign(self, zone: str, now: timedelta) -> None:
+    def note_activity(self, zone: str, now: timedelta) -> None:
         """Records activity of a runner in a zone, which makes the zone reachable."""
         self._last_activity[zone] = now
         self.unreachable.pop(zone, None)
@@ -255,6 +255,6 @@
         suspicion.failed.add(runner)
         if len(suspicion.failed) >= FAILED_PROBES_NEEDED:
             del self.suspected[zone]
-            self.unreachable[zone] = UnreachableZone(now, suspicion.silent_runners)
+            self.unreachable[zone] = UnreachableZone(now, suspicion.unresponsive_runners)
             for awaited in list(self._awaited.get(zone, ())):
                 awaited.on_unreachable()
--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -199,7 +199,7 @@
         return MAY_HAVE_RUN
 
     async def _evaluate_response(self, response: aiohttp.ClientResponse) -> Verdict | None:
-        self._state.zones.note_sign(self.backend.zone, monotonic())
+        self._state.zones.note_activity(self.backend.zone, monotonic())
         head = response_head(response, self._request.attempt_id)
         verdict, may_relay = judge_head(head)
         if head.belongs:
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -293,15 +293,15 @@
 
 def _zone_status(node: RouterNode, now: timedelta) -> dict[str, Any]:
     """Return the state of each zone, from the endpoint list and from this router's own requests."""
-    from sparloom.discovery.zones import zone_figures
+    from sparloom.discovery.zones import zone_counts
 
     evacuated = node.configuration.evacuated_zones if node.configuration else ()
     runners = node.endpoint_list.runners if node.endpoint_list else ()
-    zones = zone_figures(runners, evacuated)
+    zones = zone_counts(runners, evacuated)
     for zone, belief in node.zones.unreachable.items():
         if zone in zones:
             age_ms = int((now - belief.since) / timedelta(milliseconds=1))
-            zones[zone] |= {"unreachableMs": age_ms, "silentRunners": belief.silent_runners}
+            zones[zone] |= {"unreachableMs": age_ms, "silentRunners": belief.unresponsive_runners}
     return zones
 
 
--- a/sparloom/router/inactivity_timer.py
+++ b/sparloom/router/inactivity_timer.py
@@ -13,7 +13,7 @@
 
     from sparloom.dynamic_timeout import Slot
     from sparloom.load_balancing import ZoneReachability
-    from sparloom.load_balancing.zone_reachability import AwaitedSign
+    from sparloom.load_balancing.zone_reachability import AwaitedActivity
 
     from .backends import Backend
 
@@ -41,7 +41,7 @@
     ) -> None:
         self._zones = zones
         self._allowed_silence = allowed_silence
-        self._awaited: AwaitedSign | None = None
+        self._awaited: AwaitedActivity | None = None
         self._backend = backend
         self._slot = slot
         self._suspect = suspect
@@ -57,19 +57,19 @@
         self._timer = asyncio.get_running_loop().call_later(self._timeout.total_seconds(), self._on_timeout)
         if self._awaited is None:
             backend = self._backend
-            self._awaited = self._zones.await_sign(
+            self._awaited = self._zones.await_activity(
                 backend.id, backend.zone, monotonic(), self._allowed_silence, self._on_timeout
             )
 
     def on_connect_timeout(self) -> None:
         """Handle a connect timeout: for the zone, the backend counts as still silent."""
         if self._awaited is not None:
-            self._zones.give_up(self._awaited, monotonic())
+            self._zones.on_connect_timeout(self._awaited, monotonic())
             self._awaited = None
 
     def record_progress(self) -> None:
         """Record data from the backend, and stop waiting until the timer is armed again."""
-        self._zones.note_sign(self._backend.zone, monotonic())
+        self._zones.note_activity(self._backend.zone, monotonic())
         if self._fired:
             self._backend.record_success()
         self.stop()
--- a/sparloom/router/zone_prober.py
+++ b/sparloom/router/zone_prober.py
@@ -45,7 +45,7 @@
         backends = [backend for backend in state.backends.by_id.values() if backend.zone == due.zone]
         if not backends:
             # A zone without listed runners has none that could fail to respond, so it is no longer suspected.
-            state.zones.note_sign(due.zone, monotonic())
+            state.zones.note_activity(due.zone, monotonic())
             return
         for backend in state.random.sample(backends, min(due.runners, len(backends))):
             probe = asyncio.get_running_loop().create_task(self._probe(backend))
@@ -57,7 +57,7 @@
         if unreachable.keys() == self._reported:
             return
         for zone in unreachable.keys() - self._reported:
-            logging.info("zones: unreachable zone=%s silent=%d", zone, unreachable[zone].silent_runners)
+            logging.info("zones: unreachable zone=%s silent=%d", zone, unreachable[zone].unresponsive_runners)
         for zone in self._reported - unreachable.keys():
             logging.info("zones: reachable again zone=%s", zone)
             self._clear_absences(zone)
@@ -75,12 +75,12 @@
         try:
             connection = await dial(host, int(port), self._state.settings.bounds.contact * PROBE_TIMEOUT_FRACTION)
         except ConnectionRefusedError:
-            zones.note_sign(backend.zone, monotonic())
+            zones.note_activity(backend.zone, monotonic())
         except (OSError, TimeoutError):
             zones.note_failed_probe(backend.zone, backend.id, monotonic())
         else:
             connection.close()
-            zones.note_sign(backend.zone, monotonic())
+            zones.note_activity(backend.zone, monotonic())
 
     def close(self) -> None:
         """Cancels the probes in progress."""
--- a/tests/load_balancing/test_zone_reachability.py
+++ b/tests/load_balancing/test_zone_reachability.py
@@ -33,7 +33,7 @@
                 if due.zone in self.lost or (self.loss and self.rng.random() < self.loss):
                     self.failing.append((now + PROBE_TIMEOUT_MS, due.zone, f"probed {number}"))
                 else:
-                    self.zones.note_sign(due.zone, now * MS)
+                    self.zones.note_activity(due.zone, now * MS)
 
 
 class Timeline(unittest.TestCase):
@@ -46,14 +46,16 @@
         self.probed.tick(self.now)
 
     def wait(self, runner, zone="dark", timeout_ms=200):
-        return self.zones.await_sign(runner, zone, self.now * MS, timeout_ms * MS, lambda: self.called.append(runner))
+        return self.zones.await_activity(
+            runner, zone, self.now * MS, timeout_ms * MS, lambda: self.called.append(runner)
+        )
 
     def run_for(self, ms, active=("other",)):
         end = self.now + ms
         while self.now < end:
             self.now += TICK_MS
             for zone in active:
-                self.zones.note_sign(zone, self.now * MS)
+                self.zones.note_activity(zone, self.now * MS)
             self.probed.tick(self.now)
 
     def unreachable(self):
@@ -66,7 +68,7 @@
         self.run_for(50)
         self.assertEqual((self.unreachable(), self.probed.probed), ([], [(1200, "dark", 2)]))
         self.run_for(100)
-        self.assertEqual((self.unreachable(), self.zones.unreachable["dark"].silent_runners), (["dark"], 1))
+        self.assertEqual((self.unreachable(), self.zones.unreachable["dark"].unresponsive_runners), (["dark"], 1))
 
     def test_two_failed_probes_must_be_of_different_runners(self):
         self.wait("a")
@@ -111,7 +113,7 @@
     def test_activity_makes_the_zone_reachable_and_restarts_the_timeouts(self):
         self.wait("a")
         self.run_for(300)
-        self.zones.note_sign("dark", self.now * MS)
+        self.zones.note_activity("dark", self.now * MS)
         self.assertEqual(self.unreachable(), [])
         self.run_for(250)
         self.assertEqual(self.unreachable(), [])
@@ -153,7 +155,7 @@
         self.wait("a")
         self.run_for(50)
         self.now += 2000
-        self.zones.note_sign("other", self.now * MS)
+        self.zones.note_activity("other", self.now * MS)
         self.probed.tick(self.now)
         self.run_for(100)
         self.assertEqual(self.probed.probed, [])
@@ -170,10 +172,10 @@
     def test_a_connect_timeout_counts_after_the_call_has_ended(self):
         wait = self.wait("a", timeout_ms=800)
         self.run_for(TICK_MS)
-        self.zones.give_up(wait, self.now * MS)
+        self.zones.on_connect_timeout(wait, self.now * MS)
         self.run_for(150)
         self.assertEqual((self.unreachable(), self.called), (["dark"], []))
-        self.zones.note_sign("dark", self.now * MS)
+        self.zones.note_activity("dark", self.now * MS)
         self.run_for(2000)
         self.assertEqual(self.unreachable(), [])
 
@@ -181,11 +183,11 @@
         """No probe ends here, so only the expiry limits how long the zone is suspected."""
         wait = self.wait("a", timeout_ms=100)
         self.now += TICK_MS
-        self.zones.give_up(wait, self.now * MS)
+        self.zones.on_connect_timeout(wait, self.now * MS)
         suspected = []
         for _ in range(30):
             self.now += TICK_MS
-            self.zones.note_sign("other", self.now * MS)
+            self.zones.note_activity("other", self.now * MS)
             self.zones.tick(self.now * MS)
             suspected.append("dark" in self.zones.suspected)
         self.assertEqual(suspected, [True] * 19 + [False] * 11)
@@ -233,7 +235,7 @@
                 due, call, events_left = event
                 if lost and call[0] == "a":
                     continue
-                zones.note_sign(call[0], now * MS)
+                zones.note_activity(call[0], now * MS)
                 zones.stop_waiting(pending.pop(call))
                 if events_left:
                     pending[call] = self._wait(zones, call, now)
@@ -249,7 +251,7 @@
 
     @staticmethod
     def _wait(zones, call, now):
-        return zones.await_sign(f"{call[0]}{call[1]}", call[0], now * MS, 200 * MS, lambda: None)
+        return zones.await_activity(f"{call[0]}{call[1]}", call[0], now * MS, 200 * MS, lambda: None)
 
     def test_a_lost_zone_is_detected_before_its_runners_time_out(self):
         # The timeout for a target of 400 ms at a runner with free slots is 800 ms. A router with few requests takes
--- a/tests/router/test_serviceability.py
+++ b/tests/router/test_serviceability.py
@@ -101,7 +101,7 @@
     def test_runners_in_an_unreachable_zone_are_unreachable(self):
         async def scenario():
             zones = self.rig.state.zones
-            zones.await_sign("i-0", "z1", monotonic(), SECOND, lambda: None)
+            zones.await_activity("i-0", "z1", monotonic(), SECOND, lambda: None)
             self.assertTrue(await self.ready(0.05))
             for _ in range(30):
                 await asyncio.sleep(0.05)
@@ -109,7 +109,7 @@
             for runner in ("i-0", "i-1"):
                 zones.note_failed_probe("z1", runner, monotonic())
             self.assertFalse(await self.ready(GRACE_S + 0.1))
-            zones.note_sign("z1", monotonic())
+            zones.note_activity("z1", monotonic())
             self.assertTrue(await self.ready(0.05))
 
         self.run_scenario(scenario)
@@ -117,7 +117,7 @@
     def test_the_routers_tick_updates_zone_reachability_and_readiness(self):
         async def scenario():
             node = self.rig.state
-            node.zones.await_sign("i-0", "z1", monotonic(), SECOND, lambda: None)
+            node.zones.await_activity("i-0", "z1", monotonic(), SECOND, lambda: None)
             for backend in self.backends:
                 backend.record_absence(monotonic(), 10 * SECOND)
             for turn in range(1, 40):
