--- a/sparloom/configuration/__init__.py
+++ b/sparloom/configuration/__init__.py
@@ -5,9 +5,9 @@
     changed_additions,
     evacuated_zones,
     evacuated_zones_addition,
-    operators_part,
     patched_additions,
     with_additions,
+    without_additions,
 )
 from .check import MAXIMUM_REVISION, ConfigurationDocument, check, parse
 from .patch import apply_patch, delta
@@ -29,7 +29,7 @@
     "delta",
     "evacuated_zones",
     "evacuated_zones_addition",
-    "operators_part",
+    "without_additions",
     "parse",
     "patched_additions",
     "with_additions",
--- a/sparloom/configuration/additions.py
+++ b/sparloom/configuration/additions.py
@@ -23,12 +23,12 @@
 ADDITIONS = (EVACUATED_ZONES, ROLLOUTS, RATE_HOLDERS)
 
 
-def operators_part(document: ConfigurationDocument) -> ConfigurationDocument:
+def without_additions(document: ConfigurationDocument) -> ConfigurationDocument:
     """Return a document without its additions.
 
     Examples
     --------
-    >>> operators_part({"revision": 1, "evacuatedZones": ["z"]})
+    >>> without_additions({"revision": 1, "evacuatedZones": ["z"]})
     {'revision': 1}
     """
     return {key: value for key, value in document.items() if key not in ADDITIONS}
@@ -43,7 +43,7 @@
     {'revision': 1, 'evacuatedZones': ['z']}
     """
     present = {key: additions[key] for key in ADDITIONS if additions.get(key)}
-    return {**operators_part(document), **present}
+    return {**without_additions(document), **present}
 
 
 def additions_of(document: ConfigurationDocument) -> dict[str, Any]:
--- a/sparloom/configuration/rate_holders.py
+++ b/sparloom/configuration/rate_holders.py
@@ -23,7 +23,7 @@
 # Fraction of the rate that is never granted.
 SPARE = 1 / 8
 # Lease on the table, in multiples of the contact bound. It starts when the table is known to be the newest.
-LEASE_BOUNDS = 5
+LEASE_CONTACT_BOUNDS = 5
 # Window over which sent requests are counted against a rate per second: one second plus the variation of their
 # network delay.
 RATE_WINDOW = timedelta(milliseconds=1100)
@@ -109,7 +109,7 @@
         >>> [RateHolders.is_usable(age * second, 9 * second, 4 * second) for age in (19, 20)]
         [True, False]
         """
-        return age < contact_bound * LEASE_BOUNDS and uptime >= RATE_WINDOW
+        return age < contact_bound * LEASE_CONTACT_BOUNDS and uptime >= RATE_WINDOW
 
     def to_json(self) -> dict[str, Any]:
         """Return the JSON object that is stored and published.
--- a/sparloom/controller/rate_planner.py
+++ b/sparloom/controller/rate_planner.py
@@ -19,7 +19,7 @@
 
 from attrs import define, field
 
-from sparloom.configuration.rate_holders import LEASE_BOUNDS, RATE_WINDOW, RateHolders
+from sparloom.configuration.rate_holders import LEASE_CONTACT_BOUNDS, RATE_WINDOW, RateHolders
 
 from .change_requests import Judgement, Verdict
 
@@ -89,7 +89,7 @@
     @property
     def replacement_delay(self) -> timedelta:
         """The time after which no router uses an older table than the published one."""
-        return self.contact_bound * LEASE_BOUNDS * (1 + CLOCK_DRIFT_RATIO) + 2 * RATE_WINDOW
+        return self.contact_bound * LEASE_CONTACT_BOUNDS * (1 + CLOCK_DRIFT_RATIO) + 2 * RATE_WINDOW
 
     def next_table(self, now: timedelta, table: RateHolders, routers: frozenset[str]) -> RateHolders | None:
         """Returns the table to commit now, or None.
--- a/sparloom/feed/payload.py
+++ b/sparloom/feed/payload.py
@@ -76,7 +76,7 @@
 
 def _configuration_delta(old: ConfigurationDocument, new: ConfigurationDocument) -> ConfigurationDocument | None:
     """A PATCH body in the operators' format, plus the changed additions of the control state."""
-    before, after = configuration.operators_part(old), configuration.operators_part(new)
+    before, after = configuration.without_additions(old), configuration.without_additions(new)
     patch: ConfigurationDocument | None = configuration.delta(before, after)
     return None if patch is None else {**patch, **configuration.changed_additions(old, new)}
 
--- a/sparloom/router/backends.py
+++ b/sparloom/router/backends.py
@@ -19,7 +19,7 @@
 from sparloom.discovery import service_of
 from sparloom.load_balancing import CachedPrefixes
 from sparloom.metrics import count_event
-from sparloom.transport import tune
+from sparloom.transport import set_tcp_options
 from sparloom.transport.http_client import Connector, open_session
 
 from .cold_rate import ColdSends
@@ -58,7 +58,7 @@
     """Open a socket for a connection to a runner; ``address`` is an entry of ``getaddrinfo``."""
     sock = socket.socket(address[0], address[1], address[2])
     sock.setblocking(False)
-    tune(sock)
+    set_tcp_options(sock)
     count_event("opened runner")
     return sock
 
@@ -244,7 +244,7 @@
             if name.lower() == "timeout" and value.isdigit():
                 self.idle_timeout_s = max(MINIMUM_IDLE_TIMEOUT_S, int(value) * KEEP_ALIVE_FRACTION)
                 if self.client_session:
-                    cast(Connector, self.client_session.connector).keep_idle(self.idle_timeout_s)
+                    cast(Connector, self.client_session.connector).set_idle_timeout(self.idle_timeout_s)
 
 
 def _new_backend(endpoint: Endpoint, cache_tokens: int) -> Backend:
--- a/sparloom/settings/checks.py
+++ b/sparloom/settings/checks.py
@@ -41,8 +41,8 @@
 
     Table = dict[str, Any]
 
-VARIABLE = "SPARLOOM_CONFIG"
-DEFAULT = "/etc/sparloom/node.toml"
+CONFIG_PATH_VARIABLE = "SPARLOOM_CONFIG"
+DEFAULT_CONFIG_PATH = "/etc/sparloom/node.toml"
 HIGHEST_PORT = 65535
 
 _Value = TypeVar("_Value")
@@ -336,7 +336,7 @@
     >>> startup_path().endswith(".toml")
     True
     """
-    return os.environ.get(VARIABLE, DEFAULT)
+    return os.environ.get(CONFIG_PATH_VARIABLE, DEFAULT_CONFIG_PATH)
 
 
 def read_toml(path: str, description: str) -> Result[dict[str, Any], str]:
--- a/sparloom/transport/__init__.py
+++ b/sparloom/transport/__init__.py
@@ -1,7 +1,7 @@
 """Transport of records over TCP and UDP, HTTP client sessions, and the clocks."""
 
 from .clock import monotonic, wall_clock_ms, wall_clock_us
-from .sockets import Datagrams, DialTimeout, Frames, bind, dial, tune
+from .sockets import Datagrams, DialTimeout, Frames, bind, dial, set_tcp_options
 
 __all__ = [
     "Datagrams",
@@ -10,7 +10,7 @@
     "bind",
     "dial",
     "monotonic",
-    "tune",
+    "set_tcp_options",
     "wall_clock_ms",
     "wall_clock_us",
 ]
--- a/sparloom/transport/http_client.py
+++ b/sparloom/transport/http_client.py
@@ -38,7 +38,7 @@
                 return True
         return False
 
-    def keep_idle(self, seconds: float) -> None:
+    def set_idle_timeout(self, seconds: float) -> None:
         """Set the keep-alive timeout of idle connections in seconds."""
         self._keepalive_timeout = seconds
 
--- a/sparloom/transport/sockets.py
+++ b/sparloom/transport/sockets.py
@@ -35,7 +35,7 @@
 _MILLISECOND = timedelta(milliseconds=1)
 
 
-def tune(sock: socket.socket, user_timeout: timedelta = timedelta(seconds=2)) -> None:
+def set_tcp_options(sock: socket.socket, user_timeout: timedelta = timedelta(seconds=2)) -> None:
     """Set the options of a TCP socket: detection of a dead peer, and no delay of small writes.
 
     Parameters
@@ -48,7 +48,7 @@
     Examples
     --------
     >>> sock = socket.socket()
-    >>> tune(sock)
+    >>> set_tcp_options(sock)
     >>> sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) != 0
     True
     >>> sock.close()
@@ -78,7 +78,7 @@
     >>> sock.close()
     """
     sock: socket.socket = take(address.host, address.port)
-    tune(sock)
+    set_tcp_options(sock)
     return sock
 
 
@@ -376,5 +376,5 @@
     """
     async with asyncio.timeout(timeout.total_seconds()):
         reader, writer = await asyncio.open_connection(host, port, limit=MAXIMUM_FRAME_BYTES)
-    tune(writer.get_extra_info("socket"))
+    set_tcp_options(writer.get_extra_info("socket"))
     return Frames(reader, writer)
