--- a/sparloom/router/backend_choice.py
+++ b/sparloom/router/backend_choice.py
@@ -12,7 +12,7 @@
 
 from .attempt import BackendChoice
 from .cold_rate import fleet_limit
-from .router_state import DOUBT_AFTER_DRAIN_PART
+from .router_state import STALE_ENDPOINTS_DRAIN_FRACTION
 from .timeout_buckets import buckets_for
 
 if TYPE_CHECKING:
@@ -129,7 +129,7 @@
         connection_limits = self._services.queues.connections(self.service)
         count_event("weighed runners", len(backends))
         candidates = [self._candidate(backend, now) for backend in backends.values()]
-        endpoints_uncertain = self._services.state.doubts_endpoints(now)
+        endpoints_uncertain = self._services.state.endpoints_may_be_stale(now)
         shared_tokens = sum(tokens for _, tokens in self._request.shared_parts)
         for candidate in choose(candidates, shared_tokens):
             backend = backends[candidate.id]
@@ -164,7 +164,7 @@
 
         This is shorter than the drain bound, so a request that is sent in this time still arrives within the bound.
         """
-        return self._services.state.settings.bounds.drain * DOUBT_AFTER_DRAIN_PART
+        return self._services.state.settings.bounds.drain * STALE_ENDPOINTS_DRAIN_FRACTION
 
     def _within_cold_rate(self, backend: Backend, now: timedelta) -> bool:
         """Whether this router's share of a cold backend's rate limit allows one more request."""
@@ -173,7 +173,7 @@
         limit = fleet_limit(service, state.settings.cold)
         if limit is None:
             return True
-        return backend.cold_sends.allows(now, state.share_of_cold_rate(limit, backend.number, now))
+        return backend.cold_sends.allows(now, state.cold_rate_share(limit, backend.number, now))
 
     def _candidate(self, backend: Backend, now: timedelta) -> Candidate:
         in_flight = self._services.in_flight
--- a/sparloom/router/feed_client.py
+++ b/sparloom/router/feed_client.py
@@ -170,7 +170,7 @@
         if confirmed_at is not None and ENDPOINTS not in self.topics_to_resync:
             state.record_primary_confirmation(confirmed_at)
         if confirmed_at is not None and up_to_date and recent:
-            state.note_configuration(confirmed_at)
+            state.record_configuration_confirmation(confirmed_at)
         self.change_signal.notify()
 
     def newest_configuration(self) -> tuple[int, int]:
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -267,7 +267,7 @@
         if not self._start_reported and attempt.response.status == OK:
             self._start_reported = True
             if self._services.usage is not None:
-                self._services.usage.on_began(self.request.tenant)
+                self._services.usage.on_request_started(self.request.tenant)
         if self._hedging.active:
             self._hedging.cancel()
             # The hedged attempt may already have ended this wait: restore the request's deadline.
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -155,7 +155,7 @@
     @property
     def _out_of_service(self) -> bool:
         """Whether clients should use other routers: this one is shutting down or cut off from the fleet."""
-        return self.stopping or self.node.serviceability.cut_off
+        return self.stopping or self.node.serviceability.partitioned
 
     # -- the platform -------------------------------------------------------------
     async def _handle_platform_request(self, http_request: web.BaseRequest) -> web.Response:
@@ -188,7 +188,7 @@
             # Requests of an unknown deployment kind may be ones that must not be forwarded. Nothing has run, so that
             # 503 is valid.
             return web.Response(status=UNAVAILABLE, headers={"Retry-After": RETRY_AFTER_UNKNOWN_DEPLOYMENT_S})
-        await self.node.wait_known(time_remaining(http_request.headers, self.settings.bounds.contact))
+        await self.node.wait_for_prefixes(time_remaining(http_request.headers, self.settings.bounds.contact))
         if state.configuration is None:
             return web.Response(status=UNAVAILABLE, headers={"Retry-After": RETRY_AFTER_UNCONFIGURED_S})
         limits = state.configuration.limits
@@ -318,8 +318,8 @@
         "node": settings.node,
         "role": "router",
         "key": node.key,
-        "policy": list(node.shelf.version(CONFIGURATION)),
-        "runners": list(node.shelf.version(ENDPOINTS)),
+        "policy": list(node.feed_store.version(CONFIGURATION)),
+        "runners": list(node.feed_store.version(ENDPOINTS)),
         "revision": configuration.revision if configuration else 0,
         "evacuated": sorted(configuration.evacuated_zones) if configuration else [],
         "zones": _zone_status(node, now),
@@ -327,7 +327,7 @@
         "fleet": {backend.id: "draining" if backend.draining else "ready" for backend in backends.values()},
         "counts": {backend_id: node.in_flight.count(backend_id, now) for backend_id in backends},
         "ready": node.ready(),
-        "cutOff": node.serviceability.cut_off,
+        "cutOff": node.serviceability.partitioned,
         "shares": {
             f"{service} {member}": figures
             for service, members in node.queues.statistics().items()
@@ -338,6 +338,6 @@
         "tier": node.relay_server.told(),
         "requests": outcomes.figures(),
         "isolation": isolation.fingerprints() if isolation else [],
-        "runnersBeforeIsolation": node.lives_before_isolation(),
+        "runnersBeforeIsolation": node.backends_before_isolation(),
         "meter": process_figures(),
     }
--- a/sparloom/router/prefix_recall.py
+++ b/sparloom/router/prefix_recall.py
@@ -23,7 +23,7 @@
     from .router_state import RouterState
 
 # A batch is sent every 20th tick (1 s).
-BATCH_TICKS = 20
+BATCH_INTERVAL_TICKS = 20
 # A query is repeated every 4th tick (200 ms).
 QUERY_INTERVAL_TICKS = 4
 PLACEMENTS_PER_DATAGRAM = 48
@@ -59,7 +59,7 @@
 
     def tick(self, turn: int) -> None:
         """Sends the batch once a second, and repeats the query to controllers that haven't answered."""
-        if self.batch and turn % BATCH_TICKS == 0:
+        if self.batch and turn % BATCH_INTERVAL_TICKS == 0:
             self._send_batch()
         if self._queried_at is not None and turn % QUERY_INTERVAL_TICKS == 0:
             if monotonic() - self._queried_at > self.state.settings.bounds.contact:
--- a/sparloom/router/router_node.py
+++ b/sparloom/router/router_node.py
@@ -84,8 +84,8 @@
     zones = _delegated_property("snapshots", "zones")
     random = _delegated_property("snapshots", "random")
     ready = _delegated_property("snapshots", "ready")
-    note_isolation = _delegated_property("snapshots", "note_isolation")
-    lives_before_isolation = _delegated_property("snapshots", "lives_before_isolation")
+    record_isolation_change = _delegated_property("snapshots", "record_isolation_change")
+    backends_before_isolation = _delegated_property("snapshots", "backends_before_isolation")
     swim = _delegated_property("membership", "swim")
     datagrams = _delegated_property("membership", "datagrams")
 
@@ -124,10 +124,10 @@
         # Imported here for the same reason as UsageReporter.
         from .rollout_watcher import RolloutWatcher
 
-        return RolloutWatcher(self.snapshots, self.membership, lambda: self.shelf.version(CONFIGURATION)[0])
+        return RolloutWatcher(self.snapshots, self.membership, lambda: self.feed_store.version(CONFIGURATION)[0])
 
     @property
-    def shelf(self) -> VersionedStore:
+    def feed_store(self) -> VersionedStore:
         """The versions of the configuration and the endpoint list that this router has."""
         return self.feed_client.store
 
@@ -156,7 +156,7 @@
 
     def use(self, settings: Settings) -> None:
         """Applies new, validated settings."""
-        self.snapshots.note_isolation(settings.isolation)
+        self.snapshots.record_isolation_change(settings.isolation)
         self.snapshots.settings = settings
         self.membership.update_seeds()
 
@@ -248,7 +248,7 @@
         configured = configuration.services.get(service) if configuration else None
         return configured.cache_tokens if configured and configured.cache_tokens else DEFAULT_CACHE_TOKENS
 
-    async def wait_known(self, maximum: timedelta) -> None:
+    async def wait_for_prefixes(self, maximum: timedelta) -> None:
         """Waits after a start until this router can place prompts, for at most a third of the contact bound.
 
         It can do so when it has the configuration and the endpoint list, and
--- a/sparloom/router/router_state.py
+++ b/sparloom/router/router_state.py
@@ -36,7 +36,7 @@
 # Fraction of the drain bound after which, without a confirmation, any runner may be leaving. It is below 1 because an
 # endpoint list can be one poll (a quarter of the drain bound) older than the primary's confirmation, and because a
 # request takes time to arrive.
-DOUBT_AFTER_DRAIN_PART = 0.7
+STALE_ENDPOINTS_DRAIN_FRACTION = 0.7
 # Multiple of the contact bound after which, without a confirmation, this router counts as disconnected.
 DISCONNECTED_AFTER_MULTIPLE = 1.25
 
@@ -113,7 +113,7 @@
         previous = self.primary_confirmed_at
         self.primary_confirmed_at = confirmed_at if previous is None else max(previous, confirmed_at)
 
-    def note_configuration(self, confirmed_at: timedelta) -> None:
+    def record_configuration_confirmation(self, confirmed_at: timedelta) -> None:
         """Records that this router's configuration was the newest one at a time."""
         previous = self.configuration_confirmed_at
         self.configuration_confirmed_at = confirmed_at if previous is None else max(previous, confirmed_at)
@@ -123,7 +123,7 @@
         confirmed_at = self.configuration_confirmed_at
         return timedelta.max if confirmed_at is None else max(timedelta(0), now - confirmed_at)
 
-    def doubts_endpoints(self, now: timedelta) -> bool:
+    def endpoints_may_be_stale(self, now: timedelta) -> bool:
         """Whether a runner may have been draining for longer than the drain bound without this router knowing.
 
         False once this router is disconnected: it then uses its last endpoint list, since it has no other.
@@ -131,9 +131,9 @@
         if self.primary_confirmed_at is None:
             return False
         bounds, age = self.settings.bounds, now - self.primary_confirmed_at
-        return bounds.drain * DOUBT_AFTER_DRAIN_PART <= age < bounds.contact * DISCONNECTED_AFTER_MULTIPLE
+        return bounds.drain * STALE_ENDPOINTS_DRAIN_FRACTION <= age < bounds.contact * DISCONNECTED_AFTER_MULTIPLE
 
-    def share_of_cold_rate(self, rate: int, salt: int, now: timedelta) -> int:
+    def cold_rate_share(self, rate: int, salt: int, now: timedelta) -> int:
         """Returns this router's share of the requests per second that a cold backend accepts.
 
         ``salt`` is the backend's number. The share is 0 if this router isn't in the table of rate holders, or if that
@@ -153,12 +153,12 @@
             share = self._rate_shares[rate, salt] = configuration.rate_holders.share(self.key, rate, salt)
         return share
 
-    def note_isolation(self, isolation: Isolation | None) -> None:
+    def record_isolation_change(self, isolation: Isolation | None) -> None:
         """Records the backends that exist before new isolation settings take effect, if those settings differ."""
         if isolation != self.settings.isolation:
             self._backend_ids_before_isolation = frozenset(self.backends.by_id)
 
-    def lives_before_isolation(self) -> int:
+    def backends_before_isolation(self) -> int:
         """Returns how many listed backends predate the isolation settings, as far as this process knows."""
         return len(self._backend_ids_before_isolation & self.backends.by_id.keys())
 
--- a/sparloom/router/serviceability.py
+++ b/sparloom/router/serviceability.py
@@ -33,16 +33,16 @@
 
     Attributes
     ----------
-    cut_off: whether runners that accept requests are listed, but for the grace period too few have been reachable.
+    partitioned: whether runners that accept requests are listed, but for the grace period too few have been reachable.
     """
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
         self._unreachable_since: timedelta | None = None
-        self.cut_off = False
+        self.partitioned = False
 
     def tick(self, now: timedelta) -> None:
-        """Updates ``cut_off``; called every 200 ms."""
+        """Updates ``partitioned``; called every 200 ms."""
         if self._reaches_enough(now):
             self._unreachable_since = None
         elif self._unreachable_since is None:
@@ -64,7 +64,9 @@
             return False
         return now - self._unreachable_since >= self._state.settings.bounds.contact * GRACE_FRACTION
 
-    def _update(self, cut_off: bool) -> None:
-        if cut_off != self.cut_off:
-            logging.info("readiness: too few runners reachable" if cut_off else "readiness: enough runners reachable")
-        self.cut_off = cut_off
+    def _update(self, partitioned: bool) -> None:
+        if partitioned != self.partitioned:
+            logging.info(
+                "readiness: too few runners reachable" if partitioned else "readiness: enough runners reachable"
+            )
+        self.partitioned = partitioned
--- a/sparloom/router/usage_reporter.py
+++ b/sparloom/router/usage_reporter.py
@@ -46,7 +46,7 @@
         self._sent_at = timedelta(0)
         self._replied_at = timedelta(0)
 
-    def on_began(self, tenant: str) -> None:
+    def on_request_started(self, tenant: str) -> None:
         """Counts a request of a tenant that has started to run: the first chunk of its answer has arrived."""
         if tenant and self._state.settings.duties.reports_usage:
             self.counter.add(self._window(), tenant)
--- a/tests/controller/test_program.py
+++ b/tests/controller/test_program.py
@@ -148,7 +148,7 @@
             await self.until(lambda: not router.node.backends.of("s"))
             async with self.http.get(self.url.replace("configuration", "beliefs")) as response:
                 beliefs = await response.json()
-            await self.until(lambda: list(router.node.shelf.version(1)) == beliefs["runners"])
+            await self.until(lambda: list(router.node.feed_store.version(1)) == beliefs["runners"])
             self.assertEqual(
                 [
                     difference
--- a/tests/isolation/test_isolation.py
+++ b/tests/isolation/test_isolation.py
@@ -14,7 +14,7 @@
 from sparloom.load_balancing import parse_parts
 from sparloom.router.router_node import RouterNode
 from sparloom.settings import from_dict
-from tests.support.router_fixture import POLICY, STARTUP, Rig, route
+from tests.support.router_fixture import POLICY, STARTUP, RouterFixture, route
 
 KEY = "ab" * 32
 MEMBERS = {"a": {"hosts": ["a.example"], "reserve": 0.3}, "b": {"hosts": ["b.example"], "reserve": 0.3}}
@@ -156,11 +156,11 @@
     def test_runners_that_predate_a_change_are_counted(self):
         state = RouterNode(self.parse({"key": KEY}).unwrap())
         state.backends = SimpleNamespace(by_id={"i-1": None, "i-2": None})
-        state.note_isolation(state.settings.isolation)
-        self.assertEqual(state.lives_before_isolation(), 0)
-        state.note_isolation(self.parse({"key": KEY, "division": "2"}).unwrap().isolation)
+        state.record_isolation_change(state.settings.isolation)
+        self.assertEqual(state.backends_before_isolation(), 0)
+        state.record_isolation_change(self.parse({"key": KEY, "division": "2"}).unwrap().isolation)
         state.backends = SimpleNamespace(by_id={"i-2": None, "i-3": None})
-        self.assertEqual(state.lives_before_isolation(), 1)
+        self.assertEqual(state.backends_before_isolation(), 1)
 
 
 class Routers(unittest.IsolatedAsyncioTestCase):
@@ -185,7 +185,7 @@
         }
 
     async def test_identical_prompts_of_two_members_go_to_different_runners(self):
-        async with Rig(6, ROUTES, ISOLATED) as rig:
+        async with RouterFixture(6, ROUTES, ISOLATED) as rig:
             for number in range(40):
                 for member in "ab":
                     answer = await self.send(rig, member, f"aa:9,{number:x}:2000,b{number:x}:5", id=f"{member}{number}")
@@ -195,7 +195,7 @@
             self.assertEqual(received_a & received_b, set())
 
     async def test_a_request_without_an_allowed_runner_is_rejected_with_retry_after(self):
-        async with Rig(1, ROUTES, ISOLATED) as rig:
+        async with RouterFixture(1, ROUTES, ISOLATED) as rig:
             owner = rig.up.isolation.newest.owners("5c", ["i-0"])[0]
             other = "a" if owner != "a" else "b"
             answer = await self.send(rig, other, "5c:2000")
@@ -203,7 +203,7 @@
             self.assertGreater(float(answer.heads["retry-after"]), 0)
 
     async def test_retries_use_allowed_runners_only(self):
-        async with Rig(8, ROUTES, ISOLATED) as rig:
+        async with RouterFixture(8, ROUTES, ISOLATED) as rig:
             for number in range(30):
                 allowed = {
                     runner.id
@@ -218,7 +218,7 @@
                 self.assertLessEqual({runner.id for runner in rig.runners if runner.got}, allowed)
 
     async def test_part_ids_are_not_sent_unkeyed(self):
-        async with Rig(3, ROUTES, ISOLATED) as rig:
+        async with RouterFixture(3, ROUTES, ISOLATED) as rig:
             with (
                 mock.patch.object(rig.state.gossip, "on_prompt_sent") as gossiped,
                 mock.patch.object(rig.state.prefix_recall, "on_prompt_sent") as recorded,
@@ -231,7 +231,7 @@
             self.assertEqual(numbers & unkeyed, set())
 
     async def test_new_settings_change_the_member_of_a_route_at_once(self):
-        async with Rig(2, ROUTES, ISOLATED) as rig:
+        async with RouterFixture(2, ROUTES, ISOLATED) as rig:
             matched = rig.state.configuration.match("a.example", "/once/x")
             self.assertEqual(rig.state.queues.member(matched), "a")
             renamed = {"z": MEMBERS["a"], "b": MEMBERS["b"]}
--- a/tests/jobs/test_unknown_deployment.py
+++ b/tests/jobs/test_unknown_deployment.py
@@ -8,12 +8,12 @@
 
 import unittest
 
-from tests.support.router_fixture import POLICY, STARTUP, Rig
+from tests.support.router_fixture import POLICY, STARTUP, RouterFixture
 
 
 class UnknownDeployment(unittest.IsolatedAsyncioTestCase):
     async def test_a_router_rejects_all_requests_of_an_unknown_kind_of_deployment(self):
-        async with Rig(1, POLICY, {**STARTUP, "deployment": "something-new"}) as rig:
+        async with RouterFixture(1, POLICY, {**STARTUP, "deployment": "something-new"}) as rig:
             for path in ("/unsafe/x", "/safe/x", "/once/x"):
                 answer = await rig.send(path)
                 self.assertEqual(answer.status, 503, path)
@@ -21,7 +21,7 @@
             self.assertEqual(rig.runners[0].got, [])
 
     async def test_a_router_of_a_job_deployment_forwards_no_job_to_a_runner(self):
-        async with Rig(1, POLICY, {**STARTUP, "deployment": "sched"}) as rig:
+        async with RouterFixture(1, POLICY, {**STARTUP, "deployment": "sched"}) as rig:
             answer = await rig.send("/unsafe/5c0e7a21d94b36f8", body=b'{"taskSpec":"x","steps":[{"replicaCount":1}]}')
             self.assertEqual(answer.status, 503)
             self.assertIn("retry-after", answer.heads)
--- a/tests/load_balancing/test_rank.py
+++ b/tests/load_balancing/test_rank.py
@@ -6,7 +6,7 @@
 
 from sparloom.load_balancing import Candidate, Weights, choose, rendezvous_weight
 from tests.support.load_balancing_fleet import Fleet
-from tests.support.router_fixture import Rig
+from tests.support.router_fixture import RouterFixture
 
 # Weights with a weaker preference for cached prefixes and warm runners, for comparison.
 BASELINE = Weights(recompute=0.6, home=1.0, same_zone=48, warm=0)
@@ -106,13 +106,13 @@
 
 class RoutedRequests(unittest.IsolatedAsyncioTestCase):
     async def test_heavy_prompts_get_a_lower_priority(self):
-        async with Rig(1) as rig:
+        async with RouterFixture(1) as rig:
             for tokens, urgency in ((1200, "0"), (1300, "1")):
                 await rig.send("/once/x", heads=[f"X-Sparloom-Prompt-Prefix: {tokens:x}:{tokens}"])
                 self.assertEqual(rig.runners[0].got[-1].head("X-Sparloom-Request-Urgency"), urgency)
 
     async def test_a_runner_is_warm_while_a_connection_is_idle(self):
-        async with Rig(1) as rig:
+        async with RouterFixture(1) as rig:
             backend = next(iter(rig.state.backends.by_id.values()))
             self.assertFalse(backend.has_idle_connection())
             await rig.send("/once/x")
--- a/tests/metrics/test_meter.py
+++ b/tests/metrics/test_meter.py
@@ -10,7 +10,7 @@
 from sparloom.membership import ALIVE, ROUTER, Peer, Ping
 from sparloom.metrics.reporter import MetricsReporter, process_figures
 from sparloom.transport import Datagrams, Frames, dial
-from tests.support.router_fixture import Rig
+from tests.support.router_fixture import RouterFixture
 
 SECOND = timedelta(seconds=1)
 PING = Ping(1, Peer("127.0.0.1:1", ROUTER, "z", "", 1, 0, ALIVE), 0, [])
@@ -58,7 +58,7 @@
         self.assertEqual((figures["pipe opened"][0], figures["pipe closed"][0]), (2, 2))
 
     async def test_attempts_compared_runners_and_runner_connections_are_counted(self):
-        async with Rig(runners=2) as rig:
+        async with RouterFixture(runners=2) as rig:
             for index in range(3):
                 self.assertEqual((await rig.send("/safe/", id=f"a{index}")).status, 200)
             figures = rig.front.beliefs()["meter"]
@@ -80,5 +80,5 @@
         await _exchange_records()
         self.assertIsNone(metrics.current_meter())
         self.assertIsNone(process_figures())
-        async with Rig() as rig:
+        async with RouterFixture() as rig:
             self.assertIsNone(rig.front.beliefs()["meter"])
--- a/tests/prefix_cache/test_memory.py
+++ b/tests/prefix_cache/test_memory.py
@@ -12,7 +12,7 @@
 from sparloom.load_balancing import CachedPrefixes
 from sparloom.membership import CONTROLLER
 from sparloom.prefix_cache import PlacementQuery, PlacementTable, PrefixPlacements
-from sparloom.router.prefix_recall import BATCH_TICKS, PrefixRecall
+from sparloom.router.prefix_recall import BATCH_INTERVAL_TICKS, PrefixRecall
 
 CONTROLLER_A, CONTROLLER_B = "10.0.0.1:7", "10.0.0.2:7"
 
@@ -86,14 +86,14 @@
         recall, state, sent = router()
         recall.on_prompt_sent(state.backends.by_id["i7"], ((1, 2000), (2, 10)))
         recall.on_prompt_sent(state.backends.by_id["i7"], ((1, 2000),))
-        for tick in range(1, 2 * BATCH_TICKS + 1):
+        for tick in range(1, 2 * BATCH_INTERVAL_TICKS + 1):
             recall.tick(tick)
         self.assertEqual(sent, [(CONTROLLER_A, PrefixPlacements([PrefixPlacement(7, 1, 2000)]))])
 
     async def test_without_a_controller_the_batch_is_retained(self):
         recall, state, sent = router(())
         recall.on_prompt_sent(state.backends.by_id["i7"], ((1, 2000),))
-        recall.tick(BATCH_TICKS)
+        recall.tick(BATCH_INTERVAL_TICKS)
         self.assertEqual((sent, len(recall.batch)), ([], 1))
 
 
--- a/tests/relay/test_relay_loopback.py
+++ b/tests/relay/test_relay_loopback.py
@@ -123,11 +123,11 @@
         await self.wait_until(lambda: "front-3" in relay.relay_server.told()["followers"] and late_router.ready())
         self.assertEqual(late_router.configuration.revision, 2)
         self.assertEqual(
-            decode_payload(CONFIGURATION, relay.shelf.items[CONFIGURATION].payload),
+            decode_payload(CONFIGURATION, relay.feed_store.items[CONFIGURATION].payload),
             self.controller.feed_server.state_of(CONFIGURATION),
         )
         self.assertEqual(
-            decode_payload(ENDPOINTS, relay.shelf.items[ENDPOINTS].payload),
+            decode_payload(ENDPOINTS, relay.feed_store.items[ENDPOINTS].payload),
             self.controller.feed_server.state_of(ENDPOINTS),
         )
         self.assertEqual(
--- a/tests/router/test_access.py
+++ b/tests/router/test_access.py
@@ -11,7 +11,7 @@
 from sparloom.router.router_state import RouterState
 from sparloom.settings import from_dict
 from sparloom.transport import monotonic
-from tests.support.router_fixture import POLICY, STARTUP, Rig, route
+from tests.support.router_fixture import POLICY, STARTUP, RouterFixture, route
 
 MS = timedelta(milliseconds=1)
 TENANTS = [
@@ -28,7 +28,7 @@
     state = RouterState(from_dict({**STARTUP, "bounds": bounds}).unwrap())
     state.configuration = build(document)
     if age is not None:
-        state.note_configuration(1000 * MS)
+        state.record_configuration_confirmation(1000 * MS)
     return state, 1000 * MS + (age or timedelta(0))
 
 
@@ -94,8 +94,8 @@
 
 class OnLoopback(unittest.IsolatedAsyncioTestCase):
     async def test_headers_at_the_runner_and_status_at_the_client(self):
-        async with Rig(1, DOCUMENT) as rig:
-            rig.state.snapshots.note_configuration(monotonic())
+        async with RouterFixture(1, DOCUMENT) as rig:
+            rig.state.snapshots.record_configuration_confirmation(monotonic())
             answer = await rig.send("/once/x", heads=("Authorization: Token k1", "X-Sparloom-Tenant: second"))
             self.assertEqual(answer.status, 200)
             (request,) = rig.runners[0].got
@@ -108,13 +108,13 @@
             self.assertEqual(len(rig.runners[0].got), 1)
 
     async def test_without_tenants_no_key_is_required_and_headers_are_unchanged(self):
-        async with Rig(1) as rig:
+        async with RouterFixture(1) as rig:
             answer = await rig.send("/once/x", heads=("Authorization: Basic x", "X-Sparloom-Tenant: t"))
             (request,) = rig.runners[0].got
             headers = (request.head("Authorization"), request.head("X-Sparloom-Tenant"))
             self.assertEqual((answer.status, headers), (200, ("Basic x", "t")))
 
     async def test_unconfirmed_configuration_gives_503_with_retry_after(self):
-        async with Rig(1, DOCUMENT) as rig:
+        async with RouterFixture(1, DOCUMENT) as rig:
             denied = await rig.send("/once/x", heads=("Authorization: Token new",))
             self.assertEqual((denied.status, float(denied.heads["retry-after"]) > 0), (503, True))
--- a/tests/router/test_cold_runners.py
+++ b/tests/router/test_cold_runners.py
@@ -17,7 +17,7 @@
 from sparloom.membership import ALIVE, DEAD, ROUTER, Peer, Ping
 from sparloom.router.backends import COLD_AFTER_EVACUATION
 from sparloom.transport import monotonic
-from tests.support.router_fixture import POLICY, STARTUP, Rig
+from tests.support.router_fixture import POLICY, STARTUP, RouterFixture
 
 BOUNDS = {**STARTUP["bounds"], "coldOverage": 1.5, "coldSlack": 1}
 SETTINGS = {**STARTUP, "bounds": BOUNDS}
@@ -29,7 +29,7 @@
     """Make the router the only one that has a share of the rate, and confirm its configuration as the newest."""
     holders = {"rateHolders": RateHolders(frozenset([rig.state.key]), frozenset([rig.state.key])).to_json()}
     rig.state.configuration = build({**COLD_POLICY, **holders})
-    rig.state.snapshots.note_configuration(monotonic() + timedelta(seconds=60))
+    rig.state.snapshots.record_configuration_confirmation(monotonic() + timedelta(seconds=60))
     rig.state.started_at = monotonic() - timedelta(seconds=9)
 
 
@@ -38,7 +38,7 @@
 
     def run_scenario(self, scenario):
         async def run():
-            async with Rig(1, COLD_POLICY, SETTINGS) as rig:
+            async with RouterFixture(1, COLD_POLICY, SETTINGS) as rig:
                 await scenario(rig)
 
         with world(1) as loop:
@@ -95,7 +95,7 @@
 class Positions(unittest.TestCase):
     def test_recently_dead_router_keeps_its_position(self):
         async def run():
-            async with Rig(1, COLD_POLICY, SETTINGS) as rig:
+            async with RouterFixture(1, COLD_POLICY, SETTINGS) as rig:
                 swim, positions = rig.state.swim, []
                 swim.receive(timedelta(0), "0:1", Ping(1, Peer("0:1", ROUTER, "z2", "", 5, 0, 0), 0, []))
                 for state in (ALIVE, DEAD):
@@ -118,13 +118,13 @@
         """Return the router's share before and after a change of its state."""
 
         async def run():
-            async with Rig(1, COLD_POLICY, SETTINGS) as rig:
+            async with RouterFixture(1, COLD_POLICY, SETTINGS) as rig:
                 make_only_rate_holder(rig)
                 rig.state.snapshots.configuration_confirmed_at = None
-                rig.state.snapshots.note_configuration(monotonic())
-                before = rig.state.snapshots.share_of_cold_rate(29, 7, monotonic())
+                rig.state.snapshots.record_configuration_confirmation(monotonic())
+                before = rig.state.snapshots.cold_rate_share(29, 7, monotonic())
                 change(rig.state.snapshots)
-                return before, rig.state.snapshots.share_of_cold_rate(29, 7, monotonic())
+                return before, rig.state.snapshots.cold_rate_share(29, 7, monotonic())
 
         with world(1) as loop:
             return loop.run_until_complete(run())
--- a/tests/router/test_delisted_sessions.py
+++ b/tests/router/test_delisted_sessions.py
@@ -9,13 +9,13 @@
 
 from simulator.virtual import world
 from sparloom.discovery import Endpoint, EndpointList
-from tests.support.router_fixture import Rig
+from tests.support.router_fixture import RouterFixture
 
 
 class DelistedSessions(unittest.TestCase):
     def run_scenario(self, scenario):
         async def run():
-            async with Rig(2) as rig:
+            async with RouterFixture(2) as rig:
                 await scenario(rig)
 
         with world(1) as loop:
--- a/tests/router/test_frontend.py
+++ b/tests/router/test_frontend.py
@@ -8,7 +8,7 @@
 from sparloom.router import attempt
 from sparloom.router.admission_queues import AdmissionQueues
 from sparloom.transport import monotonic
-from tests.support.router_fixture import POLICY, Rig
+from tests.support.router_fixture import POLICY, RouterFixture
 
 EVENTS = b"".join(b"id: %d\ndata: piece %d\n\n" % (i, i) for i in range(1, 6))
 
@@ -23,7 +23,7 @@
         connect_timeout = mock.patch.object(attempt, "MINIMUM_CONNECT_TIMEOUT_S", 5.0)
         connect_timeout.start()
         self.addCleanup(connect_timeout.stop)
-        self.rig = Rig(self.runners)
+        self.rig = RouterFixture(self.runners)
         await self.rig.__aenter__()
         self.addAsyncCleanup(self.rig.__aexit__)
 
--- a/tests/router/test_graceful_shutdown.py
+++ b/tests/router/test_graceful_shutdown.py
@@ -7,7 +7,7 @@
 
 from simulator.clients import Client, PlannedEnd, Tally
 from simulator.virtual import world
-from tests.support.router_fixture import POLICY, Rig, route
+from tests.support.router_fixture import POLICY, RouterFixture, route
 
 LONG_TIMEOUT = {**POLICY, "routes": [route("once", "/once/", timeoutMs=20000, gapTargetMs=20000)]}
 GRACE = timedelta(seconds=8)
@@ -25,7 +25,7 @@
     async def _run_scenario(self, scenario, runners):
         self.loop = asyncio.get_running_loop()
         self.tally = Tally()
-        async with Rig(runners, LONG_TIMEOUT) as self.rig:
+        async with RouterFixture(runners, LONG_TIMEOUT) as self.rig:
             self.sigterm_at = self.loop.time() + 1.0
             self.planned_end = PlannedEnd(self.sigterm_at, GRACE)
             tasks = [asyncio.ensure_future(coroutine) for coroutine in (scenario(), self._run_router())]
--- a/tests/router/test_hedging.py
+++ b/tests/router/test_hedging.py
@@ -5,7 +5,7 @@
 
 from simulator.clients import Client
 from simulator.virtual import world
-from tests.support.router_fixture import POLICY, Rig, route
+from tests.support.router_fixture import POLICY, RouterFixture, route
 
 EVENTS = b"".join(b"id: %d\ndata: piece %d\n\n" % (i, i) for i in range(1, 6))
 ROUTES = [
@@ -22,7 +22,7 @@
         """Return the answer to one request."""
 
         async def run():
-            async with Rig(runners, {**POLICY, "routes": ROUTES}) as self.rig:
+            async with RouterFixture(runners, {**POLICY, "routes": ROUTES}) as self.rig:
                 script = list(behaviors)
                 for runner in self.rig.runners:
                     runner.script, runner.silence = script, silence
@@ -63,7 +63,7 @@
             with self.subTest(behavior=behavior):
 
                 async def run(behavior=behavior):
-                    async with Rig(2, {**POLICY, "routes": ROUTES}) as rig:
+                    async with RouterFixture(2, {**POLICY, "routes": ROUTES}) as rig:
                         for runner in rig.runners:
                             runner.script, runner.silence = [behavior], 2.0
                         fill(rig)
@@ -97,7 +97,7 @@
 
     def test_client_disconnect_cancels_both_attempts(self):
         async def run():
-            async with Rig(2, {**POLICY, "routes": ROUTES}) as rig:
+            async with RouterFixture(2, {**POLICY, "routes": ROUTES}) as rig:
                 for runner in rig.runners:
                     runner.script = ["hang"]
                 client = await Client.connect("127.0.0.1", rig.port)
--- a/tests/router/test_misdirected.py
+++ b/tests/router/test_misdirected.py
@@ -9,7 +9,7 @@
 import unittest
 
 from simulator.virtual import world
-from tests.support.router_fixture import POLICY, STARTUP, Rig, route
+from tests.support.router_fixture import POLICY, STARTUP, RouterFixture, route
 
 ROUTES = [route("single", "/single/", maxAttempts=1), route("two", "/two/", maxAttempts=2, resumeStreams=True)]
 NO_BUDGET = {**STARTUP, "bounds": {"retryBudgetRatio": 0.0, "retryBudgetSlack": 0}}
@@ -20,7 +20,7 @@
         """Return the status of one request; runners follow ``behaviors`` in the order in which they are chosen."""
 
         async def run():
-            async with Rig(runners, {**POLICY, "routes": ROUTES}, startup) as rig:
+            async with RouterFixture(runners, {**POLICY, "routes": ROUTES}, startup) as rig:
                 script = list(behaviors)
                 for runner in rig.runners:
                     runner.script = script
--- a/tests/router/test_reconfigured.py
+++ b/tests/router/test_reconfigured.py
@@ -8,7 +8,7 @@
 from simulator.virtual import world
 from sparloom.configuration import build
 from sparloom.discovery import Endpoint, EndpointList
-from tests.support.router_fixture import POLICY, Rig, route
+from tests.support.router_fixture import POLICY, RouterFixture, route
 
 ROUTES = [route("once", "/once/", timeoutMs=8000), route("resume", "/resume/", resumeStreams=True, timeoutMs=8000)]
 SERVICE = POLICY["services"][0]
@@ -45,7 +45,7 @@
         """Return the outcomes of concurrent requests to runners with this behavior, with a change after ``delay_s``."""
 
         async def run():
-            async with Rig(2, BASE) as rig:
+            async with RouterFixture(2, BASE) as rig:
                 self.rig = rig
                 for runner in rig.runners:
                     runner.script, runner.silence = [behavior] * 12, 1.0
--- a/tests/router/test_serviceability.py
+++ b/tests/router/test_serviceability.py
@@ -16,7 +16,7 @@
 from sparloom.discovery import Endpoint, EndpointList
 from sparloom.router.frontend import READY_PATH
 from sparloom.transport import monotonic
-from tests.support.router_fixture import Rig
+from tests.support.router_fixture import RouterFixture
 
 GRACE_S = 3.0 / 8
 LOG = ["readiness: too few runners reachable", "readiness: enough runners reachable"]
@@ -26,7 +26,7 @@
 class Serviceability(unittest.TestCase):
     def run_scenario(self, scenario):
         async def run():
-            async with Rig(2) as self.rig:
+            async with RouterFixture(2) as self.rig:
                 self.backends = list(self.rig.state.backends.by_id.values())
                 await scenario()
 
@@ -123,7 +123,7 @@
             for turn in range(1, 40):
                 await asyncio.sleep(0.05)
                 node._on_tick(turn)
-            self.assertTrue(node.serviceability.cut_off)
+            self.assertTrue(node.serviceability.partitioned)
             self.assertFalse(await self.ready())
             self.assertGreater(sum(runner.pipes for runner in self.rig.runners), 0)
 
@@ -133,7 +133,7 @@
         async def scenario():
             self.rig.state.backends = type(self.rig.state.backends)()
             await self.ready(2.0)
-            self.assertFalse(self.rig.state.serviceability.cut_off)
+            self.assertFalse(self.rig.state.serviceability.partitioned)
 
         self.run_scenario(scenario)
 
--- a/tests/router/test_stale_endpoints.py
+++ b/tests/router/test_stale_endpoints.py
@@ -13,7 +13,7 @@
 from simulator.clients import Client
 from simulator.virtual import world
 from sparloom.transport import monotonic
-from tests.support.router_fixture import POLICY, STARTUP, Rig, route
+from tests.support.router_fixture import POLICY, STARTUP, RouterFixture, route
 
 DRAIN_S = CONTACT_S = 4.0
 BOUNDS = {**STARTUP["bounds"], "drainMs": 1000 * DRAIN_S, "contactMs": 1000 * CONTACT_S}
@@ -30,7 +30,7 @@
             return loop.run_until_complete(self._run_scenario(loop, leaves_at, behaviour, seconds, random.Random(seed)))
 
     async def _run_scenario(self, loop, leaves_at, behaviour, seconds, rng):
-        async with Rig(6, {**POLICY, "routes": ROUTES}, {**STARTUP, "bounds": BOUNDS}) as rig:
+        async with RouterFixture(6, {**POLICY, "routes": ROUTES}, {**STARTUP, "bounds": BOUNDS}) as rig:
             start, self.responses = loop.time(), []
             self.draining_runner = rig.runners[0]
             for runner in rig.runners:
@@ -86,12 +86,12 @@
             loop.run_until_complete(self._check_endpoint_staleness())
 
     async def _check_endpoint_staleness(self):
-        async with Rig(2, POLICY, {**STARTUP, "bounds": BOUNDS}) as rig:
+        async with RouterFixture(2, POLICY, {**STARTUP, "bounds": BOUNDS}) as rig:
             rig.state.snapshots.record_primary_confirmation(monotonic() - timedelta(seconds=1.5))
-            self.assertFalse(rig.state.snapshots.doubts_endpoints(monotonic()))
-            self.assertTrue(rig.state.snapshots.doubts_endpoints(monotonic() + timedelta(seconds=2)))
+            self.assertFalse(rig.state.snapshots.endpoints_may_be_stale(monotonic()))
+            self.assertTrue(rig.state.snapshots.endpoints_may_be_stale(monotonic() + timedelta(seconds=2)))
             # By then the router is disconnected and uses its last endpoint list.
-            self.assertFalse(rig.state.snapshots.doubts_endpoints(monotonic() + timedelta(seconds=9)))
+            self.assertFalse(rig.state.snapshots.endpoints_may_be_stale(monotonic() + timedelta(seconds=9)))
 
 
 if __name__ == "__main__":
--- a/tests/router/test_unreachable_zone.py
+++ b/tests/router/test_unreachable_zone.py
@@ -14,7 +14,7 @@
 from sparloom.router import zone_prober
 from sparloom.router.backends import BackendTable
 from sparloom.transport import dial, monotonic
-from tests.support.router_fixture import POLICY, Rig, route
+from tests.support.router_fixture import POLICY, RouterFixture, route
 
 ROUTES = [
     route("resume", "/resume/", resumeStreams=True, timeoutMs=8000, targetMs=400),
@@ -29,7 +29,7 @@
 
     def run_scenario(self, scenario):
         async def run():
-            async with Rig(RUNNERS, {**POLICY, "routes": ROUTES}) as self.rig:
+            async with RouterFixture(RUNNERS, {**POLICY, "routes": ROUTES}) as self.rig:
                 self.dark, self.light = self.rig.runners[:4], self.rig.runners[4:]
                 self.rng = random.Random(1)
                 self.list_runners()
--- a/tests/router/test_unsupported_services.py
+++ b/tests/router/test_unsupported_services.py
@@ -7,14 +7,14 @@
 
 import unittest
 
-from tests.support.router_fixture import POLICY, Rig
+from tests.support.router_fixture import POLICY, RouterFixture
 
 
 class UnsupportedServices(unittest.IsolatedAsyncioTestCase):
     async def send(self, **options):
         """Sends a request to a service with these options; returns its status, if it has Retry-After, and runner calls."""
         policy = {**POLICY, "services": [{**POLICY["services"][0], **options}]}
-        async with Rig(1, policy) as rig:
+        async with RouterFixture(1, policy) as rig:
             answer = await rig.send("/unsafe/x")
             return answer.status, "retry-after" in answer.heads, len(rig.runners[0].got)
 
--- a/tests/support/router_fixture.py
+++ b/tests/support/router_fixture.py
@@ -66,7 +66,7 @@
         pass
 
 
-class Rig:
+class RouterFixture:
     """A front end with fake runners, and a raw HTTP client (``send``)."""
 
     def __init__(self, runners=1, policy=POLICY, startup=STARTUP):
