--- a/fakes/platform.py
+++ b/fakes/platform.py
@@ -87,7 +87,7 @@
             await self.server.cleanup()
 
     async def _handle_duty_call(self, request: web.BaseRequest) -> web.Response:
-        """Handle a duty call: execute it after ``late_s`` and respond after both ``response_delay_s`` and the execution."""
+        """Handle a duty call: execute it after ``late_s``; respond after it and after ``response_delay_s``."""
         body = await request.json()
         status = self.duty_statuses.pop(0) if self.duty_statuses else 500 if self.down else 200
         if status == 0:
--- a/sparloom/controller/control_api.py
+++ b/sparloom/controller/control_api.py
@@ -349,13 +349,13 @@
 
     async def rollout(self, request: web.BaseRequest) -> web.Response:
         """Handles GET: describes the newest roll-out of a service."""
-        from .rollout_api import NO_ROLLOUT, ROLLOUT_PREFIX, description, newest_rollout
+        from .rollout_api import NO_ROLLOUT, ROLLOUT_PREFIX, describe_rollout, newest_rollout
 
         snapshot = await self.writer.confirmed(Deadline.after_body(0))
         if snapshot is None:
             return self.redirect(request.raw_path)
         rollout = newest_rollout(snapshot.state, request.path.removeprefix(ROLLOUT_PREFIX))
-        return error(*NO_ROLLOUT) if rollout is None else reply(HTTPStatus.OK, description(rollout))
+        return error(*NO_ROLLOUT) if rollout is None else reply(HTTPStatus.OK, describe_rollout(rollout))
 
     def _response_to(self, outcome: ChangeOutcome, path: str = CONFIGURATION_PATH) -> web.Response:
         match outcome:
@@ -410,14 +410,14 @@
         state = committed.state.rollouts if committed is not None else None
         if state is None:
             return {}
-        from .rollout_api import description
+        from .rollout_api import describe_rollout
 
         return {
             "rollouts": {
                 "firstVersions": {service: list(names) for service, names in state.first_versions.items()},
                 "collector": state.collector,
                 "newest": {
-                    service: {"number": rollout.number, **description(rollout)}
+                    service: {"number": rollout.number, **describe_rollout(rollout)}
                     for service, rollout in state.newest.items()
                 },
                 "votes": self._rollout_votes(),
--- a/sparloom/controller/rollout_api.py
+++ b/sparloom/controller/rollout_api.py
@@ -79,11 +79,11 @@
     return state.rollouts.newest.get(service) if state.rollouts else None
 
 
-def description(rollout: Rollout) -> dict[str, Any]:
+def describe_rollout(rollout: Rollout) -> dict[str, Any]:
     """Return a rollout's state as reported to operators.
 
     >>> from sparloom.rollouts import Rollout
-    >>> description(Rollout(1, "s", "v2", 9000, 0, ("v1",)))["state"]
+    >>> describe_rollout(Rollout(1, "s", "v2", 9000, 0, ("v1",)))["state"]
     'serving'
     """
     body = {
--- a/sparloom/router/backend_choice.py
+++ b/sparloom/router/backend_choice.py
@@ -120,7 +120,7 @@
             return None
         choice = self._take_best(self._allowed(candidates), reserved, now)
         if choice is None:
-            rollouts.not_exposed(self.service)
+            rollouts.release_exposure_token(self.service)
         return choice
 
     def _take_best(self, eligible: Sequence[Backend], reserved: bool, now: timedelta) -> BackendChoice | None:
--- a/sparloom/router/rollout_watcher.py
+++ b/sparloom/router/rollout_watcher.py
@@ -131,7 +131,7 @@
     def trial_backends(self, service: str, route: str, now: timedelta) -> tuple[Backend, ...]:
         """Return the backends of the new version for a request; none if it must go to the old version.
 
-        This takes a token. If the request can't be sent to any of these backends, ``not_exposed`` returns the token.
+        This takes a token. ``release_exposure_token`` returns it if the request can't be sent to any of them.
         """
         watch = self.watches.get(service)
         if watch is None or watch.trial.step == Step.FULL or self._state.configuration_age(now) >= EXPOSURE_LEASE:
@@ -155,7 +155,7 @@
             if backend.id == loaded_id and self._state.in_flight.count(backend.id, now) < max(1, backend.slots)
         )
 
-    def not_exposed(self, service: str) -> None:
+    def release_exposure_token(self, service: str) -> None:
         """Return the token of a request that could not be sent to the new version."""
         watch = self.watches.get(service)
         if watch is not None:
--- a/tests/golden_calls.py
+++ b/tests/golden_calls.py
@@ -197,7 +197,7 @@
                 "runner": asyncio.run(_runner_calls()),
                 "platform": asyncio.run(_platform_calls()),
                 "job answers": _job_answers(),
-                "roll-outs": {name: rollout_api.description(one) for name, one in rollouts().newest.items()},
+                "roll-outs": {name: rollout_api.describe_rollout(one) for name, one in rollouts().newest.items()},
                 "duties": state.duties.to_json(),
                 "roll-outs stored": state.rollouts.to_json(),
                 "rate holders": state.rate_holders.to_json(),
