--- a/simulator/clients.py
+++ b/simulator/clients.py
@@ -1,4 +1,9 @@
-"""Clients on kept connections in simulated time, and a judge of what became of each request."""
+"""HTTP clients on persistent connections, and the classification of their requests around a router shutdown.
+
+``Client`` sends requests and returns an ``Outcome`` for each. ``PlannedEnd``
+decides which failed requests are acceptable during a graceful shutdown.
+``Tally`` groups the outcomes.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +22,11 @@
 
 @define(slots=True)
 class Outcome:
-    """What a client saw of one request; times in seconds of the loop.
+    """The result of one request as observed by the client; times are event loop times, in seconds.
 
-    ``began`` and ``sent``: when its first and its last byte went out; ``waits``: for how long its
-    client waits at most; ``ended``: when its answer was whole, or its connection ended; ``reset``: its
-    connection was reset, which over real sockets tells that some of its bytes were never read.
+    ``began`` and ``sent``: when the first and the last byte were sent. ``waits``: the client's timeout.
+    ``ended``: when the response was complete or the connection closed. ``whole``: the response is complete.
+    ``reset``: the connection was reset; on real sockets, some bytes of the request were then never read.
     """
 
     id: str
@@ -37,7 +42,7 @@
 
     @property
     def refused(self) -> bool:
-        """Whether it was turned away with a time to come back.
+        """Whether the response is a complete 503 with Retry-After.
 
         >>> Outcome("a", 0.0, 0.0, status=503, whole=True, retry_after=True).refused
         True
@@ -47,7 +52,7 @@
 
 @define(slots=True, eq=False)
 class Client:
-    """One client's connection, kept for many requests while the router keeps it."""
+    """A client with one persistent connection, used until the router closes it."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -55,7 +60,7 @@
 
     @classmethod
     async def connect(cls, host: str, port: int) -> Client:
-        """A client on a new connection."""
+        """Open a connection and return its client."""
         return cls(*await asyncio.open_connection(host, port))
 
     async def send(
@@ -68,9 +73,9 @@
         host: str = "h.example",
         heads: Sequence[str] = (),
     ) -> Outcome:
-        """Sends a request, with a pause in the middle of its bytes, and waits for its answer or the connection's end."""
+        """Send a request, with a pause between head and body; wait for the response or the end of the connection."""
         loop = asyncio.get_running_loop()
-        lines = [
+        head_lines = [
             f"POST {path} HTTP/1.1",
             f"Host: {host}",
             f"X-Sparloom-Attempt-Id: {id}",
@@ -79,13 +84,13 @@
             *heads,
         ]
         began = loop.time()
-        self.writer.write("".join(f"{line}\r\n" for line in (*lines, "")).encode())
+        self.writer.write("".join(f"{line}\r\n" for line in (*head_lines, "")).encode())
         if pause:
             await asyncio.sleep(pause)
         self.writer.write(body)
         outcome = Outcome(id, began, loop.time(), left_ms / 1000)
         try:
-            await self._answer(outcome)
+            await self._read_response(outcome)
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             self.open = False
             outcome.reset = isinstance(error, ConnectionResetError)
@@ -94,62 +99,71 @@
             self.open = False
         return outcome
 
-    async def _answer(self, outcome: Outcome) -> None:
-        lines = (await self.reader.readuntil(HEAD_END)).decode("latin-1").lower().split("\r\n")
-        heads: dict[str, str] = dict(line.split(": ", 1) for line in lines[1:] if line)
-        outcome.status = int(lines[0].split()[1])
-        outcome.closes = heads.get("connection") == "close"
-        outcome.retry_after = "retry-after" in heads
-        if "content-length" in heads:
-            await self.reader.readexactly(int(heads["content-length"]))
+    async def _read_response(self, outcome: Outcome) -> None:
+        head_lines = (await self.reader.readuntil(HEAD_END)).decode("latin-1").lower().split("\r\n")
+        headers: dict[str, str] = dict(line.split(": ", 1) for line in head_lines[1:] if line)
+        outcome.status = int(head_lines[0].split()[1])
+        outcome.closes = headers.get("connection") == "close"
+        outcome.retry_after = "retry-after" in headers
+        if "content-length" in headers:
+            await self.reader.readexactly(int(headers["content-length"]))
         else:
             await self.reader.readuntil(LAST_CHUNK)
         outcome.whole = True
 
     async def next_end(self) -> None:
-        """Waits until the router ends the connection."""
+        """Wait until the router closes the connection."""
         await self.reader.read()
         self.open = False
 
     def close(self) -> None:
-        """Leaves."""
+        """Close the connection."""
         self.writer.close()
 
 
 @define(frozen=True, slots=True)
 class PlannedEnd:
-    """A planned end of the router: when it was told, and how long it may take; what may be lost around it.
+    """A graceful shutdown of a router; decides which failed requests are acceptable during it.
+
+    ``at``: when the router received SIGTERM, in event loop time. ``grace``: the grace period.
+    ``slack``: a request that wasn't forwarded counts as unread when its connection ends within this many seconds.
+    ``accept_window_s``: for this many seconds after SIGTERM, requests may still be accepted and later aborted.
 
     >>> from datetime import timedelta
     >>> end = PlannedEnd(10.0, timedelta(seconds=6))
-    >>> end.excuses(Outcome("a", 12.0, sent=12.0, ended=15.5)), end.excuses(Outcome("a", 13.5, sent=13.5, ended=15.5))
+    >>> end.allows_failure(Outcome("a", 12.0, sent=12.0, ended=15.5)), end.allows_failure(Outcome("a", 13.5, sent=13.5, ended=15.5))
     (True, False)
     """
 
     at: float
     grace: timedelta
     slack: float = 0.2
-    still_sent: float = 3.0
+    accept_window_s: float = 3.0
 
-    def excuses(self, outcome: Outcome) -> bool:
-        """Whether a request was sent so early and worked on so late that it may be broken off, or its time was over."""
+    def allows_failure(self, outcome: Outcome) -> bool:
+        """Whether a failed request is acceptable.
+
+        It is when the client's timeout expired, or when the request was sent
+        within ``accept_window_s`` and was aborted in the last sixth of the
+        grace period.
+        """
         if outcome.ended - outcome.began >= outcome.waits:
             return True
-        last_part = self.at + self.grace.total_seconds() * 5 / 6
-        return outcome.sent <= self.at + self.still_sent and outcome.ended >= last_part
+        abort_from = self.at + self.grace.total_seconds() * 5 / 6
+        return outcome.sent <= self.at + self.accept_window_s and outcome.ended >= abort_from
 
-    def lost(self, outcome: Outcome, passed_on: bool) -> bool:
-        """Whether a request was lost: read, and its connection ended with no whole answer."""
+    def lost(self, outcome: Outcome, forwarded: bool) -> bool:
+        """Whether a request was lost: it was read, and its connection ended without a complete response."""
         if outcome.whole:
             return False
-        if passed_on:
-            return not self.excuses(outcome)
+        if forwarded:
+            return not self.allows_failure(outcome)
         return outcome.ended - outcome.sent > self.slack
 
 
 @define(slots=True)
 class Tally:
-    """Requests of one play, by what became of them."""
+    """The requests of one run, grouped by outcome."""
 
     answered: list[Outcome] = field(factory=list)
     refused: list[Outcome] = field(factory=list)
@@ -157,11 +171,11 @@
     unread: list[Outcome] = field(factory=list)
     lost: list[Outcome] = field(factory=list)
 
-    def add(self, outcome: Outcome, passed_on: bool, end: PlannedEnd) -> None:
-        """Counts one request."""
-        if end.lost(outcome, passed_on):
+    def add(self, outcome: Outcome, forwarded: bool, end: PlannedEnd) -> None:
+        """Add one request to its group."""
+        if end.lost(outcome, forwarded):
             self.lost.append(outcome)
         elif outcome.whole:
             (self.refused if outcome.status == 503 else self.answered).append(outcome)
         else:
-            (self.excused if passed_on else self.unread).append(outcome)
+            (self.excused if forwarded else self.unread).append(outcome)
--- a/tests/simulator/test_soak.py
+++ b/tests/simulator/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak with real processes: some seeds of each play, and that a lost request would be seen."""
+"""Short soak runs with real processes, two seeds of each scenario, and unit tests of the soak helpers."""
 
 import unittest
 from datetime import timedelta
@@ -9,36 +9,36 @@
 
 
 class Soak(unittest.TestCase):
-    def test_requests_on_kept_connections_while_routers_end_pause_and_read_settings_again(self):
+    def test_requests_survive_router_restarts_pauses_and_reloads(self):
         self.assertEqual(soak(play="requests", runs=2, parallel=2, seconds=14.0), 0)
 
-    def test_jobs_while_controllers_are_killed_and_orders_are_carried_out_late(self):
+    def test_jobs_survive_controller_crashes_and_late_start_orders(self):
         self.assertEqual(soak(play="jobs", runs=2, parallel=2, seconds=12.0), 0)
 
-    def test_duties_while_their_holder_is_killed_and_pauses_and_the_platform_is_late(self):
+    def test_duties_survive_holder_crashes_pauses_and_a_slow_platform(self):
         self.assertEqual(soak(play="duties", runs=2, parallel=2, seconds=12.0), 0)
 
-    def test_roll_outs_while_controllers_are_killed_and_routers_pause(self):
+    def test_rollouts_survive_controller_crashes_and_router_pauses(self):
         self.assertEqual(soak(play="rollouts", runs=2, parallel=2, seconds=14.0), 0)
 
-    def test_an_unknown_play_is_refused(self):
+    def test_unknown_scenario_is_rejected(self):
         self.assertEqual(soak(play="nothing"), 2)
 
-    def test_the_judge_calls_a_request_lost_that_was_passed_on_and_cut(self):
-        end = PlannedEnd(10.0, timedelta(seconds=5))
-        cut = Outcome("a", 11.68, sent=11.68, waits=8.0, ended=11.98)
-        self.assertTrue(end.lost(cut, passed_on=True))
-        self.assertFalse(end.lost(Outcome("a", 11.68, sent=11.68, waits=8.0, ended=11.7), passed_on=False))
+    def test_forwarded_request_without_complete_response_counts_as_lost(self):
+        shutdown = PlannedEnd(10.0, timedelta(seconds=5))
+        aborted = Outcome("a", 11.68, sent=11.68, waits=8.0, ended=11.98)
+        self.assertTrue(shutdown.lost(aborted, forwarded=True))
+        self.assertFalse(shutdown.lost(Outcome("a", 11.68, sent=11.68, waits=8.0, ended=11.7), forwarded=False))
 
-    def test_addresses_of_plays_at_the_same_time_differ(self):
+    def test_concurrent_scenarios_use_different_addresses(self):
         first, second = reserve_network(), reserve_network()
-        for _, holder in (first, second):
-            self.addCleanup(holder.close)
+        for _, lock in (first, second):
+            self.addCleanup(lock.close)
         addresses = [address(network, number) for network in (first[0], second[0]) for number in range(300)]
         self.assertEqual(len(set(addresses)), len(addresses))
-        self.assertTrue(all(a.startswith("127.") for a in addresses))
+        self.assertTrue(all(candidate.startswith("127.") for candidate in addresses))
 
-    def test_startup_files_are_toml(self):
+    def test_startup_files_are_valid_toml(self):
         import tomllib
 
         settings = {"a": "x", "b": [1, 2], "bounds": {"graceS": 5.0, "on": True}}
