--- a/simulator/traffic.py
+++ b/simulator/traffic.py
@@ -1,4 +1,4 @@
-"""Streamed requests through the real routers, and the platform and runners behind them."""
+"""Streamed requests through real routers, with a simulated platform and runners as backends."""
 
 import asyncio
 import random
@@ -30,7 +30,7 @@
 
 
 def histogram():
-    """Microseconds up to a minute, to three digits.
+    """Return a histogram of microseconds, up to one minute, with three significant digits.
 
     >>> histogram().get_total_count()
     0
@@ -38,94 +38,102 @@
     return HdrHistogram(1, 60_000_000, 3)
 
 
-def quantiles(h):
-    """Median, 99 in 100 and worst of a histogram of microseconds, in ms.
+def quantiles(durations):
+    """Return the median, the 99th percentile and the maximum of a histogram of microseconds, in ms, with the count.
 
     >>> quantiles(histogram())["of"]
     0
     """
-    n = h.get_total_count()
+    count = durations.get_total_count()
     return (
         {
-            "median": h.get_value_at_percentile(50) / 1000,
-            "p99": h.get_value_at_percentile(99) / 1000,
-            "worst": h.get_max_value() / 1000,
-            "of": n,
+            "median": durations.get_value_at_percentile(50) / 1000,
+            "p99": durations.get_value_at_percentile(99) / 1000,
+            "worst": durations.get_max_value() / 1000,
+            "of": count,
         }
-        if n
+        if count
         else {"median": None, "p99": None, "worst": None, "of": 0}
     )
 
 
 class Traffic:
-    """A platform, two stand-in runners, and requesters."""
+    """A simulated platform, two simulated runners that respond, and clients."""
 
     def __init__(self, size, platform, seed):
-        self.size, self.luck, self.told = size, random.Random(seed), platform
-        self.first, self.gap, self.good, self.bad, self.tasks = histogram(), histogram(), 0, 0, []
+        self.size, self.rng, self.platform_settings = size, random.Random(seed), platform
+        self.first_event, self.gap, self.complete, self.incomplete, self.tasks = histogram(), histogram(), 0, 0, []
 
     async def start(self):
-        """The platform lists the hollow runners, and two that answer."""
+        """Start the platform and the runners that respond; return the platform's address."""
         self.runners = [await Runner(id=f"real-{i}", events=12, pause=0.05).start(f"127.3.1.{i + 1}") for i in range(2)]
-        self.real = [
-            Platform.entry(r.id, SERVICE, f"127.3.1.{i + 1}:{r.port}", zone="zone-1", slots=64)
-            for i, r in enumerate(self.runners)
+        self.real_entries = [
+            Platform.entry(runner.id, SERVICE, f"127.3.1.{i + 1}:{runner.port}", zone="zone-1", slots=64)
+            for i, runner in enumerate(self.runners)
         ]
-        self.platform = await Platform([], self.told["pageSize"]).start(API)
+        self.platform = await Platform([], self.platform_settings["pageSize"]).start(API)
         self.list(0)
         return f"{API}:{self.platform.port}"
 
-    def list(self, life):
-        """The list, with the first hollow runner in that life."""
-        self.platform.entries = [*self.real, *entries(self.size.runners, self.size.zones, life, self.size.slots)]
+    def list(self, incarnation):
+        """Update the platform's list; ``incarnation`` is that of the first hollow runner."""
+        self.platform.entries = [
+            *self.real_entries,
+            *entries(self.size.runners, self.size.zones, incarnation, self.size.slots),
+        ]
 
     def send(self, fronts, rate):
-        """Requests a second to each front, until the end."""
+        """Send requests to each front at a mean rate per second, until ``stop``."""
         self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=10))
-        self.tasks = [asyncio.ensure_future(self._often(f, rate)) for f in fronts]
+        self.tasks = [asyncio.ensure_future(self._send_at_rate(front, rate)) for front in fronts]
 
-    async def _often(self, front, rate):
-        open_now = set()
+    async def _send_at_rate(self, front, rate):
+        in_flight = set()
         while True:
-            await asyncio.sleep(self.luck.expovariate(rate))
-            t = asyncio.ensure_future(self._one(front))
-            open_now.add(t)
-            t.add_done_callback(open_now.discard)
+            await asyncio.sleep(self.rng.expovariate(rate))
+            task = asyncio.ensure_future(self._send_one(front))
+            in_flight.add(task)
+            task.add_done_callback(in_flight.discard)
 
-    async def _one(self, front):
-        heads = {
+    async def _send_one(self, front):
+        headers = {
             "Host": HOST,
-            "X-Sparloom-Attempt-Id": f"a{self.luck.getrandbits(60):x}",
-            "X-Sparloom-Prompt-Prefix": f"aa{self.luck.randrange(8)}:2048,{self.luck.getrandbits(50):x}:300",
+            "X-Sparloom-Attempt-Id": f"a{self.rng.getrandbits(60):x}",
+            "X-Sparloom-Prompt-Prefix": f"aa{self.rng.randrange(8)}:2048,{self.rng.getrandbits(50):x}:300",
         }
-        last, h, events = monotonic(), self.first, 0
+        last, intervals, events = monotonic(), self.first_event, 0
         try:
-            async with self.session.post(f"http://{front}/real/x", headers=heads, data=b"hello") as r:
-                async for raw in r.content.iter_any():
+            async with self.session.post(f"http://{front}/real/x", headers=headers, data=b"hello") as response:
+                async for raw in response.content.iter_any():
                     now = monotonic()
-                    h.record_value(max(1, int((now - last).total_seconds() * 1e6)))
-                    last, h, events = now, self.gap, events + raw.count(b"data:")
-                self.good, self.bad = (
-                    (self.good + 1, self.bad) if r.status == 200 and events == 12 else (self.good, self.bad + 1)
+                    intervals.record_value(max(1, int((now - last).total_seconds() * 1e6)))
+                    last, intervals, events = now, self.gap, events + raw.count(b"data:")
+                self.complete, self.incomplete = (
+                    (self.complete + 1, self.incomplete)
+                    if response.status == 200 and events == 12
+                    else (self.complete, self.incomplete + 1)
                 )
         except (aiohttp.ClientError, OSError, TimeoutError):
-            self.bad += 1
+            self.incomplete += 1
 
     def figures(self):
-        """Streams whole and not whole, time to the first event, pauses (the runner's own 50 ms included)."""
+        """Return complete and incomplete streams, the time to the first event, and the gaps between events.
+
+        The gaps include the 50 ms that the runner itself waits between events.
+        """
         return {
-            "whole": self.good,
-            "notWhole": self.bad,
-            "firstMs": quantiles(self.first),
+            "whole": self.complete,
+            "notWhole": self.incomplete,
+            "firstMs": quantiles(self.first_event),
             "pauseMs": quantiles(self.gap),
         }
 
     async def stop(self):
-        """Ends all of it."""
-        for t in self.tasks:
-            t.cancel()
+        """Stop the clients, the runners and the platform."""
+        for task in self.tasks:
+            task.cancel()
         if self.tasks:
             await self.session.close()
-        for r in self.runners:
-            await r.stop()
+        for runner in self.runners:
+            await runner.stop()
         await self.platform.stop()
