--- a/simulator/isolation.py
+++ b/simulator/isolation.py
@@ -1,9 +1,9 @@
-"""Plays rivals' identical prompts over a fleet of real routers and controllers, in simulated time.
+"""The prompt isolation scenario: members send equal prompts through real routers and controllers, in simulated time.
 
-Routers are killed, restarted, added and cut off, runners are restarted, added
-and replaced, a member is added and the key is turned over. Runners account for
-every part that they keep; a part that is found though another member left it
-is what must never be seen.
+Routers are killed, restarted, added and partitioned; runners are restarted,
+added and replaced; a member is added and the key is rotated. Runners record
+every prompt part in their cache. A cache hit on a part of another member is a
+violation. ``play_isolation`` runs one seed.
 """
 
 import asyncio
@@ -17,24 +17,25 @@
 from sparloom.settings import from_dict
 
 from .fleet import SERVICE, Fleet, Size, entries, startup
-from .rivals import Books, Clients, KeepingRunner, Seen
+from .rivals import Books, CachingRunner, Clients, RequestCounts
 from .virtual import HOST, world
 
 SIZE = Size(nodes=6, runners=20, routes=0, zones=3, controllers=3, slots=16)
 PUBLIC = "aa"
 PROMPTS = 40
-RATE = 8.0
-SECONDS = 45.0
-MOST_MEMBERS = ("a", "b", "c", "d")
+REQUESTS_PER_S = 8.0
+DURATION_S = 45.0
+ALL_MEMBERS = ("a", "b", "c", "d")
 KEYS = ("11" * 32, "22" * 32)
-# A router reads its settings again within a second; so a step is in force everywhere after this.
-STEP_S = 1.5
+# Routers reload their settings within 1 s, so a change is in force on all routers after this time.
+PROPAGATION_S = 1.5
 DRAIN_S = 0.4
+# Significance level and power of the test of response times.
 ALPHA, POWER = 0.01, 0.8
 
 
 def policy():
-    """A configuration with two routes a member: one whose requests may run once only, one that may be resumed."""
+    """Return a configuration with two routes for each member: one without stream resumption, one with it."""
     common = {"routeKind": "streaming", "timeoutMs": 5000, "targetMs": 450, "priority": 0, "service": SERVICE}
     routes = [
         {
@@ -46,7 +47,7 @@
             "gapTargetMs": 200,
             **common,
         }
-        for member in MOST_MEMBERS
+        for member in ALL_MEMBERS
         for name in ("plan", "check")
     ]
     service = {"name": SERVICE, "connectionLimit": 570, "engine": {"slots": 16, "cacheTokens": 378959}}
@@ -54,82 +55,84 @@
 
 
 def settings(names, key, before=()):
-    """The sections ``members`` and ``isolation`` of a startup file.
+    """Return the sections ``members`` and ``isolation`` of a startup file.
 
-    ``before``: earlier (names, key) pairs that lives of runners may still go by.
+    ``before``: earlier (names, key) pairs under which running runners may still hold cached prompts.
 
     >>> sorted(settings(("a", "b"), KEYS[0])["isolation"])
     ['before', 'key', 'public']
     """
     members = {name: {"hosts": [f"{name}.example"], "reserve": 0.2} for name in names}
-    earlier = [{"key": k, "public": [PUBLIC], "members": dict.fromkeys(ns, 0.2)} for ns, k in before]
+    earlier = [
+        {"key": old_key, "public": [PUBLIC], "members": dict.fromkeys(old_names, 0.2)} for old_names, old_key in before
+    ]
     return {"members": members, "isolation": {"key": key, "public": [PUBLIC], "before": earlier}}
 
 
 class RivalFleet(Fleet):
-    """Real routers, with their fronts, before runners that keep prompts."""
+    """Real routers that accept clients, in front of runners that cache prompts."""
 
     def __init__(self, loop, isolated, books):
         super().__init__(loop, SIZE)
         self.isolated, self.books = isolated, books
-        self.told = settings(MOST_MEMBERS[:3], KEYS[0])
-        self.runners, self.births, self.draining = {}, {}, None
+        self.member_settings = settings(ALL_MEMBERS[:3], KEYS[0])
+        self.runners, self.incarnations, self.draining = {}, {}, None
 
-    def _settings(self, ip, i):
-        told = dict(self.told)
+    def _settings(self, ip, index):
+        sections = dict(self.member_settings)
         if not self.isolated:
-            del told["isolation"]
-        return from_dict({**startup(self.size, ip, "router", self.size.zone(i), 1), **told}).unwrap()
+            del sections["isolation"]
+        return from_dict({**startup(self.size, ip, "router", self.size.zone(index), 1), **sections}).unwrap()
 
     async def boot(self, i, wait=0.0):
-        """Starts the i-th router, with a new life."""
+        """Start the i-th router as a new incarnation."""
         await asyncio.sleep(wait)
         ip = self.size.router(i)
-        self.births[ip] = self.births.get(ip, 0) + 1
+        self.incarnations[ip] = self.incarnations.get(ip, 0) + 1
         self.loop.net.off.discard(ip)
         self.routers[ip] = await self._on(ip, Router(self._settings(ip, i), ""))
 
     async def kill(self, ips):
-        """Routers lose power."""
+        """Cut the power of routers."""
         for ip in ips:
-            self.births[ip] += 1
+            self.incarnations[ip] += 1
         await super().kill(ips)
 
     def ready(self):
-        """The addresses of the routers that clients may be given."""
+        """Return the addresses of the routers that are ready for clients."""
         return [ip for ip, router in self.routers.items() if router.node.ready()]
 
-    async def tell(self, told):
-        """Gives all routers other settings, one after another within a second."""
-        self.told = told
+    async def update_settings(self, sections):
+        """Apply changed settings to all routers, one after another within a second."""
+        self.member_settings = sections
         for i, ip in enumerate(sorted(self.routers)):
             await asyncio.sleep(1.0 / (len(self.routers) + 1))
             if ip in self.routers:
                 self.routers[ip].apply_settings(self._settings(ip, i))
 
-    # -- runners ----------------------------------------------------------------
-    async def start_runner(self, i):
-        """Starts the i-th runner in a new life, with nothing kept."""
-        old = self.runners.get(i)
-        life = old.life + 1 if old else 0
+    # -- runners ------------------------------------------------------------------
+    async def start_runner(self, index):
+        """Start a runner as a new incarnation, with an empty cache."""
+        old = self.runners.get(index)
+        number = old.number + 1 if old else 0
         if old:
-            began = self.loop.time()
+            stopping_at = self.loop.time()
             await old.runner.stop()
-            self.books.runner_ends.append((began, self.loop.time()))
-        host = f"127.4.0.{i + 1}"
-        runner = KeepingRunner(id=f"i-{i}-{life}", events=4, pause=0.005, books=self.books)
+            self.books.runner_ends.append((stopping_at, self.loop.time()))
+        host = f"127.4.0.{index + 1}"
+        runner = CachingRunner(id=f"i-{index}-{number}", events=4, pause=0.005, books=self.books)
         HOST.set(host)
         await runner.start(host, 8080)
-        self.runners[i] = Life(runner, life)
-        self.tell_list()
+        self.runners[index] = RunnerIncarnation(runner, number)
+        self.update_listing()
 
-    def tell_list(self):
-        """Lets the platform list what runs now."""
+    def update_listing(self):
+        """Update the platform's list on all controllers."""
         for controller in self.controllers.values():
             controller.poller.listing = self.listed()
 
     def listed(self):
-        """The platform's list: the runners that run now."""
+        """Return the platform's list: the runners that run now."""
         return [
             {
                 **entry,
@@ -141,106 +144,106 @@
         ]
 
     async def replace_runners(self):
-        """Replaces all runners one after another, each after a time of draining; waits until routers know the list."""
+        """Drain and replace the runners one after another; wait until the routers have the new list."""
         for i in list(self.runners):
             self.draining = i
-            self.tell_list()
+            self.update_listing()
             await asyncio.sleep(DRAIN_S)
             self.draining = None
             await self.start_runner(i)
-        await asyncio.sleep(STEP_S)
+        await asyncio.sleep(PROPAGATION_S)
 
 
 @define(frozen=True, slots=True)
-class Life:
-    """One life of a runner."""
+class RunnerIncarnation:
+    """One incarnation of a runner, with its number."""
 
-    runner: KeepingRunner
-    life: int
+    runner: CachingRunner
+    number: int
 
 
 @define(slots=True)
-class Times:
-    """Seconds until the answer of a prompt that a rival has sent before, and of one that nobody has."""
+class ResponseTimes:
+    """Response times, in seconds, of prompts that another member has sent before and of new prompts."""
 
-    rivals: list = field(factory=list)
+    repeated: list = field(factory=list)
     fresh: list = field(factory=list)
 
     def p_value(self):
-        """How likely such a difference is by chance, by the test of Mann and Whitney, both sides."""
-        return float(mannwhitneyu(self.rivals, self.fresh).pvalue)
+        """Return the p-value of the difference, by a two-sided Mann-Whitney U test."""
+        return float(mannwhitneyu(self.repeated, self.fresh).pvalue)
 
     def difference_ms(self):
-        """By how much the fresh prompts are answered later in the mean."""
-        return 1000 * (statistics.fmean(self.fresh) - statistics.fmean(self.rivals))
+        """Return the mean response time of new prompts minus that of repeated prompts, in ms."""
+        return 1000 * (statistics.fmean(self.fresh) - statistics.fmean(self.repeated))
 
     def least_effect_ms(self):
-        """The shift of the mean that the test would have found with a chance of ``POWER`` (normal approximation)."""
+        """Return the shift of the mean that the test detects with probability ``POWER`` (normal approximation)."""
         normal = statistics.NormalDist()
-        spread = statistics.pstdev(self.rivals + self.fresh)
+        spread = statistics.pstdev(self.repeated + self.fresh)
         quantiles = normal.inv_cdf(1 - ALPHA / 2) + normal.inv_cdf(POWER)
-        return 1000 * quantiles * spread * (1 / len(self.rivals) + 1 / len(self.fresh)) ** 0.5
+        return 1000 * quantiles * spread * (1 / len(self.repeated) + 1 / len(self.fresh)) ** 0.5
 
 
 @define(frozen=True, slots=True)
-class Played:
-    """What one play showed."""
+class IsolationResult:
+    """The results of one run."""
 
     books: Books
-    seen: Seen
-    times: Times
+    seen: RequestCounts
+    times: ResponseTimes
     twice: int
 
     @property
     def held(self):
-        """Whether nothing crossed, was lost or ran twice, and the answer times tell nothing."""
-        apart = not self.books.crossed and self.times.p_value() >= ALPHA
-        return apart and not self.seen.lost and not self.twice
+        """Whether there was no cross-member hit, no lost or repeated request, and no significant timing difference."""
+        isolated = not self.books.crossed and self.times.p_value() >= ALPHA
+        return isolated and not self.seen.lost and not self.twice
 
     def balance(self):
-        """The busiest life of a runner over the mean of all lives."""
+        """Return the load of the busiest runner incarnation divided by the mean load of all incarnations."""
         load = self.books.load.values()
         return max(load) / statistics.mean(load)
 
     def lines(self):
-        """What is printed."""
+        """Return the report, one string per line."""
         books, seen, times = self.books, self.seen, self.times
         return [
-            f"parts found that a rival had left: {len(books.crossed)}; own parts found: {books.own_hits}; parts read: {books.reads}",
+            f"cache hits on parts of other members: {len(books.crossed)}; on own parts: {books.own_hits}; parts prefilled: {books.prefills}",
             f"requests answered {seen.answered}, refused {seen.refused}, lost {len(seen.lost)}, run twice {self.twice}",
-            f"cut by the end of a router or a runner {seen.cut}, no connection {seen.unread}",
-            f"busiest life of a runner over the mean: {self.balance():.2f}",
-            f"a rival's prompt against a fresh one: {len(times.rivals)} and {len(times.fresh)} answers",
-            f"the fresh ones {times.difference_ms():+.2f} ms in the mean, p = {times.p_value():.3g}",
-            f"a shift of {times.least_effect_ms():.2f} ms would have been found with a chance of {POWER}",
+            f"aborted by the end of a router or a runner {seen.cut}, no connection {seen.unread}",
+            f"load of the busiest runner incarnation over the mean: {self.balance():.2f}",
+            f"prompts of another member and new prompts: {len(times.repeated)} and {len(times.fresh)} responses",
+            f"mean response time of new prompts {times.difference_ms():+.2f} ms, p = {times.p_value():.3g}",
+            f"a shift of {times.least_effect_ms():.2f} ms is detected with probability {POWER}",
         ]
 
 
-class Play:
-    """One play: the fleet, its traffic and its troubles."""
+class IsolationRun:
+    """One run: the fleet, its traffic and its faults."""
 
     def __init__(self, loop, seed, isolated, seconds):
-        self.loop, self.seconds, self.luck = loop, seconds, random.Random(seed)
-        self.books, self.times = Books(frozenset([PUBLIC])), Times()
+        self.loop, self.seconds, self.rng = loop, seconds, random.Random(seed)
+        self.books, self.times = Books(frozenset([PUBLIC])), ResponseTimes()
         self.fleet = RivalFleet(loop, isolated, self.books)
-        self.clients = Clients(seed, self.fleet.ready, lambda ip: self.fleet.births[ip], self.books)
+        self.clients = Clients(seed, self.fleet.ready, lambda ip: self.fleet.incarnations[ip], self.books)
 
     async def run(self):
-        """Plays it; gives what it showed."""
+        """Run the scenario; return the results."""
         for i in range(SIZE.runners):
             await self.fleet.start_runner(i)
         await self._start_fleet()
         HOST.set("127.9.0.1")
         end = self.loop.time() + self.seconds
-        for member in MOST_MEMBERS:
-            self.clients.start(self.clients.often(member, RATE, self._prompt, end))
+        for member in ALL_MEMBERS:
+            self.clients.start(self.clients.send_at_rate(member, REQUESTS_PER_S, self._prompt, end))
         self.clients.start(self._probe(end))
-        await self._troubles()
+        await self._inject_faults()
         await asyncio.sleep(max(0.0, end - self.loop.time()))
         await self.clients.all_done()
         await asyncio.gather(*(router.stop() for router in self.fleet.routers.values()))
         twice = sum(runs > 1 for runs in self.books.runs.values())
-        return Played(self.books, self.clients.seen, self.times, twice)
+        return IsolationResult(self.books, self.clients.seen, self.times, twice)
 
     async def _start_fleet(self):
         fleet = self.fleet
@@ -251,25 +254,25 @@
         await asyncio.sleep(2.0)
 
     def _prompt(self):
-        """A prompt out of those that all members send."""
-        number = self.luck.randrange(PROMPTS)
+        """Return one of the prompts that all members send."""
+        number = self.rng.randrange(PROMPTS)
         return f"{PUBLIC}:200,{0x5C00 + number:x}:2000,{0x9000 + number:x}:300"
 
     def _new_prompt(self):
-        return f"{PUBLIC}:200,{self.luck.getrandbits(60):x}:2000,{self.luck.getrandbits(60):x}:300"
+        return f"{PUBLIC}:200,{self.rng.getrandbits(60):x}:2000,{self.rng.getrandbits(60):x}:300"
 
     async def _probe(self, end):
-        """Times prompts that a rival has just sent against fresh ones, in turn."""
+        """Measure response times of prompts that another member has just sent and of new prompts, in turn."""
         while self.loop.time() < end:
             known = self._new_prompt()
             for _ in range(2):
                 await self.clients.send("a", known)
-            for prompt, times in ((known, self.times.rivals), (self._new_prompt(), self.times.fresh)):
-                taken = await self.clients.send("b", prompt)
-                if taken is not None:
-                    times.append(taken)
+            for prompt, times in ((known, self.times.repeated), (self._new_prompt(), self.times.fresh)):
+                response_s = await self.clients.send("b", prompt)
+                if response_s is not None:
+                    times.append(response_s)
 
-    async def _troubles(self):
+    async def _inject_faults(self):
         fleet, size = self.fleet, self.fleet.size
         await asyncio.sleep(3)
         await fleet.kill([size.router(1)])
@@ -282,29 +285,29 @@
         await self._partition()
         await self._add_member()
         await asyncio.sleep(2)
-        await fleet.tell(settings(MOST_MEMBERS, KEYS[1]))
+        await fleet.update_settings(settings(ALL_MEMBERS, KEYS[1]))
 
     async def _partition(self):
-        """Two routers are cut from all other routers and controllers for some seconds; clients and runners reach them."""
+        """Partition two routers from all other routers and controllers for 4 s; clients and runners still reach them."""
         fleet = self.fleet
-        some = {fleet.size.router(0), fleet.size.router(3)}
-        others = ({*fleet.routers} - some) | {*fleet.controllers}
+        isolated = {fleet.size.router(0), fleet.size.router(3)}
+        others = ({*fleet.routers} - isolated) | {*fleet.controllers}
         await asyncio.sleep(2)
-        fleet.loop.net.cut(some, others)
+        fleet.loop.net.cut(isolated, others)
         await asyncio.sleep(4)
         fleet.loop.net.cuts.clear()
         await asyncio.sleep(2)
 
     async def _add_member(self):
-        """A further member, in the three steps of the operators' page."""
+        """Add a member, in the three steps of the operators' documentation."""
         fleet = self.fleet
-        await fleet.tell(settings(MOST_MEMBERS, KEYS[0], [(MOST_MEMBERS[:3], KEYS[0])]))
-        await asyncio.sleep(STEP_S)
+        await fleet.update_settings(settings(ALL_MEMBERS, KEYS[0], [(ALL_MEMBERS[:3], KEYS[0])]))
+        await asyncio.sleep(PROPAGATION_S)
         await fleet.replace_runners()
-        await fleet.tell(settings(MOST_MEMBERS, KEYS[0]))
+        await fleet.update_settings(settings(ALL_MEMBERS, KEYS[0]))
 
 
-def play_isolation(seed, isolated=True, seconds=SECONDS):
-    """Plays one seed; gives what it showed."""
+def play_isolation(seed, isolated=True, seconds=DURATION_S):
+    """Run one seed; return the results."""
     with world(seed) as loop:
-        return loop.run_until_complete(Play(loop, seed, isolated, seconds).run())
+        return loop.run_until_complete(IsolationRun(loop, seed, isolated, seconds).run())
--- a/simulator/rivals.py
+++ b/simulator/rivals.py
@@ -1,4 +1,8 @@
-"""Runners that account for every part of a prompt, and rivals who send the same prompts."""
+"""Runners that record every prompt part in their prefix cache, and clients of several members with equal prompts.
+
+``CachingRunner`` simulates the prefix cache, ``Books`` records cache hits and
+runs of all runners, and ``Clients`` sends prompts and classifies the outcomes.
+"""
 
 import asyncio
 import random
@@ -11,13 +15,13 @@
 from .clients import Client, Outcome
 
 PROMPT = "X-Sparloom-Prompt-Prefix"
-SECONDS_A_TOKEN = 1 / 50_000
+PREFILL_S_PER_TOKEN = 1 / 50_000
 FRONT_PORT = 8263
-CONNECT_S, MOST_WAIT_S = 1.0, 6.0
+CONNECT_TIMEOUT_S, RESPONSE_TIMEOUT_S = 1.0, 6.0
 
 
 def member_of(host):
-    """The member that a host name stands for.
+    """Return the member that owns a host name.
 
     >>> member_of("a.example")
     'a'
@@ -27,25 +31,28 @@
 
 @define(slots=True)
 class Books:
-    """What all runners together have seen.
-
-    ``public``: ids of parts that all may share. ``crossed``: parts found that
-    another member's prompt had left, as (runner, part, finder, first reader).
-    ``broken``: requests that a runner's end broke off. ``runner_ends``: when
-    runners ended, as (begin, end) in seconds of the loop.
+    """The combined records of all runners.
+
+    ``public``: ids of the parts that all members may share. ``runs``: runs by
+    request id. ``load``: requests by runner id. ``own_hits``: cache hits on
+    parts that the same member has sent. ``prefills``: parts not found in the
+    cache. ``crossed``: cache hits on parts of other members, as (runner, part,
+    member, first member). ``broken``: ids of requests aborted by the end of a
+    runner. ``runner_ends``: when runners stopped, as (start, end) in event
+    loop time.
     """
 
     public: frozenset
     runs: Counter = field(factory=Counter)
     load: Counter = field(factory=Counter)
     own_hits: int = 0
-    reads: int = 0
+    prefills: int = 0
     crossed: list = field(factory=list)
     broken: set = field(factory=set)
     runner_ends: list = field(factory=list)
 
     def runner_ended_during(self, began, ended):
-        """Whether a runner ended between two times of the loop.
+        """Whether a runner was stopping at some time in an interval of event loop time.
 
         >>> Books(frozenset(), runner_ends=[(2.0, 3.0)]).runner_ended_during(2.5, 2.6)
         True
@@ -53,63 +60,63 @@
         return any(first <= ended and began <= last for first, last in self.runner_ends)
 
     def lookup(self, runner, member, prompt):
-        """Looks a prompt up in a runner's cache and leaves it there; gives the tokens that had to be read.
+        """Look a prompt up in a runner's cache and add it; return the number of tokens to prefill.
 
-        A part is found only behind those before it, so it is known by all ids up to its own.
+        A part is a hit only if all parts before it are, so its cache key contains all ids up to its own.
         """
-        unread, chain, found = 0, "", True
+        uncached_tokens, chain, hit = 0, "", True
         for part in prompt.split(","):
             id, _, tokens = part.partition(":")
             chain = f"{chain},{id}"
-            readers = runner.kept.setdefault(chain, [])
-            found = found and bool(readers)
-            if not found:
-                unread += int(tokens)
-                self.reads += 1
+            members = runner.cache.setdefault(chain, [])
+            hit = hit and bool(members)
+            if not hit:
+                uncached_tokens += int(tokens)
+                self.prefills += 1
             elif id not in self.public:
-                self._found(runner, member, id, readers)
-            if member not in readers:
-                readers.append(member)
-        return unread
+                self._record_hit(runner, member, id, members)
+            if member not in members:
+                members.append(member)
+        return uncached_tokens
 
-    def _found(self, runner, member, id, readers):
-        if member in readers:
+    def _record_hit(self, runner, member, id, members):
+        if member in members:
             self.own_hits += 1
         else:
-            self.crossed.append((runner.id, id, member, readers[0]))
+            self.crossed.append((runner.id, id, member, members[0]))
 
 
 @define(slots=True, eq=False)
-class KeepingRunner(Runner):
-    """A runner that takes its time for what it has to read, and keeps it for its life."""
+class CachingRunner(Runner):
+    """A runner that waits for the prefill of uncached tokens and caches prompts until it stops."""
 
     books: Books = None
-    kept: dict = field(factory=dict)
+    cache: dict = field(factory=dict)
 
-    async def _ok(self, g, w, **kw):
-        if g.head("X-Sparloom-Expected-Instance") != self.id:
-            return await self._moved(g, w)
-        member = member_of(g.head("Host"))
-        id = g.head("X-Sparloom-Attempt-Id")
+    async def _ok(self, request, writer, **options):
+        if request.head("X-Sparloom-Expected-Instance") != self.id:
+            return await self._moved(request, writer)
+        member = member_of(request.head("Host"))
+        id = request.head("X-Sparloom-Attempt-Id")
         self.books.runs[id] += 1
         self.books.load[self.id] += 1
-        unread = self.books.lookup(self, member, g.head(PROMPT))
+        uncached_tokens = self.books.lookup(self, member, request.head(PROMPT))
         try:
-            await asyncio.sleep(unread * SECONDS_A_TOKEN)
-            return await Runner._ok(self, g, w, **kw)
+            await asyncio.sleep(uncached_tokens * PREFILL_S_PER_TOKEN)
+            return await Runner._ok(self, request, writer, **options)
         except asyncio.CancelledError:
             self.books.broken.add(id)
             raise
 
 
 @define(slots=True)
-class Seen:
-    """What the clients saw, summed up.
+class RequestCounts:
+    """Request counts by outcome, as observed by the clients.
 
-    ``lost``: requests that were read and got neither a whole answer nor a
-    refusal, though their router and their runner went on running. ``cut``:
-    those whose router lost its power or whose runner ended. ``unread``: those
-    that found no connection.
+    ``lost``: ids of requests that were read and got neither a complete
+    response nor a refusal, although their router and their runner kept
+    running. ``cut``: requests whose router lost power or whose runner stopped. ``unread``:
+    requests for which no connection could be opened.
     """
 
     answered: int = 0
@@ -120,72 +127,72 @@
 
 
 class Clients:
-    """Sends prompts as members, each on a connection of its own, to routers that run.
+    """Sends prompts as different members to running routers, each on a new connection.
 
-    ``routers()``: the addresses of the fronts that clients may be given now.
-    ``lives(address)``: a number that changes when that router loses power.
+    ``routers()``: the addresses of the routers that accept clients now.
+    ``incarnation(address)``: a number that changes when that router loses power.
     """
 
-    def __init__(self, seed, routers, lives, books):
-        self.luck, self.routers, self.lives, self.books = random.Random(seed), routers, lives, books
-        self.seen = Seen()
+    def __init__(self, seed, routers, incarnation, books):
+        self.rng, self.routers, self.incarnation, self.books = random.Random(seed), routers, incarnation, books
+        self.seen = RequestCounts()
         self.tasks = set()
 
     async def send(self, member, prompt, path="/plan/"):
-        """Sends one request; gives the seconds until its answer was whole, or None without an answer."""
-        address = self.luck.choice(sorted(self.routers()))
-        life, id = self.lives(address), f"{self.luck.getrandbits(64):016x}"
+        """Send one request; return the seconds until its 200 response was complete, or None without one."""
+        address = self.rng.choice(sorted(self.routers()))
+        incarnation, id = self.incarnation(address), f"{self.rng.getrandbits(64):016x}"
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 client = await Client.connect(address, FRONT_PORT)
         except (OSError, TimeoutError):
             self.seen.unread += 1
             return None
         try:
-            async with asyncio.timeout(MOST_WAIT_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 outcome = await client.send(path, id, host=f"{member}.example", heads=[f"{PROMPT}: {prompt}"])
         except TimeoutError:
             outcome = Outcome(id, 0.0, 0.0)
         finally:
             client.close()
-        return self._count(outcome, self.lives(address) == life)
+        return self._count(outcome, self.incarnation(address) == incarnation)
 
-    def _count(self, outcome, router_lived):
+    def _count(self, outcome, router_running):
         if outcome.whole and outcome.status == 200:
             self.seen.answered += 1
             return outcome.ended - outcome.began
         if outcome.refused:
             self.seen.refused += 1
-        elif not router_lived or outcome.id in self.books.broken or self._failed_by_runner(outcome):
+        elif not router_running or outcome.id in self.books.broken or self._failed_by_runner(outcome):
             self.seen.cut += 1
         else:
             self.seen.lost.append(outcome.id)
         return None
 
     def _failed_by_runner(self, outcome):
-        """Whether a complete 502 came while a runner ended.
+        """Whether the response is a complete 502 and a runner stopped during the request.
 
-        The request may have been on its way to that runner, which read none of
-        it: the runner's books don't know it, and the router can't tell.
+        The request may have been forwarded to that runner without being read:
+        then it isn't in the runner's records, and the router can't know that.
         """
         complete = outcome.whole and outcome.status == 502
         return complete and self.books.runner_ended_during(outcome.began, outcome.ended)
 
-    def start(self, work):
-        """Does some work in a task that is waited for at the end."""
-        task = asyncio.ensure_future(work)
+    def start(self, coroutine):
+        """Run a coroutine in a task that ``all_done`` waits for."""
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
-    async def often(self, member, rate, prompt, until):
-        """Sends prompts at a rate, at random moments, until a time of the loop; ``prompt()`` gives the next one."""
+    async def send_at_rate(self, member, rate, prompt, until):
+        """Send prompts at random times with a mean rate per second, until an event loop time; ``prompt()`` returns the next."""
         loop = asyncio.get_running_loop()
         while loop.time() < until:
-            await asyncio.sleep(self.luck.expovariate(rate))
+            await asyncio.sleep(self.rng.expovariate(rate))
             self.start(self.send(member, prompt()))
 
     async def all_done(self):
-        """Waits for the answers that are still due."""
+        """Wait until all tasks have finished."""
         while self.tasks:
             await asyncio.wait(set(self.tasks))
