--- a/simulator/evacuations.py
+++ b/simulator/evacuations.py
@@ -1,10 +1,10 @@
-"""Operators who evacuate a zone and take it back while troubles go on, and a judge of what they were told.
+"""Dispatchers that evacuate and restore zones while faults are injected, and a check of the states they read.
 
-Each dispatcher has a zone of its own and gives one order after the other, each
-again and again until it is acknowledged. So a read must show what the order
-that was acknowledged last asked for, or what a later one asks for that was
-sent before the read was answered. An order that was given up by its caller
-must not take effect behind a later one.
+Each dispatcher has its own zone. It sends one order after another, each with
+retries until it is acknowledged. So a read must show the state requested by
+the last acknowledged order, or by a later order that was sent before the
+response to the read. A call that its sender gave up must not take effect after
+a later order.
 """
 
 import asyncio
@@ -17,15 +17,16 @@
 from .virtual import HOST
 
 PATH = "/-/evacuation"
-SILENCE_S = 1.0
-LOST_ANSWERS = 0.08
-PAUSE_S = 0.1
+CALL_TIMEOUT_S = 1.0
+# Probability that a response is dropped.
+LOST_RESPONSE_RATE = 0.08
+RETRY_DELAY_S = 0.1
 OK = 200
 
 
 @define(slots=True, eq=False)
 class Order:
-    """An order: whether the zone is to be evacuated, when it was first sent, and when it was acknowledged."""
+    """An order: whether to evacuate the zone, when it was first sent, and when it was acknowledged."""
 
     evacuate: bool
     sent: float
@@ -34,7 +35,7 @@
 
 @define(slots=True, eq=False)
 class Read:
-    """A read: when it was sent and answered, and whether the zone was evacuated."""
+    """A read: when it was sent and answered, and whether it showed the zone as evacuated."""
 
     sent: float
     answered: float
@@ -42,8 +43,8 @@
 
 
 @define(slots=True, eq=False)
-class Dispatch:
-    """What one dispatcher did and was told, in order."""
+class DispatcherLog:
+    """The orders and reads of one dispatcher, in order, and the statuses of refused orders."""
 
     zone: str
     orders: list = field(factory=list)
@@ -51,11 +52,11 @@
     refused: list = field(factory=list)
 
     def fault(self):
-        """The first thing wrong, as a sentence, or None.
+        """Return a message about the first fault, or None.
 
         >>> acknowledged = Order(True, 1.0, 2.0)
-        >>> Dispatch("z", [acknowledged], [Read(3.0, 4.0, True)]).fault()
-        >>> Dispatch("z", [acknowledged], [Read(3.0, 4.0, False)]).fault()
+        >>> DispatcherLog("z", [acknowledged], [Read(3.0, 4.0, True)]).fault()
+        >>> DispatcherLog("z", [acknowledged], [Read(3.0, 4.0, False)]).fault()
         'zone z: a read sent 3.000, answered 4.000 shows evacuated False'
         """
         if self.refused:
@@ -67,7 +68,7 @@
         return None
 
     def _allowed(self, read):
-        """What a read may show."""
+        """Return the states that a read may show."""
         allowed = {False}
         for order in self.orders:
             if order.acknowledged < read.sent:
@@ -78,22 +79,22 @@
 
 
 class Dispatcher:
-    """Orders and reads at nodes that luck picks, with answers that are lost."""
+    """Sends orders and reads to random nodes, and drops some of the responses."""
 
     def __init__(self, site, zone, rng):
-        self.site, self.rng, self.done = site, rng, Dispatch(zone)
+        self.site, self.rng, self.done = site, rng, DispatcherLog(zone)
         self.host = f"127.6.0.{1 + ord(zone[-1]) % 250}"
 
     async def _call(self, method, path):
-        """One call, redirects followed; the answer, or None where none came or it was lost."""
+        """Send one call and follow redirects; return the response, or None when there was none or it was dropped."""
         address = self.site.control(self.rng.choice(self.site.addresses))
         for _ in range(MOST_REDIRECTS + 1):
             try:
-                async with asyncio.timeout(SILENCE_S):
+                async with asyncio.timeout(CALL_TIMEOUT_S):
                     answer = await call(address, method, path, b"", {})
             except (OSError, EOFError, TimeoutError):
                 return None
-            if self.rng.random() < LOST_ANSWERS:
+            if self.rng.random() < LOST_RESPONSE_RATE:
                 return None
             if redirected(answer) is None:
                 return answer
@@ -104,7 +105,7 @@
         return self.site.loop.time()
 
     async def order(self, evacuate):
-        """Gives an order until it is acknowledged."""
+        """Send an order, with retries until it is acknowledged or refused."""
         order = Order(evacuate, self._now())
         self.done.orders.append(order)
         while order.acknowledged == NEVER:
@@ -115,17 +116,17 @@
                 self.done.refused.append(answer.status)
                 return
             else:
-                await asyncio.sleep(PAUSE_S * self.rng.random())
+                await asyncio.sleep(RETRY_DELAY_S * self.rng.random())
 
     async def read(self):
-        """Reads once; an answer that doesn't come tells nothing."""
+        """Read once; record the result if there is a response."""
         sent = self._now()
         answer = await self._call("GET", PATH)
         if answer is not None and answer.status == OK:
             self.done.reads.append(Read(sent, self._now(), self.done.zone in answer.body["zones"]))
 
     async def work(self, until):
-        """Evacuates and takes back by turns until a moment, and reads in between."""
+        """Evacuate and restore the zone in turn until an event loop time, with reads in between."""
         HOST.set(self.host)
         evacuate = False
         while self._now() < until:
@@ -136,15 +137,15 @@
                 await asyncio.sleep(0.3 * self.rng.random())
 
     async def last(self):
-        """Reads after all troubles until an answer comes."""
+        """Read after the last fault, with retries until there is a response."""
         HOST.set(self.host)
         before = len(self.done.reads)
         while len(self.done.reads) == before:
             await self.read()
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
 
 def dispatchers(site, rng):
-    """A dispatcher for each of two zones of the site."""
+    """Return a dispatcher for each of two zones of the site."""
     zones = sorted(set(site.zones.values()))[:2]
     return [Dispatcher(site, zone, random.Random(rng.random())) for zone in zones]
--- a/simulator/play.py
+++ b/simulator/play.py
@@ -1,4 +1,4 @@
-"""The stories, each a timeline with a column per controller."""
+"""Failure scenarios of the control state: timelines with a column for each controller, and ``play`` to run one."""
 
 import unittest
 
@@ -69,14 +69,14 @@
 
 
 def play(name, seed):
-    """Plays a story with a seed; None if it held, else what did not.
+    """Run a scenario with a seed; return None if all assertions held, otherwise the first line of the failure.
 
     >>> play("primary-lost", 1) is None
     True
     """
-    names, copies, text = STORIES[name]
+    names, replicas, text = STORIES[name]
     try:
-        run(unittest.TestCase(), Core(names, replicas=copies, seed=seed), text)
-    except AssertionError as e:
-        return str(e).splitlines()[0]
+        run(unittest.TestCase(), Core(names, replicas=replicas, seed=seed), text)
+    except AssertionError as error:
+        return str(error).splitlines()[0]
     return None
--- a/simulator/timeline.py
+++ b/simulator/timeline.py
@@ -1,4 +1,4 @@
-"""Timelines as text: the time in ms, then a column for each node.
+"""Runs failure timelines written as text: the time in ms, then a column for each node.
 
     ms    a        b        c
     3000  lead     .        .
@@ -6,71 +6,74 @@
     3100  kill     .        .
     6000  .        lead/c   .
 
-A cell holds commands (kill boot wipe cut cut-in cut-out heal stall flow
-write=N leave yield) or claims (lead, idle, has=N, up). ``any`` as the last column
-takes claims about the whole: leads, has=N, none.
+A cell holds commands (kill boot wipe cut cut-in cut-out stall flow leave
+yield write=N) or assertions about the node (lead idle has=N unwritten=N member
+outside), joined by ``+``. The last column, ``any``, holds assertions about the
+cluster (leads none has=N) and the commands write=N and heal.
 """
 
 EVENTS = {
-    "kill": lambda core, n: core.kill(n),
-    "boot": lambda core, n: core.boot(n),
-    "wipe": lambda core, n: core.wipe(n),
-    "cut": lambda core, n: core.cut(n),
-    "cut-in": lambda core, n: core.cut(n, way="in"),
-    "cut-out": lambda core, n: core.cut(n, way="out"),
-    "stall": lambda core, n: core.stall(n),
-    "flow": lambda core, n: core.flow(n),
-    "leave": lambda core, n: core.leave(n),
+    "kill": lambda core, name: core.kill(name),
+    "boot": lambda core, name: core.boot(name),
+    "wipe": lambda core, name: core.wipe(name),
+    "cut": lambda core, name: core.cut(name),
+    "cut-in": lambda core, name: core.cut(name, way="in"),
+    "cut-out": lambda core, name: core.cut(name, way="out"),
+    "stall": lambda core, name: core.stall(name),
+    "flow": lambda core, name: core.flow(name),
+    "leave": lambda core, name: core.leave(name),
 }
 
 
 def rows(text):
-    """The head and the rows of a timeline."""
-    lines = [ln.split() for ln in text.strip().splitlines() if ln.strip()]
-    return lines[0][1:], [(int(ln[0]), ln[1:]) for ln in lines[1:]]
+    """Return the column names and the rows of a timeline."""
+    table = [line.split() for line in text.strip().splitlines() if line.strip()]
+    return table[0][1:], [(int(row[0]), row[1:]) for row in table[1:]]
 
 
 def play(test, core, text):
-    """Plays a timeline and checks its claims."""
-    head, todo = rows(text)
-    for ms, cells in todo:
+    """Run a timeline and check its assertions."""
+    names, steps = rows(text)
+    for ms, cells in steps:
         core.run(max(0, ms - core.now.total_seconds() * 1000))
-        for n, cell in zip(head, cells, strict=False):
-            for word in cell.split("+"):
-                if word not in (".", "|"):
-                    _do(test, core, ms, n, word)
+        for name, cell in zip(names, cells, strict=False):
+            for item in cell.split("+"):
+                if item not in (".", "|"):
+                    _run_item(test, core, ms, name, item)
 
 
-def _do(test, core, ms, n, word):
-    cmd, _, arg = word.partition("=")
-    at = f"at {ms} ms, {n}"
-    if n == "any":
-        lead = core.leader()
-        if cmd == "leads":
-            test.assertIsNotNone(lead, f"{at}: somebody leads")
-        elif cmd == "none":
-            test.assertIsNone(lead, f"{at}: nobody leads")
-        elif cmd == "has":
-            test.assertEqual(core.nodes[lead][0].data.revision if lead else None, int(arg), at)
-        elif cmd == "write":
-            test.assertTrue(core.write(int(arg)), f"{at}: acknowledged")
-        elif cmd == "heal":
+def _run_item(test, core, ms, name, item):
+    command, _, argument = item.partition("=")
+    at = f"at {ms} ms, {name}"
+    if name == "any":
+        leader = core.leader()
+        if command == "leads":
+            test.assertIsNotNone(leader, f"{at}: no primary")
+        elif command == "none":
+            test.assertIsNone(leader, f"{at}: unexpected primary")
+        elif command == "has":
+            test.assertEqual(core.nodes[leader][0].data.revision if leader else None, int(argument), at)
+        elif command == "write":
+            test.assertTrue(core.write(int(argument)), f"{at}: write not acknowledged")
+        elif command == "heal":
             core.heal()
         else:
-            raise ValueError(word)
+            raise ValueError(item)
         return
-    led = core.nodes[n][0] if n in core.nodes else None
-    if cmd in EVENTS:
-        EVENTS[cmd](core, n)
+    member = core.nodes[name][0] if name in core.nodes else None
+    if command in EVENTS:
+        EVENTS[command](core, name)
         return
-    acts = {
-        "yield": lambda: core.act(n, led.transfer_leadership(core.now)),
-        "write": lambda: test.assertTrue(core.write(int(arg), n), f"{at}: acknowledged"),
-        "unwritten": lambda: test.assertFalse(core.write(int(arg), n, 800), f"{at}: must not acknowledge"),
-        "lead": lambda: test.assertTrue(led.leading(), f"{at} leads"),
-        "idle": lambda: test.assertFalse(led.leading(), f"{at} does not lead"),
-        "has": lambda: test.assertEqual(led.data.revision, int(arg), at),
-        "member": lambda: test.assertIn(core.members[n].id, core.view().ids, at),
-        "outside": lambda: test.assertNotIn(core.members[n].id, core.view().ids, at),
+    actions = {
+        "yield": lambda: core.act(name, member.transfer_leadership(core.now)),
+        "write": lambda: test.assertTrue(core.write(int(argument), name), f"{at}: write not acknowledged"),
+        "unwritten": lambda: test.assertFalse(
+            core.write(int(argument), name, 800), f"{at}: write unexpectedly acknowledged"
+        ),
+        "lead": lambda: test.assertTrue(member.leading(), f"{at} is not the primary"),
+        "idle": lambda: test.assertFalse(member.leading(), f"{at} is unexpectedly the primary"),
+        "has": lambda: test.assertEqual(member.data.revision, int(argument), at),
+        "member": lambda: test.assertIn(core.members[name].id, core.view().ids, at),
+        "outside": lambda: test.assertNotIn(core.members[name].id, core.view().ids, at),
     }
-    acts[cmd]()
+    actions[command]()
