--- a/simulator/soak/rollouts.py
+++ b/simulator/soak/rollouts.py
@@ -169,7 +169,7 @@
         self.platform.entries += [self._entry(runner, NEW) for runner in self.new]
 
     async def _watch(self, operator: Operator) -> None:
-        """Poll each controller for the rollout state; an acknowledged rollout must not disappear."""
+        """Poll each controller for the rollout state; an acknowledged rollout must not disappear, nor its verdict change."""
         while self._time_left() > 0:
             await asyncio.sleep(0.15)
             ordered = self._ordered
--- a/simulator/traffic.py
+++ b/simulator/traffic.py
@@ -76,7 +76,7 @@
         return f"{API}:{self.platform.port}"
 
     def list(self, incarnation):
-        """Update the platform's list; ``incarnation`` is that of the first hollow runner."""
+        """Update the platform's list; ``incarnation`` is that of the first simulated runner."""
         self.platform.entries = [
             *self.real_entries,
             *entries(self.size.runners, self.size.zones, incarnation, self.size.slots),
