--- a/simulator/caller.py
+++ b/simulator/caller.py
@@ -1,4 +1,4 @@
-"""A small HTTP caller over the loop's connections, as the operators' programs call ``control``."""
+"""A minimal HTTP/1.1 client on the event loop's connections, for operators' calls to ``control``."""
 
 import asyncio
 import json
@@ -6,12 +6,12 @@
 from attrs import define
 
 MOST_REDIRECTS = 2
-REDIRECT = 307
+TEMPORARY_REDIRECT = 307
 
 
 @define(frozen=True, slots=True)
-class Answer:
-    """An answer: status, headers by lower-case name, and the body as JSON."""
+class Response:
+    """An HTTP response: status, headers by lower-case name, and the parsed JSON body."""
 
     status: int
     headers: dict
@@ -19,7 +19,7 @@
 
 
 def request_head(method, path, host, length, headers):
-    """The bytes before a request's body.
+    """The bytes of a request before its body.
 
     >>> request_head("GET", "/a", "h:1", 0, {"X": "1"})
     b'GET /a HTTP/1.1\\r\\nHost: h:1\\r\\nContent-Length: 0\\r\\nX: 1\\r\\n\\r\\n'
@@ -29,17 +29,20 @@
     return "\r\n".join([*lines, "", ""]).encode()
 
 
-async def read_answer(reader):
-    """Reads one answer; an end before its last byte raises EOFError."""
+async def read_response(reader):
+    """Reads one response; raises EOFError when the connection ends before the last byte."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     pairs = (line.split(":", 1) for line in head[1:] if line)
     headers = {name.lower(): value.strip() for name, value in pairs}
     body = await reader.readexactly(int(headers.get("content-length", 0)))
-    return Answer(int(head[0].split()[1]), headers, json.loads(body) if body else None)
+    return Response(int(head[0].split()[1]), headers, json.loads(body) if body else None)
 
 
 async def call(address, method, path, body, headers, body_after=0.0):
-    """Calls one node; the body may be held up on its way. Raises OSError or EOFError on failure."""
+    """Sends a request to a node and reads the response; raises OSError or EOFError on failure.
+
+    ``body_after``: delay before the body is sent, in seconds.
+    """
     host, port = address.rsplit(":", 1)
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -47,17 +50,17 @@
         if body_after:
             await asyncio.sleep(body_after)
         writer.write(body)
-        return await read_answer(reader)
+        return await read_response(reader)
     finally:
         writer.close()
 
 
-def redirected(answer):
-    """The address that an answer points at, or None.
+def redirected(response):
+    """The address that a response redirects to, or None.
 
-    >>> redirected(Answer(307, {"location": "http://10.0.0.4:80/x"}, None)), redirected(Answer(200, {}, None))
+    >>> redirected(Response(307, {"location": "http://10.0.0.4:80/x"}, None)), redirected(Response(200, {}, None))
     ('10.0.0.4:80', None)
     """
-    if answer.status != REDIRECT:
+    if response.status != TEMPORARY_REDIRECT:
         return None
-    return answer.headers["location"].removeprefix("http://").split("/")[0]
+    return response.headers["location"].removeprefix("http://").split("/")[0]
