--- a/simulator/growth.py
+++ b/simulator/growth.py
@@ -1,8 +1,8 @@
-"""What each node of a simulated fleet sends and takes, by kind of record: to measure what grows with the fleet.
+"""Measures what each node of a simulated fleet sends and receives, by kind of record, as a function of fleet size.
 
-The fleet is that of ``simulator.fleet``: the real controllers and hollow
-routers, in simulated time. Each host has a meter of its own; only a quiet part
-after the start is counted.
+The fleet is that of ``simulator.fleet``: the real controllers and simulated
+routers, in simulated time. Each host has its own meter. Only a period after
+the warm-up, without changes or faults, is counted.
 """
 
 import asyncio
@@ -16,11 +16,11 @@
 from .simulated_router import Load
 from .virtual import HOST, START, swapped, world
 
-# A growing fleet's usual call: a fifth of a second at its runner, one in nine with a long shared part.
-HOLD_S, LONG_SHARE = 0.2, 0.107
+# Calls of the growth measurement: mean duration at the runner, and the fraction with a long shared prefix (one in nine).
+HOLD_S, LONG_FRACTION = 0.2, 0.107
 LINK_DELAY_S = 0.0008
-STEP_S = 0.1
-PARTS_SEEN = (0.5, 0.9, 1.0)
+POLL_INTERVAL_S = 0.1
+FRACTIONS_KNOWN = (0.5, 0.9, 1.0)
 
 
 class Meters:
@@ -30,17 +30,17 @@
         self.by_host = {}
 
     def here(self):
-        """The meter of the host that runs now; stands for that of a process."""
+        """The meter of the current host, in place of the meter of the process."""
         return self.by_host.setdefault(HOST.get(), Meter())
 
     def figures(self):
-        """The figures of each host."""
+        """The figures of each host, by address."""
         return {host: meter.figures() for host, meter in self.by_host.items()}
 
 
 @contextmanager
 def metered():
-    """Gives the meters of the hosts whose sockets are made meanwhile.
+    """Replaces the process meter by one per host for sockets that are created in this context.
 
     >>> with metered() as meters:
     ...     sockets.current_meter().add("datagram out Ping", 40)
@@ -53,56 +53,59 @@
 
 
 def rates(before, after, hosts, seconds):
-    """Events and bytes a second and node, by name.
+    """Mean events and bytes per second and host, by name.
 
     >>> rates({"a": {"Ping": [1, 40]}}, {"a": {"Ping": [5, 200]}, "b": {"Ping": [4, 160]}}, ["a", "b"], 2)
     {'Ping': [2.0, 80.0]}
     """
-    sums = {}
+    totals = {}
     for host in hosts:
-        for name, (times, size) in after.get(host, {}).items():
-            old_times, old_size = before.get(host, {}).get(name, (0, 0))
-            total = sums.setdefault(name, [0, 0])
-            total[0] += times - old_times
+        for name, (events, size) in after.get(host, {}).items():
+            old_events, old_size = before.get(host, {}).get(name, (0, 0))
+            total = totals.setdefault(name, [0, 0])
+            total[0] += events - old_events
             total[1] += size - old_size
-    share = seconds * len(hosts)
-    return {name: [round(times / share, 3), round(size / share, 1)] for name, (times, size) in sorted(sums.items())}
+    host_seconds = seconds * len(hosts)
+    return {
+        name: [round(events / host_seconds, 3), round(size / host_seconds, 1)]
+        for name, (events, size) in sorted(totals.items())
+    }
 
 
-class Start:
-    """When all routers were ready, and when the least informed one knew of a part of them, in seconds."""
+class StartupTimes:
+    """Seconds until all routers were ready, and until every router knew given fractions of the fleet."""
 
     def __init__(self, fleet):
-        self.fleet, self.ready_s, self.seen_s = fleet, None, {}
+        self.fleet, self.ready_s, self.known_s = fleet, None, {}
 
     async def watch(self, until):
-        """Looks at the routers again and again until a time of the loop."""
+        """Polls the routers until a time of the loop."""
         loop, size = self.fleet.loop, self.fleet.size.nodes
         while loop.time() < until:
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             routers = self.fleet.routers.values()
             if len(routers) == size:
-                self._look(routers, round(loop.time() - START, 1))
+                self._update(routers, round(loop.time() - START, 1))
 
-    def _look(self, routers, now_s):
+    def _update(self, routers, now_s):
         if self.ready_s is None and all(router.ready() for router in routers):
             self.ready_s = now_s
-        least = min(1 + len(router.tier_members or ()) for router in routers)
-        for part in PARTS_SEEN:
-            if least >= part * self.fleet.size.nodes:
-                self.seen_s.setdefault(part, now_s)
+        fewest_known = min(1 + len(router.tier_members or ()) for router in routers)
+        for fraction in FRACTIONS_KNOWN:
+            if fewest_known >= fraction * self.fleet.size.nodes:
+                self.known_s.setdefault(fraction, now_s)
 
 
-def most_followers(fleet):
-    """How many routers follow the busiest controller."""
+def max_followers(fleet):
+    """The number of routers that follow the controller with the most followers."""
     keys = {controller.consensus.key for controller in fleet.controllers.values()}
     parents = (router.relay_server.told()["follows"] for router in fleet.routers.values())
     return max(Counter(key for key in parents if key in keys).values(), default=0)
 
 
-async def _play(fleet, meters, seconds, settle):
-    start = Start(fleet)
-    watch = asyncio.ensure_future(start.watch(START + settle))
+async def _play(fleet, meters, seconds, warmup):
+    startup_times = StartupTimes(fleet)
+    watch = asyncio.ensure_future(startup_times.watch(START + warmup))
     await fleet.start()
     await watch
     before = meters.figures()
@@ -110,21 +113,22 @@
     after = meters.figures()
     return {
         "routers": fleet.size.nodes,
-        "ready_s": start.ready_s,
-        "seen_s": start.seen_s,
-        "followers": most_followers(fleet),
+        "ready_s": startup_times.ready_s,
+        "seen_s": startup_times.known_s,
+        "followers": max_followers(fleet),
         "router": rates(before, after, list(fleet.routers), seconds),
         "controller": rates(before, after, list(fleet.controllers), seconds),
     }
 
 
-def play(routers, runners=None, rate=3.2, seconds=4.0, settle=12.0, seed=1, controllers=5):
-    """Plays a fleet; gives what a router and a controller send and take a second, by kind of record.
+def play(routers, runners=None, rate=3.2, seconds=4.0, warmup=12.0, seed=1, controllers=5):
+    """Runs a fleet; gives the messages and bytes per second of a router and of a controller, by kind of record.
 
-    ``rate`` is requests a second and router, ``settle`` the simulated seconds
-    before the count begins. Half as many runners as routers, if not told.
+    ``rate``: requests per second and router. ``warmup``: simulated seconds
+    before the measurement. ``runners``: by default half the number of routers,
+    but at least 2.
     """
     size = Size(nodes=routers, runners=runners or max(2, routers // 2), routes=1, controllers=controllers)
-    load = Load(rate=rate, hold=HOLD_S, long=LONG_SHARE)
-    with metered() as meters, world(seed, lambda a, b: LINK_DELAY_S) as loop:
-        return loop.run_until_complete(_play(Fleet(loop, size, load), meters, seconds, settle))
+    load = Load(rate=rate, hold=HOLD_S, long=LONG_FRACTION)
+    with metered() as meters, world(seed, lambda source, destination: LINK_DELAY_S) as loop:
+        return loop.run_until_complete(_play(Fleet(loop, size, load), meters, seconds, warmup))
--- a/simulator/slopes.py
+++ b/simulator/slopes.py
@@ -1,4 +1,4 @@
-"""Plays fleets of several sizes and tells with which power of the routers each figure grows."""
+"""Measures fleets of several sizes and fits a power law of the number of routers to each figure."""
 
 import math
 import sys
@@ -13,19 +13,22 @@
 
 @define(frozen=True, slots=True)
 class Slope:
-    """``y = scale * x ** power``, and how far the points lie off it (root mean square, as a share)."""
+    """The power law ``y = scale * x ** exponent``.
 
-    power: float
+    ``residual``: root mean square distance of the points from the law, as a fraction.
+    """
+
+    exponent: float
     scale: float
-    off: float
+    residual: float
 
 
 def fit(points):
-    """The power law through (x, y) points by least squares of the logarithms; points at 0 are left out.
+    """Fits a power law to (x, y) points by least squares on the logarithms; ignores points with a 0.
 
-    None with fewer than two sizes.
+    None for fewer than two values of x.
 
-    >>> s = fit([(1, 3), (2, 6), (4, 12)]); round(s.power, 6), round(s.scale, 6), round(s.off, 6)
+    >>> s = fit([(1, 3), (2, 6), (4, 12)]); round(s.exponent, 6), round(s.scale, 6), round(s.residual, 6)
     (1.0, 3.0, 0.0)
     >>> fit([(1, 3), (2, 0)]) is None
     True
@@ -33,31 +36,35 @@
     logs = [(math.log(x), math.log(y)) for x, y in points if x > 0 and y > 0]
     if len({x for x, _ in logs}) < 2:
         return None
-    mx, my = (sum(v) / len(logs) for v in zip(*logs, strict=False))
-    power = sum((x - mx) * (y - my) for x, y in logs) / sum((x - mx) ** 2 for x, _ in logs)
-    start = my - power * mx
-    off = math.sqrt(sum((y - start - power * x) ** 2 for x, y in logs) / len(logs))
-    return Slope(power, math.exp(start), math.exp(off) - 1)
+    mean_x, mean_y = (sum(values) / len(logs) for values in zip(*logs, strict=False))
+    exponent = sum((x - mean_x) * (y - mean_y) for x, y in logs) / sum((x - mean_x) ** 2 for x, _ in logs)
+    intercept = mean_y - exponent * mean_x
+    residual = math.sqrt(sum((y - intercept - exponent * x) ** 2 for x, y in logs) / len(logs))
+    return Slope(exponent, math.exp(intercept), math.exp(residual) - 1)
 
 
 def rows(plays):
-    """Each figure of some plays: its name, its values in turn, its slope over the routers.
+    """Each figure of some plays: its name, its value in each play, and its slope over the number of routers.
 
     >>> got = rows([{"routers": n, "followers": n // 2, "router": {"datagram out Ping": [1.5, 10.0 * n]}, "controller": {}} for n in (10, 20)])
-    >>> [(name, vals, round(s.power, 3)) for name, vals, s in got]
+    >>> [(name, values, round(slope.exponent, 3)) for name, values, slope in got]
     [('followers', [5, 10], 1.0), ('router datagram out Ping', [1.5, 1.5], 0.0), ('router datagram out Ping bytes', [100.0, 200.0], 1.0), ('router datagrams out', [1.5, 1.5], 0.0), ('router datagrams out bytes', [100.0, 200.0], 1.0)]
     """
-    sizes = [p["routers"] for p in plays]
-    lines = {"followers": [p["followers"] for p in plays]}
+    sizes = [result["routers"] for result in plays]
+    figures = {"followers": [result["followers"] for result in plays]}
     for role in ("router", "controller"):
-        for name in sorted({n for p in plays for n in p[role]}):
-            both = list(zip(*(p[role].get(name, (0.0, 0.0)) for p in plays), strict=False))
-            lines[f"{role} {name}"], lines[f"{role} {name} bytes"] = map(list, both)
-        out = [[v for n, v in p[role].items() if n.startswith("datagram out")] for p in plays]
-        if any(out):
-            lines[f"{role} datagrams out"] = [round(sum(a for a, _ in v), 3) for v in out]
-            lines[f"{role} datagrams out bytes"] = [round(sum(b for _, b in v), 1) for v in out]
-    return [(k, v, fit(list(zip(sizes, v, strict=False)))) for k, v in lines.items() if any(v)]
+        for name in sorted({name for result in plays for name in result[role]}):
+            columns = list(zip(*(result[role].get(name, (0.0, 0.0)) for result in plays), strict=False))
+            figures[f"{role} {name}"], figures[f"{role} {name} bytes"] = map(list, columns)
+        datagrams = [
+            [rate for name, rate in result[role].items() if name.startswith("datagram out")] for result in plays
+        ]
+        if any(datagrams):
+            figures[f"{role} datagrams out"] = [round(sum(times for times, _ in rates), 3) for rates in datagrams]
+            figures[f"{role} datagrams out bytes"] = [round(sum(size for _, size in rates), 1) for rates in datagrams]
+    return [
+        (name, values, fit(list(zip(sizes, values, strict=False)))) for name, values in figures.items() if any(values)
+    ]
 
 
 def main(
@@ -68,22 +75,26 @@
     settle: float = 12.0,
     seed: int = 1,
 ):
-    """Play fleets of routers in simulated time and fit what grows.
+    """Measure fleets of several sizes in simulated time and fit how each figure grows.
 
-    :param routers: sizes of the fleets
-    :param rate: requests a second and router
-    :param seconds: how long is counted
-    :param settle: simulated seconds before
-    :param seed: the first seed
+    :param routers: numbers of routers
+    :param rate: requests per second and router
+    :param seconds: simulated seconds of the measurement
+    :param settle: simulated seconds before the measurement
+    :param seed: the seed of every fleet
     """
-    plays = [play(n, rate=rate, seconds=seconds, settle=settle, seed=seed) for n in routers]
-    print("a second and node".ljust(40), *(f"{n:>9}" for n in routers), "   power     off")
-    for name, vals, s in rows(plays):
-        print(name.ljust(40), *(f"{v:9.1f}" for v in vals), f"{s.power:8.2f} {s.off:7.1%}" if s else "")
-    for p in plays:
+    plays = [play(count, rate=rate, seconds=seconds, warmup=settle, seed=seed) for count in routers]
+    print("per second and node".ljust(40), *(f"{count:>9}" for count in routers), "exponent   error")
+    for name, values, slope in rows(plays):
+        print(
+            name.ljust(40),
+            *(f"{value:9.1f}" for value in values),
+            f"{slope.exponent:8.2f} {slope.residual:7.1%}" if slope else "",
+        )
+    for result in plays:
         print(
-            f"{p['routers']} routers: all ready at {p['ready_s']} s; the least informed saw half, nine tenths, all of them at",
-            ", ".join(str(p["seen_s"].get(x)) for x in (0.5, 0.9, 1.0)),
+            f"{result['routers']} routers: all ready at {result['ready_s']} s; every router knew half, nine tenths, all of them at",
+            ", ".join(str(result["seen_s"].get(share)) for share in (0.5, 0.9, 1.0)),
             "s",
         )
     return 0
