--- a/simulator/results.py
+++ b/simulator/results.py
@@ -1,26 +1,28 @@
-"""What a run measured: kept as JSON, and as a CSV with a line per point."""
+"""Saves and loads the results of a run, as JSON and as a CSV file with one row per point."""
 
 import csv
 import json
 import os
 
 
-def flat(d, head=""):
-    """The figures of nested tables, under dotted names.
+def flatten(table, prefix=""):
+    """The values of nested tables, under dotted names; lists become JSON text.
 
-    >>> flat({"a": {"b": 1, "c": [2]}, "d": None})
+    >>> flatten({"a": {"b": 1, "c": [2]}, "d": None})
     {'a.b': 1, 'a.c': '[2]', 'd': None}
     """
-    out = {}
-    for k, v in d.items():
-        out |= (
-            flat(v, f"{head}{k}.") if isinstance(v, dict) else {head + k: json.dumps(v) if isinstance(v, list) else v}
+    values = {}
+    for key, value in table.items():
+        values |= (
+            flatten(value, f"{prefix}{key}.")
+            if isinstance(value, dict)
+            else {prefix + key: json.dumps(value) if isinstance(value, list) else value}
         )
-    return out
+    return values
 
 
 def save(path, run):
-    """Writes a run: ``path`` and, beside it, the same points as CSV.
+    """Writes a run as JSON to ``path``, and its points as CSV to the same path with the suffix ".csv".
 
     >>> save("", {"points": []})
     Traceback (most recent call last):
@@ -29,24 +31,24 @@
     """
     if os.path.dirname(path):
         os.makedirs(os.path.dirname(path), exist_ok=True)
-    with open(path, "w", encoding="utf-8") as f:
-        json.dump(run, f, indent=1)
-        f.write("\n")
-    rows = [flat(p) for p in run["points"]]
-    names = list(dict.fromkeys(k for r in rows for k in r))
-    with open(os.path.splitext(path)[0] + ".csv", "w", encoding="utf-8", newline="") as f:
-        out = csv.DictWriter(f, names)
-        out.writeheader()
-        out.writerows(rows)
+    with open(path, "w", encoding="utf-8") as file:
+        json.dump(run, file, indent=1)
+        file.write("\n")
+    rows = [flatten(point) for point in run["points"]]
+    names = list(dict.fromkeys(name for row in rows for name in row))
+    with open(os.path.splitext(path)[0] + ".csv", "w", encoding="utf-8", newline="") as file:
+        writer = csv.DictWriter(file, names)
+        writer.writeheader()
+        writer.writerows(rows)
 
 
 def load(path):
-    """Reads a run.
+    """Reads a run that ``save`` wrote.
 
     >>> load("/nowhere.json")
     Traceback (most recent call last):
     ...
     FileNotFoundError: [Errno 2] No such file or directory: '/nowhere.json'
     """
-    with open(path, encoding="utf-8") as f:
-        return json.load(f)
+    with open(path, encoding="utf-8") as file:
+        return json.load(file)
