--- a/simulator/__init__.py
+++ b/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Plays the project's own failure timelines and tells what held."""
+"""Simulates a router fleet under failures and reports whether its guarantees hold."""
--- a/simulator/__main__.py
+++ b/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""The simulator's command line: stories by default; check, point, scale, history, isolation and report by name."""
+"""Command line of the simulator; without a command it plays the failure scenarios."""
 
 import os
 import sys
@@ -17,35 +17,35 @@
 
 
 def play(*, seed: int = 1, runs: int = 5, story: str = ""):
-    """Play failure timelines of the control state on this machine, in simulated time.
+    """Play failure scenarios of the control state on this machine, in simulated time.
 
-    :param seed: the first seed; the same seed plays the same luck
-    :param runs: how many seeds to play
-    :param story: play this one only
+    :param seed: the first seed; a seed determines all random draws
+    :param runs: number of seeds to play
+    :param story: the only scenario to play
     """
     names = [story] if story else list(STORIES)
-    unknown = [n for n in names if n not in STORIES]
+    unknown = [name for name in names if name not in STORIES]
     if unknown:
-        print(f"no story is named {unknown[0]}; there are: {', '.join(STORIES)}")
+        print(f"unknown scenario {unknown[0]}; available: {', '.join(STORIES)}")
         return 2
-    bad = 0
-    for n in names:
-        for s in range(seed, seed + runs):
-            fault = play_one(n, s)
-            bad += fault is not None
-            print(f"{n}, seed {s}: {'held' if fault is None else 'did not hold: ' + fault}")
-    print(f"{len(names) * runs - bad} held, {bad} did not")
-    return 1 if bad else 0
-
-
-def _summary(nodes, seed, played):
-    """One line on a point that was played."""
-    quiet = played["quiet"]["routers"]
-    mean, busiest = quiet["meanOut"], quiet["mostOut"]
+    failures = 0
+    for name in names:
+        for run_seed in range(seed, seed + runs):
+            fault = play_one(name, run_seed)
+            failures += fault is not None
+            print(f"{name}, seed {run_seed}: {'held' if fault is None else 'did not hold: ' + fault}")
+    print(f"{len(names) * runs - failures} held, {failures} did not")
+    return 1 if failures else 0
+
+
+def _summary(nodes, seed, result):
+    """Formats the result of a point in one line."""
+    routers = result["quiet"]["routers"]
+    mean, busiest = routers["meanOut"], routers["mostOut"]
     return (
-        f"{nodes} nodes, seed {seed}: {mean['messages']} messages and {mean['bytes']} bytes out a node and second, "
-        f"busiest {busiest['messages']} and {busiest['bytes']}; "
-        f"change in force after {played['change']['delayMs']} ms; {played['emulatorCpuS']} s"
+        f"{nodes} nodes, seed {seed}: {mean['messages']} messages and {mean['bytes']} bytes sent per node and second, "
+        f"busiest node {busiest['messages']} and {busiest['bytes']}; "
+        f"change applied after {result['change']['delayMs']} ms; {result['emulatorCpuS']} s of CPU time"
     )
 
 
@@ -68,25 +68,25 @@
     runs: int = 1,
     out: str = "",
 ):
-    """Play points of the scale run in simulated time, one process, seeded.
-
-    :param nodes: the sizes to play, in routers
-    :param runners: runners in the list (0: half as many as routers, 36 at least)
-    :param routes: routes of the configuration
-    :param zones: zones, spread over the regions
-    :param regions: regions
-    :param controllers: controllers
+    """Measure fleets of several sizes in simulated time, in one process, from a seed.
+
+    :param nodes: fleet sizes to play, in routers
+    :param runners: number of listed runners (0: half the number of routers, but at least 36)
+    :param routes: number of routes in the configuration
+    :param zones: number of zones, spread over the regions
+    :param regions: number of regions
+    :param controllers: number of controllers
     :param slots: slots of each runner
-    :param rate: made-up calls begun a second at each router
-    :param hold: seconds that each lasts
-    :param long: the share of calls with a long shared part
-    :param changes: changes of the configuration
-    :param per_s: changes a second
-    :param seconds: simulated seconds of the quiet part
-    :param quiet_only: without deaths and a lost zone
+    :param rate: simulated calls per second at each router
+    :param hold: mean duration of a call, in seconds
+    :param long: fraction of calls with a long shared prefix
+    :param changes: number of configuration changes
+    :param per_s: configuration changes per second
+    :param seconds: simulated seconds of the phase without changes and faults
+    :param quiet_only: skip the router failures and the zone loss
     :param seed: the first seed
     :param runs: runs of each size, each with the next seed
-    :param out: a JSON file to write; a CSV goes beside it
+    :param out: JSON file to write; a CSV file with the same points is written next to it
     """
     from .fleet import Size
     from .point import point as play_point
@@ -94,26 +94,26 @@
     from .simulated_router import Load
 
     points = []
-    for n in nodes or (25,):
-        for s in range(seed, seed + runs):
-            size = Size(n, runners or max(36, n // 2), routes, zones, regions, controllers, slots)
-            got = play_point(
-                size, Load(rate, hold, long), s, changes=changes, rate=per_s, seconds=seconds, troubles=not quiet_only
+    for routers in nodes or (25,):
+        for trial in range(seed, seed + runs):
+            size = Size(routers, runners or max(36, routers // 2), routes, zones, regions, controllers, slots)
+            result = play_point(
+                size, Load(rate, hold, long), trial, changes=changes, rate=per_s, seconds=seconds, faults=not quiet_only
             )
-            points.append(got)
-            print(_summary(n, s, got), flush=True)
+            points.append(result)
+            print(_summary(routers, trial, result), flush=True)
             if out:
                 save(out, {"form": "simulated time", "points": points})
     return 0
 
 
 def scale(plan: str, *, out: str = "target/scale.json"):
-    """Play a plan over real sockets on loopback: real controllers and routers beside hollow ones.
+    """Play a plan over real loopback sockets, with real controllers and both real and simulated routers.
 
-    It ends by the plan's limitS and leaves no process running. Needs requirements-tools.txt.
+    The run ends within the plan's limitS and leaves no process running. Needs requirements-tools.txt.
 
-    :param plan: the plan, a TOML file
-    :param out: the JSON file to write after each point; a CSV goes beside it
+    :param plan: TOML file with the plan
+    :param out: JSON file to write after each point; a CSV file with the same points is written next to it
     """
     import asyncio
     import signal
@@ -122,99 +122,107 @@
     from .results import save
     from .scale import run
 
-    got = read(plan)
-    if got.value_or(None) is None:
-        print(got.failure())
+    parsed = read(plan)
+    if parsed.value_or(None) is None:
+        print(parsed.failure())
         return 2
     signal.signal(signal.SIGTERM, signal.default_int_handler)
-    done = asyncio.run(run(got.unwrap(), lambda text: print(text, flush=True), lambda d: save(out, d)))
-    print(f"{len(done['points'])} points in {out}, {len(done['notRun'])} not run")
-    return 1 if done["notRun"] else 0
+    results = asyncio.run(
+        run(parsed.unwrap(), lambda text: print(text, flush=True), lambda partial: save(out, partial))
+    )
+    print(f"{len(results['points'])} points in {out}, {len(results['notRun'])} not run")
+    return 1 if results["notRun"] else 0
 
 
 def pieces(*, out: str = ""):
-    """Measure what single pieces of state cost: lists, configurations, members, kept parts, lines.
+    """Measure the cost of runner lists, configurations, membership tables, prefix caches and tenant queues.
 
-    :param out: a JSON file to write
+    :param out: JSON file to write
     """
     import json
 
-    from .pieces import ALL
+    from .pieces import MEASUREMENTS
 
-    got = {}
-    for name, (measure, sizes) in ALL.items():
-        got[name] = [measure(n) for n in sizes]
-        for row in got[name]:
-            print(" ".join(f"{k}={v}" for k, v in row.items()), flush=True)
+    results = {}
+    for name, (measure, sizes) in MEASUREMENTS.items():
+        results[name] = [measure(size) for size in sizes]
+        for row in results[name]:
+            print(" ".join(f"{key}={value}" for key, value in row.items()), flush=True)
     if out:
-        with open(out, "w", encoding="utf-8") as f:
-            json.dump(got, f, indent=1)
+        with open(out, "w", encoding="utf-8") as file:
+            json.dump(results, file, indent=1)
     return 0
 
 
 def history(*, seed: int = 1, seeds: int = 10, seconds: float = 30.0, replace: bool = False, controllers: int = 3):
-    """Play operators' calls at the real control handler under troubles, and check the recorded histories.
+    """Send operators' calls to the real control handler under faults, and check the recorded histories.
 
-    :param seed: the first seed; the same seed plays the same luck
-    :param seeds: how many seeds to play
-    :param seconds: simulated seconds of trouble
-    :param replace: machines lose their disks and are replaced as well
-    :param controllers: controllers
+    :param seed: the first seed; a seed determines all random draws
+    :param seeds: number of seeds to play
+    :param seconds: simulated seconds with faults
+    :param replace: also have machines lose their disks and be replaced
+    :param controllers: number of controllers
     """
     from .operators import REPLACING, Plan, play_history
 
-    troubles = {"troubles": REPLACING} if replace else {}
-    bad = 0
-    for s in range(seed, seed + seeds):
-        played = play_history(s, Plan(seconds=seconds, controllers=controllers, **troubles))
-        bad += played.fault is not None
-        print(f"seed {s}: {'held' if played.fault is None else 'did not hold: ' + played.fault} ({played.summary()})")
-    print(f"{seeds - bad} held, {bad} did not")
-    return 1 if bad else 0
+    options = {"troubles": REPLACING} if replace else {}
+    failures = 0
+    for run_seed in range(seed, seed + seeds):
+        played = play_history(run_seed, Plan(seconds=seconds, controllers=controllers, **options))
+        failures += played.fault is not None
+        print(
+            f"seed {run_seed}: {'held' if played.fault is None else 'did not hold: ' + played.fault} ({played.summary()})"
+        )
+    print(f"{seeds - failures} held, {failures} did not")
+    return 1 if failures else 0
 
 
 def isolation(*, seed: int = 1, seeds: int = 3, seconds: float = 45.0, without: bool = False):
-    """Play rivals' identical prompts over a fleet of real routers, through moves, restarts and changes.
+    """Check the isolation of tenants that send identical prompts through a fleet of real routers under faults.
 
-    The exit status is 0 when no part was found that a rival had left, nothing was lost or run twice,
-    and answer times told nothing.
+    Routers and runners restart and move, and settings change meanwhile. The exit status is 0 when no request
+    found a cached prefix of another tenant, no request was lost or run twice, and response times did not
+    depend on other tenants' requests.
 
-    :param seed: the first seed; the same seed plays the same luck
-    :param seeds: how many seeds to play
+    :param seed: the first seed; a seed determines all random draws
+    :param seeds: number of seeds to play
     :param seconds: simulated seconds of traffic
-    :param without: with members' prompts not kept apart, to show that the play would find it
+    :param without: turn the isolation of tenants off, to show that the check detects its absence
     """
     from .isolation import play_isolation
 
-    bad = 0
-    for s in range(seed, seed + seeds):
-        played = play_isolation(s, not without, seconds)
-        bad += not played.held
-        print(f"seed {s}: {'held' if played.held else 'did not hold'}")
-        print("".join(f"  {line}\n" for line in played.lines()), end="", flush=True)
-    print(f"{seeds - bad} held, {bad} did not")
-    return 1 if bad else 0
+    failures = 0
+    for run_seed in range(seed, seed + seeds):
+        played = play_isolation(run_seed, not without, seconds)
+        failures += not played.held
+        print(f"seed {run_seed}: {'held' if played.held else 'did not hold'}")
+        print("".join(f"  {detail}\n" for detail in played.lines()), end="", flush=True)
+    print(f"{seeds - failures} held, {failures} did not")
+    return 1 if failures else 0
 
 
 def report(*files: str, x: str = "size.nodes", picture: str = ""):
-    """Print and draw the slopes of a run.
+    """Print and plot how the figures of a run grow.
 
-    :param files: JSON files of one form, written by point or scale
-    :param x: what to draw over: size.nodes, size.runners, size.routes, change.perS
-    :param picture: the PNG to write
+    :param files: JSON files of the same form, written by point or scale
+    :param x: independent variable: size.nodes, size.runners, size.routes, change.perS
+    :param picture: PNG file to write
     """
-    from .report import report as show
+    from .report import report as print_report
 
-    bad = show(files, x, picture)
-    if bad:
-        print(bad)
-    return 2 if bad else 0
+    fault = print_report(files, x, picture)
+    if fault:
+        print(fault)
+    return 2 if fault else 0
 
 
 def main():
-    """Runs the command that is named, or the stories; sets keep one order where a seed tells all."""
+    """Runs the named command, ``play`` by default.
+
+    Seeded commands start again with a fixed ``PYTHONHASHSEED``, because the order of sets depends on it.
+    """
     logging.set_verbosity(logging.ERROR)
-    named = {
+    commands = {
         "play": play,
         "soak": soak,
         "decisions": decisions,
@@ -233,10 +241,10 @@
         )
     argv = (
         sys.argv[1:]
-        if sys.argv[1:2] and sys.argv[1] in (*named, "--help", "-h", "--version")
+        if sys.argv[1:2] and sys.argv[1] in (*commands, "--help", "-h", "--version")
         else ["play", *sys.argv[1:]]
     )
-    sys.exit(defopt.run(named, argv=argv, version=f"simulator {__version__}"))
+    sys.exit(defopt.run(commands, argv=argv, version=f"simulator {__version__}"))
 
 
 main()
--- a/simulator/fleet.py
+++ b/simulator/fleet.py
@@ -1,4 +1,7 @@
-"""A whole fleet in simulated time: the real controllers, and hollow routers."""
+"""A fleet in simulated time, with the real controllers and simulated routers.
+
+``Size`` gives the dimensions and addresses of a fleet, ``Fleet`` runs its processes.
+"""
 
 import asyncio
 import json
@@ -13,7 +16,7 @@
 from sparloom.settings import from_dict
 from sparloom.transport import monotonic
 
-from .simulated_router import DEFAULT_LOAD, HollowRouter
+from .simulated_router import DEFAULT_LOAD, SimulatedRouter
 from .virtual import HOST
 
 SERVICE = "hollow"
@@ -33,7 +36,7 @@
 
 @define(frozen=True, slots=True)
 class Size:
-    """How large a fleet is: nodes, listed runners, routes, zones, regions, controllers.
+    """Dimensions of a fleet: routers (``nodes``), listed runners, routes, zones, regions, controllers, slots per runner.
 
     >>> Size(nodes=4, zones=2).zone(3)
     'zone-2'
@@ -47,13 +50,13 @@
     controllers: int = 5
     slots: int = 16
 
-    def zone(self, i):
-        """The zone of the i-th machine.
+    def zone(self, index):
+        """The zone of a machine, by its index.
 
         >>> Size().zone(0)
         'zone-1'
         """
-        return f"zone-{i % self.zones + 1}"
+        return f"zone-{index % self.zones + 1}"
 
     def region(self, zone):
         """The region of a zone.
@@ -63,31 +66,31 @@
         """
         return f"region-{(int(zone[5:]) - 1) % self.regions + 1}"
 
-    def router(self, i):
-        """The loopback address of the i-th router.
+    def router(self, index):
+        """The loopback address of a router, by its index.
 
         >>> Size().router(300)
         '127.2.1.51'
         """
-        return f"127.2.{i // 250}.{i % 250 + 1}"
+        return f"127.2.{index // 250}.{index % 250 + 1}"
 
-    def controller(self, i):
-        """The loopback address of the i-th controller.
+    def controller(self, index):
+        """The loopback address of a controller, by its index.
 
         >>> Size().controller(0)
         '127.1.0.1'
         """
-        return f"127.1.0.{i + 1}"
+        return f"127.1.0.{index + 1}"
 
 
-def startup(size, ip, role, zone, copies, first=True, bounds=BOUNDS, data=None, api="127.3.0.1:8266", rate=40.0):
-    """What a process of the fleet is told when it starts, as a dict.
+def startup(size, ip, role, zone, tolerated, first=True, bounds=BOUNDS, data=None, api="127.3.0.1:8266", rate=40.0):
+    """The startup settings of a process of the fleet, as a dict; ``tolerated``: machine losses to survive.
 
     >>> startup(Size(), "127.2.0.1", "router", "zone-1", 2)["seedNodes"][0]
     '127.1.0.1:8262'
     """
     listen = {"control": f"{ip}:8262"} if role == "controller" else {"front": f"{ip}:8263", "readiness": f"{ip}:8268"}
-    more = {"dataDirectory": data} if data else {}
+    optional = {"dataDirectory": data} if data else {}
     return {
         "nodeName": f"{role}-{ip}",
         "role": role,
@@ -96,19 +99,19 @@
         "internalPortRange": [7300, 7315],
         "seedNodes": [f"{size.controller(i)}:8262" for i in range(min(3, size.controllers))],
         "firstStart": first,
-        "zones": {f"zone-{z + 1}": size.region(f"zone-{z + 1}") for z in range(size.zones)},
+        "zones": {f"zone-{i + 1}": size.region(f"zone-{i + 1}") for i in range(size.zones)},
         "listenAddresses": listen,
-        "toleratedLosses": {"machines": copies},
+        "toleratedLosses": {"machines": tolerated},
         "bounds": dict(bounds),
         "cloudApi": {"address": api, "ratePerS": rate, "lagMs": 800},
-        **more,
+        **optional,
     }
 
 
-def policy(revision, routes, slots=16):
-    """A configuration with a number of routes.
+def configuration(revision, routes, slots=16):
+    """A configuration with a given number of routes and one service.
 
-    >>> len(policy(1, 10)["routes"])
+    >>> len(configuration(1, 10)["routes"])
     10
     """
     return {
@@ -133,24 +136,27 @@
     }
 
 
-def patch(revision, route, target):
-    """A change of one route.
+def route_change(revision, route, target_ms):
+    """A configuration change that sets the target time of one route.
 
-    >>> patch(3, 0, 500)["revision"]
+    >>> route_change(3, 0, 500)["revision"]
     3
     """
-    return {"revision": revision, "upsert": {"routes": [{**policy(1, route + 1)["routes"][route], "targetMs": target}]}}
+    return {
+        "revision": revision,
+        "upsert": {"routes": [{**configuration(1, route + 1)["routes"][route], "targetMs": target_ms}]},
+    }
 
 
-def entries(runners, zones=5, life=0, slots=16):
-    """The platform's list of hollow runners; ``life`` renames the first of them.
+def entries(runners, zones=5, incarnation=0, slots=16):
+    """The platform's list of runners that don't exist; ``incarnation`` is part of the first runner's id.
 
     >>> entries(2)[1]["runnerId"]
     'i-00001-0'
     """
     return [
         {
-            "runnerId": f"i-{i:05d}-{life if i == 0 else 0}",
+            "runnerId": f"i-{i:05d}-{incarnation if i == 0 else 0}",
             "service": SERVICE,
             "address": f"127.4.{i // 250}.{i % 250 + 1}:8080",
             "zone": f"zone-{i % zones + 1}",
@@ -162,23 +168,26 @@
     ]
 
 
-class _ListedHere(EndpointPoller):
-    """The poller, with the platform's pages taken from memory."""
+class _InMemoryPoller(EndpointPoller):
+    """The endpoint poller, with the platform's pages served from memory."""
 
-    listing, page = (), 50
+    listing, page_size = (), 50
 
     async def _request_page(self, cloud):
-        at = int(self.pages.token or 0)
-        more = at + self.page < len(self.listing)
-        d = {"instances": self.listing[at : at + self.page], "nextPageToken": str(at + self.page) if more else None}
-        return 200, d
+        start = int(self.pages.token or 0)
+        more = start + self.page_size < len(self.listing)
+        page = {
+            "instances": self.listing[start : start + self.page_size],
+            "nextPageToken": str(start + self.page_size) if more else None,
+        }
+        return 200, page
 
 
-class _Call:
-    """An operator's call, as the control address reads it."""
+class _OperatorRequest:
+    """An operator's request, with the attributes that the control handler reads."""
 
-    def __init__(self, method, base, d):
-        self.method, self.raw, self.content = method, json.dumps(d).encode(), self
+    def __init__(self, method, base, body):
+        self.method, self.raw, self.content = method, json.dumps(body).encode(), self
         self.headers, self.content_length = {"If-Match": str(base)}, len(self.raw)
         self.transport = SimpleNamespace(is_closing=lambda: False)
 
@@ -192,94 +201,108 @@
 
     def __init__(self, loop, size, load=DEFAULT_LOAD, bounds=BOUNDS):
         self.loop, self.size, self.load, self.bounds = loop, size, load, bounds
-        self.controllers, self.routers, self.revision, self.born = {}, {}, 0, 0
-        self.first_policy = policy(1, size.routes, size.slots)
+        self.controllers, self.routers, self.revision, self.boot_count = {}, {}, 0, 0
+        self.first_policy = configuration(1, size.routes, size.slots)
 
-    async def _on(self, host, svc):
+    async def _on(self, host, service):
         async def start():
             HOST.set(host)
-            await svc.start()
+            await service.start()
 
         await asyncio.create_task(start())
-        return svc
+        return service
 
-    def _up(self, ip, role, i, data=None):
-        s = self.size
+    def _startup_settings(self, ip, role, index, data=None):
+        size = self.size
         return from_dict(
-            startup(s, ip, role, s.zone(i), min(2, (s.controllers - 1) // 2), bounds=self.bounds, data=data)
+            startup(
+                size, ip, role, size.zone(index), min(2, (size.controllers - 1) // 2), bounds=self.bounds, data=data
+            )
         ).unwrap()
 
     async def start(self):
-        """Starts all, and gives the first configuration."""
+        """Starts all processes and sets the first configuration."""
         for i in range(self.size.controllers):
             ip = self.size.controller(i)
-            ctl = self.controllers[ip] = Controller(self._up(ip, "controller", i, ip), "")
-            ctl.poller = _ListedHere(ctl.settings, ctl.consensus, ctl.feed_server, ctl.control_api.router_count)
-            ctl.poller.listing = self.listed()
-            await self._on(ip, ctl)
+            controller = self.controllers[ip] = Controller(self._startup_settings(ip, "controller", i, ip), "")
+            controller.poller = _InMemoryPoller(
+                controller.settings, controller.consensus, controller.feed_server, controller.control_api.router_count
+            )
+            controller.poller.listing = self.listed()
+            await self._on(ip, controller)
         await asyncio.gather(*(self.boot(i, 2.0 * i / self.size.nodes) for i in range(self.size.nodes)))
         for _ in range(200):
             if await self.change(self.first_policy, "PUT") is not None:
                 return
             await asyncio.sleep(0.1)
-        raise RuntimeError("no configuration was taken")
+        raise RuntimeError("no controller acknowledged the first configuration")
 
     def listed(self):
-        """The platform's list at the start."""
+        """The platform's list of runners at the start."""
         return entries(self.size.runners, self.size.zones, 0, self.size.slots)
 
     async def boot(self, i, wait=0.0):
-        """Starts the i-th router, with a new life."""
+        """Starts the i-th router as a new incarnation."""
         await asyncio.sleep(wait)
         ip = self.size.router(i)
-        self.born += 1
+        self.boot_count += 1
         self.loop.net.off.discard(ip)
-        self.routers[ip] = await self._on(ip, HollowRouter(self._up(ip, "router", i), self.load, self.born))
+        self.routers[ip] = await self._on(
+            ip, SimulatedRouter(self._startup_settings(ip, "router", i), self.load, self.boot_count)
+        )
 
     async def kill(self, ips):
-        """Machines lose power: they say nothing more."""
+        """Cuts the power of routers: they send nothing more."""
         self.loop.net.off |= set(ips)
-        gone = [self.routers.pop(ip) for ip in ips]
-        await asyncio.gather(*(r.stop() for r in gone))
+        killed = [self.routers.pop(ip) for ip in ips]
+        await asyncio.gather(*(router.stop() for router in killed))
 
     def leader(self):
-        """The primary's controller, or None."""
+        """The controller that is the primary, or None."""
         return next(
-            (c for ip, c in self.controllers.items() if ip not in self.loop.net.off and c.consensus.member.leading()),
+            (
+                controller
+                for ip, controller in self.controllers.items()
+                if ip not in self.loop.net.off and controller.consensus.member.leading()
+            ),
             None,
         )
 
-    async def change(self, d, method="PATCH"):
-        """Gives a configuration or a change of it; the time of its acknowledgement, or None."""
-        led = self.leader()
-        if led is None:
+    async def change(self, document, method="PATCH"):
+        """Sends a configuration or a change to the primary; gives the time of the acknowledgement, or None."""
+        leader = self.leader()
+        if leader is None:
             return None
-        got = await led.control_api.change(_Call(method, self.revision, d))
-        if got.status != 200:
+        response = await leader.control_api.change(_OperatorRequest(method, self.revision, document))
+        if response.status != 200:
             return None
-        self.revision = d["revision"]
+        self.revision = document["revision"]
         return monotonic()
 
-    async def spread(self, acked, revision, most):
-        """Seconds from an acknowledgement until each router had the revision; None for one that had not in time."""
-        end = acked + timedelta(seconds=most)
-        while monotonic() < end and not all(self._has(r, revision) for r in self.routers.values()):
+    async def propagation_delays(self, acknowledged_at, revision, timeout_s):
+        """Seconds from the acknowledgement until each router applied the revision; None for a router that timed out."""
+        deadline = acknowledged_at + timedelta(seconds=timeout_s)
+        while monotonic() < deadline and not all(
+            self._has_revision(router, revision) for router in self.routers.values()
+        ):
             await asyncio.sleep(0.02)
-        return [self._has(r, revision, acked) for r in self.routers.values()]
+        return [self._has_revision(router, revision, acknowledged_at) for router in self.routers.values()]
 
     @staticmethod
-    def _has(r, revision, acked=None):
-        times = [t for v, t in r.seen.items() if v >= revision]
-        if acked is None:
+    def _has_revision(router, revision, since=None):
+        times = [time for number, time in router.revision_times.items() if number >= revision]
+        if since is None:
             return bool(times)
-        return max(0.0, (min(times) - acked).total_seconds()) if times else None
+        return max(0.0, (min(times) - since).total_seconds()) if times else None
 
-    def doubted(self, observers):
-        """How many of the running routers are suspected, and how many believed dead, by some observers."""
+    def failure_beliefs(self, observers):
+        """The number of running routers that some observers suspect, and that they believe dead."""
         states = [
-            r.swim.table[o.key].peer.state
-            for r in observers
-            for o in self.routers.values()
-            if o is not r and o.key in r.swim.table
+            observer.swim.table[other.key].peer.state
+            for observer in observers
+            for other in self.routers.values()
+            if other is not observer and other.key in observer.swim.table
         ]
-        return SimpleNamespace(suspect=sum(s not in (ALIVE, DEAD) for s in states), dead=sum(s == DEAD for s in states))
+        return SimpleNamespace(
+            suspect=sum(state not in (ALIVE, DEAD) for state in states), dead=sum(state == DEAD for state in states)
+        )
--- a/simulator/host.py
+++ b/simulator/host.py
@@ -1,7 +1,7 @@
-"""A process that hosts many hollow routers over real sockets, and obeys the scale run.
+"""Hosts many simulated routers in one process, over real sockets, for the scale run.
 
-It reads a command a line (JSON) from standard input and answers each with a
-line; it ends when its input does.
+The process reads one JSON command per line from standard input and writes one
+JSON reply per line to standard output. It ends when its input ends.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 from sparloom.settings import from_dict
 from sparloom.transport import Datagrams, monotonic
 
-from .simulated_router import HollowRouter, Load
+from .simulated_router import Load, SimulatedRouter
 from .tally import Tally, kind
 
-STEP = 0.05
+POLL_INTERVAL_S = 0.05
 
 
-class _Counted:
-    """A datagram transport that counts what goes out."""
+class _CountingTransport:
+    """A datagram transport that counts the datagrams sent."""
 
     def __init__(self, transport, tally):
         self.transport, self.tally = transport, tally
@@ -36,172 +36,180 @@
         return getattr(self.transport, name)
 
 
-def count(tally):
-    """Counts all records that this process sends and takes, at its sockets.
+def count_traffic(tally):
+    """Counts all messages that this process sends and receives on its sockets.
 
-    The counting is done inside the classes of the sockets, for the whole process and for good.
+    Patches the socket classes for the whole process; the patch is never undone.
     """
-    made, came = Datagrams.connection_made, Datagrams.datagram_received
-    wrote, fed = asyncio.StreamWriter.write, asyncio.StreamReader.feed_data
+    original_connection_made, original_datagram_received = Datagrams.connection_made, Datagrams.datagram_received
+    original_write, original_feed_data = asyncio.StreamWriter.write, asyncio.StreamReader.feed_data
 
     def connection_made(self, transport):
-        made(self, _Counted(transport, tally))
+        original_connection_made(self, _CountingTransport(transport, tally))
 
     def datagram_received(self, data, addr):
         tally.received("all", len(data))
-        came(self, data, addr)
+        original_datagram_received(self, data, addr)
 
     def write(self, data):
         tally.sent("all", kind(data, 4), len(data))
-        wrote(self, data)
+        original_write(self, data)
 
     def feed_data(self, data):
         tally.received("all", len(data))
-        fed(self, data)
+        original_feed_data(self, data)
 
     Datagrams.connection_made, Datagrams.datagram_received = connection_made, datagram_received
     asyncio.StreamWriter.write, asyncio.StreamReader.feed_data = write, feed_data
 
 
 class Host:
-    """The hollow routers of this process, by address."""
+    """The simulated routers of this process, by address; its public methods are the commands."""
 
     def __init__(self):
-        self.tally, self.routers, self.told, self.late = Tally(), {}, {}, []
-        self.load, self.luck = Load(), random.Random(1)
-        self.suspect = self.dead = 0
-        count(self.tally)
+        self.tally, self.routers, self.startups, self.timer_delays_s = Tally(), {}, {}, []
+        self.load, self.rng = Load(), random.Random(1)
+        self.suspected = self.dead = 0
+        count_traffic(self.tally)
 
     async def start(self, startups, load, seed):
-        """Starts routers, spread over two seconds."""
-        self.load, self.luck = Load(**load), random.Random(seed)
-        for d in startups:
-            if not ip_address(d["ipAddress"]).is_loopback:
-                raise ValueError(f"{d['ipAddress']} is no loopback address")
-            self.told[d["ipAddress"]] = d
-            await self._boot(d["ipAddress"])
+        """Starts routers, spread over two seconds; gives the number of routers."""
+        self.load, self.rng = Load(**load), random.Random(seed)
+        for startup in startups:
+            if not ip_address(startup["ipAddress"]).is_loopback:
+                raise ValueError(f"{startup['ipAddress']} is not a loopback address")
+            self.startups[startup["ipAddress"]] = startup
+            await self._boot(startup["ipAddress"])
             await asyncio.sleep(2.0 / len(startups))
         return len(self.routers)
 
     async def _boot(self, ip):
-        r = self.routers[ip] = HollowRouter(from_dict(self.told[ip]).unwrap(), self.load, self.luck.random())
-        await r.start()
+        router = self.routers[ip] = SimulatedRouter(from_dict(self.startups[ip]).unwrap(), self.load, self.rng.random())
+        await router.start()
 
     async def state(self, nodes):
-        """How many are ready, and how many of these see all the routers."""
-        ready = [r for r in self.routers.values() if r.ready()]
+        """The number of ready routers, and how many of these know all ``nodes`` routers."""
+        ready = [router for router in self.routers.values() if router.ready()]
         return {
             "ready": len(ready),
-            "whole": sum(r.nodes() == nodes for r in ready),
-            "see": sorted({r.nodes() for r in ready}),
-            "list": sorted({len(r.backends.by_id) for r in ready}),
+            "whole": sum(router.nodes() == nodes for router in ready),
+            "see": sorted({router.nodes() for router in ready}),
+            "list": sorted({len(router.backends.by_id) for router in ready}),
         }
 
     async def kill(self, ips):
-        """Routers end without a word; the time of it."""
+        """Stops routers without a leave notice; gives the time at which it began."""
         now = monotonic().total_seconds()
         for ip in ips:
-            r = self.routers.pop(ip)
-            r.datagrams.close()
-            await r.stop()
+            router = self.routers.pop(ip)
+            router.datagrams.close()
+            await router.stop()
         return now
 
     async def restart(self, ips):
-        """Routers leave in order and come back in a new life; seconds until they were all ready."""
-        begun = monotonic()
+        """Restarts routers gracefully, as new incarnations; gives the seconds until all were ready, at most 30."""
+        started = monotonic()
         for ip in ips:
             await self.routers.pop(ip).stop()
             await self._boot(ip)
-        while not all(self.routers[ip].ready() for ip in ips) and (monotonic() - begun).total_seconds() < 30:
-            await asyncio.sleep(STEP)
-        return (monotonic() - begun).total_seconds()
-
-    async def watch(self, keys, since, most, observers=8):
-        """Seconds until some observers here believed each of the given gone."""
-        seen, up = {}, self.luck.sample(list(self.routers.values()), min(observers, len(self.routers)))
-        pairs = [(r, k) for r in up for k in keys]
-        while (now := monotonic().total_seconds() - since) < most and len(seen) < len(pairs):
-            for i, (r, k) in enumerate(pairs):
-                e = r.swim.table.get(k)
-                if i not in seen and (e is None or e.peer.state == DEAD):
-                    seen[i] = round(now, 3)
-            await asyncio.sleep(STEP)
-        return [seen.get(i) for i in range(len(pairs))]
-
-    async def seen(self, revision, since, most):
-        """Seconds from a moment until each router here had a revision, or one after it."""
-
-        def at(r):
-            return min((t.total_seconds() for v, t in r.seen.items() if v >= revision), default=None)
-
-        while monotonic().total_seconds() - since < most and any(at(r) is None for r in self.routers.values()):
-            await asyncio.sleep(STEP / 2)
-        return [None if at(r) is None else round(max(0.0, at(r) - since), 5) for r in self.routers.values()]
-
-    async def listed(self, runner, since, most):
-        """Seconds until all routers here had a runner in their list, or None."""
-        while (now := monotonic().total_seconds() - since) < most:
-            if all(runner in r.backends.by_id for r in self.routers.values()):
-                return round(now, 3)
-            await asyncio.sleep(STEP)
+        while not all(self.routers[ip].ready() for ip in ips) and (monotonic() - started).total_seconds() < 30:
+            await asyncio.sleep(POLL_INTERVAL_S)
+        return (monotonic() - started).total_seconds()
+
+    async def watch(self, keys, since, within_s, observers=8):
+        """Seconds from ``since`` until each of some observers here removed each key or believed it dead."""
+        detected, sample = {}, self.rng.sample(list(self.routers.values()), min(observers, len(self.routers)))
+        pairs = [(router, key) for router in sample for key in keys]
+        while (elapsed_s := monotonic().total_seconds() - since) < within_s and len(detected) < len(pairs):
+            for i, (router, key) in enumerate(pairs):
+                entry = router.swim.table.get(key)
+                if i not in detected and (entry is None or entry.peer.state == DEAD):
+                    detected[i] = round(elapsed_s, 3)
+            await asyncio.sleep(POLL_INTERVAL_S)
+        return [detected.get(i) for i in range(len(pairs))]
+
+    async def seen(self, revision, since, within_s):
+        """Seconds from ``since`` until each router here applied a revision or a later one; None if not within ``within_s``."""
+
+        def applied_at(router):
+            return min(
+                (time.total_seconds() for number, time in router.revision_times.items() if number >= revision),
+                default=None,
+            )
+
+        while monotonic().total_seconds() - since < within_s and any(
+            applied_at(router) is None for router in self.routers.values()
+        ):
+            await asyncio.sleep(POLL_INTERVAL_S / 2)
+        return [
+            None if applied_at(router) is None else round(max(0.0, applied_at(router) - since), 5)
+            for router in self.routers.values()
+        ]
+
+    async def listed(self, runner, since, within_s):
+        """Seconds from ``since`` until all routers here had a runner in their list; None if not within ``within_s``."""
+        while (elapsed_s := monotonic().total_seconds() - since) < within_s:
+            if all(runner in router.backends.by_id for router in self.routers.values()):
+                return round(elapsed_s, 3)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return None
 
     async def figures(self):
-        """What was sent and taken since the last question, lateness of timers, doubts, calls."""
-        _, _, n, b = self.tally.node("all")
-        out = {
+        """Traffic, timer delays, false suspicions and calls; traffic, delays and suspicions start again at zero."""
+        _, _, messages, size = self.tally.node("all")
+        figures = {
             "kinds": self.tally.kinds(),
-            "in": [n, b],
-            "lateMs": round(1000 * max(self.late, default=0.0), 1),
-            "suspect": self.suspect,
+            "in": [messages, size],
+            "lateMs": round(1000 * max(self.timer_delays_s, default=0.0), 1),
+            "suspect": self.suspected,
             "dead": self.dead,
-            "calls": sum(r.calls for r in self.routers.values()),
-            "refused": sum(r.refused for r in self.routers.values()),
+            "calls": sum(router.calls for router in self.routers.values()),
+            "refused": sum(router.rejected for router in self.routers.values()),
             "nodes": len(self.routers),
         }
         self.tally.clear()
-        self.late.clear()
-        self.suspect = self.dead = 0
-        return out
+        self.timer_delays_s.clear()
+        self.suspected = self.dead = 0
+        return figures
 
     async def check(self, running):
-        """Counts beliefs of a few routers here that wrong a running one; every half second."""
-        known = set(running)
-        for r in self.luck.sample(list(self.routers.values()), min(4, len(self.routers))):
-            states = [e.peer.state for k, e in r.swim.table.items() if k in known]
-            self.suspect += sum(s not in (ALIVE, DEAD) for s in states)
-            self.dead += sum(s == DEAD for s in states)
+        """Counts the running routers that up to four routers here suspect or believe dead; called every half second."""
+        running_keys = set(running)
+        for router in self.rng.sample(list(self.routers.values()), min(4, len(self.routers))):
+            states = [entry.peer.state for key, entry in router.swim.table.items() if key in running_keys]
+            self.suspected += sum(state not in (ALIVE, DEAD) for state in states)
+            self.dead += sum(state == DEAD for state in states)
 
     async def beat(self):
-        """Notes how late timers fire: a host that is late makes its routers late."""
+        """Records how late timers fire; an overloaded host delays its routers."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + STEP
-            await asyncio.sleep(STEP)
-            self.late.append(loop.time() - due)
+            due = loop.time() + POLL_INTERVAL_S
+            await asyncio.sleep(POLL_INTERVAL_S)
+            self.timer_delays_s.append(loop.time() - due)
 
 
 async def serve():
-    """Obeys until the input ends."""
+    """Runs commands until standard input ends."""
     host, loop = Host(), asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=1 << 26)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    beat = asyncio.ensure_future(host.beat())
+    timer_check = asyncio.ensure_future(host.beat())
 
-    async def one(id, what, args):
+    async def run_command(request_id, command, args):
         try:
-            ans = {"id": id, "ok": await getattr(host, what)(**args)}
-        except Exception as e:  # noqa: BLE001 - told to the scale run, which ends
-            ans = {"id": id, "bad": f"{type(e).__name__}: {e}"}
-        print(json.dumps(ans), flush=True)
+            reply = {"id": request_id, "ok": await getattr(host, command)(**args)}
+        except Exception as e:  # noqa: BLE001 - reported to the scale run, which ends
+            reply = {"id": request_id, "bad": f"{type(e).__name__}: {e}"}
+        print(json.dumps(reply), flush=True)
 
     tasks = set()
     while line := await reader.readline():
-        d = json.loads(line)
-        t = asyncio.ensure_future(one(d["id"], d["do"], d.get("args", {})))
-        tasks.add(t)
-        t.add_done_callback(tasks.discard)
-    beat.cancel()
+        message = json.loads(line)
+        task = asyncio.ensure_future(run_command(message["id"], message["do"], message.get("args", {})))
+        tasks.add(task)
+        task.add_done_callback(tasks.discard)
+    timer_check.cancel()
 
 
 if __name__ == "__main__":
--- a/simulator/pieces.py
+++ b/simulator/pieces.py
@@ -1,4 +1,7 @@
-"""What single pieces of state cost: bytes, microseconds and memory at rising sizes, measured on the real libraries."""
+"""Measures the cost of single data structures of the fleet at rising sizes: encoded bytes, memory and microseconds.
+
+The structures are those that the routers and controllers use.
+"""
 
 import json
 import random
@@ -17,159 +20,165 @@
 from sparloom.membership import ROUTER, Peer, Swim, SwimTiming
 from sparloom.router.backends import BackendTable
 
-from .fleet import entries, policy
+from .fleet import configuration, entries
 
-CONTACT = timedelta(seconds=4)
+CONTACT_BOUND = timedelta(seconds=4)
 
 
-def timed(fn, least=0.05):
-    """The microseconds of a call: the best of three rounds of processor time.
+def timed(operation, min_seconds=0.05):
+    """Microseconds of processor time per call: the minimum over three rounds.
 
     >>> timed(lambda: None, 0.001) < 1000
     True
     """
     best = None
     for _ in range(3):
-        n, begun = 0, time.process_time()
-        while (took := time.process_time() - begun) < least:
-            fn()
-            n += 1
-        best = took / n if best is None else min(best, took / n)
+        calls, started = 0, time.process_time()
+        while (elapsed := time.process_time() - started) < min_seconds:
+            operation()
+            calls += 1
+        best = elapsed / calls if best is None else min(best, elapsed / calls)
     return round(best * 1e6, 2)
 
 
-def memory(make):
-    """The bytes that what a call gives holds, as told by tracemalloc.
+def memory(create):
+    """Bytes that the result of a call occupies, as traced by tracemalloc.
 
     >>> memory(lambda: bytes(10000)) > 9999
     True
     """
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = make()
+    result = create()
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return after - before if kept is not None else 0
+    return after - before if result is not None else 0
 
 
-def runners(n):
-    """A list of n runners: its bytes, and what a router pays to take it and to choose from it.
+def runners(count):
+    """A list of runners: its size, and what a router pays to decode it, apply it and choose from it.
 
     >>> runners(10)["runners"]
     10
     """
-    listed = EndpointList(read_page({"instances": entries(n), "nextPageToken": None}).unwrap()[0], 25)
-    blob = zlib.compress(pack(listed), 1)
-    fleet = BackendTable().renew(listed.runners, lambda s: 378959)
-    luck, stands = random.Random(1), [Candidate(r.id, 300, 0, 3, 16) for r in listed.runners]
-    held = [InFlightReport(luck.getrandbits(64), 3, 2000, 0, 0, 0, 0) for _ in range(min(n, 2900))]
-    counts = InFlightCounts(CONTACT)
+    endpoints = EndpointList(read_page({"instances": entries(count), "nextPageToken": None}).unwrap()[0], 25)
+    compressed = zlib.compress(pack(endpoints), 1)
+    backends = BackendTable().renew(endpoints.runners, lambda service: 378959)
+    rng, candidates = random.Random(1), [Candidate(runner.id, 300, 0, 3, 16) for runner in endpoints.runners]
+    reports = [InFlightReport(rng.getrandbits(64), 3, 2000, 0, 0, 0, 0) for _ in range(min(count, 2900))]
+    counts = InFlightCounts(CONTACT_BOUND)
     counts.on_update(
-        InFlightUpdate("p:1", 1, 1, 1, held, []), timedelta(0), {h.resource: i for i, h in enumerate(held)}
+        InFlightUpdate("p:1", 1, 1, 1, reports, []),
+        timedelta(0),
+        {report.resource: i for i, report in enumerate(reports)},
     )
     return {
-        "runners": n,
-        "listBytes": len(pack(listed)),
-        "listCompressed": len(blob),
-        "takeUs": timed(lambda: unpack(zlib.decompress(blob))),
-        "renewUs": timed(lambda: fleet.renew(listed.runners, lambda s: 378959)),
-        "fleetBytes": memory(lambda: BackendTable().renew(listed.runners, lambda s: 378959)),
-        "chooseUs": timed(lambda: choose(stands)),
-        "homeUs": timed(lambda: max(rendezvous_weight(7, p.number) for p in fleet.by_id.values())),
-        "countUs": timed(lambda: [counts.count(i, timedelta(0)) for i in range(len(held))]),
+        "runners": count,
+        "listBytes": len(pack(endpoints)),
+        "listCompressed": len(compressed),
+        "takeUs": timed(lambda: unpack(zlib.decompress(compressed))),
+        "renewUs": timed(lambda: backends.renew(endpoints.runners, lambda service: 378959)),
+        "fleetBytes": memory(lambda: BackendTable().renew(endpoints.runners, lambda service: 378959)),
+        "chooseUs": timed(lambda: choose(candidates)),
+        "homeUs": timed(lambda: max(rendezvous_weight(7, backend.number) for backend in backends.by_id.values())),
+        "countUs": timed(lambda: [counts.count(i, timedelta(0)) for i in range(len(reports))]),
     }
 
 
-def routes(n):
-    """A configuration of n routes: its bytes in the feed and on the disk, and the cost to check and to take it.
+def routes(count):
+    """A configuration with many routes: its size in the feed and on disk, and the cost to check, build and match it.
 
     >>> routes(10)["routes"]
     10
     """
-    d = policy(1, n)
-    blob = zlib.compress(json.dumps(d, separators=(",", ":")).encode(), 1)
-    hit = build(d)
+    document = configuration(1, count)
+    compressed = zlib.compress(json.dumps(document, separators=(",", ":")).encode(), 1)
+    built = build(document)
     return {
-        "routes": n,
-        "jsonBytes": len(json.dumps(d)),
-        "feedCompressed": len(blob),
-        "stateBytes": len(State(d).pack()),
-        "checkUs": timed(lambda: check(d)),
-        "takeUs": timed(lambda: build(json.loads(zlib.decompress(blob)))),
-        "policyBytes": memory(lambda: build(d)),
-        "matchUs": timed(lambda: hit.match(f"tenant-{(n - 1) // 4}.example", f"/p{n - 1}/x")),
-        "packUs": timed(lambda: State(d).pack()),
+        "routes": count,
+        "jsonBytes": len(json.dumps(document)),
+        "feedCompressed": len(compressed),
+        "stateBytes": len(State(document).pack()),
+        "checkUs": timed(lambda: check(document)),
+        "takeUs": timed(lambda: build(json.loads(zlib.decompress(compressed)))),
+        "policyBytes": memory(lambda: build(document)),
+        "matchUs": timed(lambda: built.match(f"tenant-{(count - 1) // 4}.example", f"/p{count - 1}/x")),
+        "packUs": timed(lambda: State(document).pack()),
     }
 
 
-def members(n):
-    """A membership table of n: memory, and the cost of a tick and of all that are up.
+def members(count):
+    """A membership table: its memory, and the cost of a tick and of listing the members that are alive.
 
     >>> members(10)["members"]
     10
     """
 
-    def make():
-        s = Swim(Peer("127.2.0.1:7301", ROUTER, "zone-1", "", 1, 0, 0), (), SwimTiming.of(CONTACT), random.Random(1))
-        for i in range(1, n):
-            s._learn(Peer(f"127.2.{i // 250}.{i % 250 + 1}:7301", ROUTER, f"zone-{i % 5}", "", i, 0, 0))
-        return s
+    def create():
+        swim = Swim(
+            Peer("127.2.0.1:7301", ROUTER, "zone-1", "", 1, 0, 0), (), SwimTiming.of(CONTACT_BOUND), random.Random(1)
+        )
+        for i in range(1, count):
+            swim._learn(Peer(f"127.2.{i // 250}.{i % 250 + 1}:7301", ROUTER, f"zone-{i % 5}", "", i, 0, 0))
+        return swim
 
-    s, now = make(), [timedelta(seconds=1)]
+    swim, now = create(), [timedelta(seconds=1)]
 
     def tick():
-        now[0] += CONTACT / 6
-        s.probes.clear()
-        return s.tick(now[0])
+        now[0] += CONTACT_BOUND / 6
+        swim.probes.clear()
+        return swim.tick(now[0])
 
-    one = tick()
+    messages = tick()
     return {
-        "members": n,
-        "tableBytes": memory(make),
-        "probeBytes": max((len(pack(m.record)) for m in one), default=0),
-        "aliveUs": timed(lambda: s.alive()),
+        "members": count,
+        "tableBytes": memory(create),
+        "probeBytes": max((len(pack(message.record)) for message in messages), default=0),
+        "aliveUs": timed(lambda: swim.alive()),
         "probeUs": timed(tick),
     }
 
 
-def prefixes(n):
-    """n kept parts of prompts, and their memory; a home among 1,000 runners.
+def prefixes(count):
+    """The memory of a table of cached prompt prefixes.
 
     >>> prefixes(10)["prefixes"]
     10
     """
-    luck = random.Random(1)
+    rng = random.Random(1)
 
-    def make():
-        k = CachedPrefixes(1 << 60)
-        k.add([(luck.getrandbits(64), 2000) for _ in range(n)])
-        return k
+    def create():
+        cached = CachedPrefixes(1 << 60)
+        cached.add([(rng.getrandbits(64), 2000) for _ in range(count)])
+        return cached
 
-    return {"prefixes": n, "keptBytes": memory(make)}
+    return {"prefixes": count, "keptBytes": memory(create)}
 
 
-def tenants(n):
-    """A gate with n members in line: the cost to enter and leave.
+def tenants(count):
+    """An admission controller with one request of each tenant: its memory, and the cost to acquire and release.
 
     >>> tenants(4)["tenants"]
     4
     """
-    g = AdmissionController(Capacity(10 * n), {f"t{i}": 0.1 / n for i in range(n)})
-    for i in range(n):
-        g.acquire(timedelta(0), i, f"t{i}", 0, Demand(300), timedelta(seconds=30))
+    admission = AdmissionController(Capacity(10 * count), {f"t{i}": 0.1 / count for i in range(count)})
+    for i in range(count):
+        admission.acquire(timedelta(0), i, f"t{i}", 0, Demand(300), timedelta(seconds=30))
 
-    def pass_one():
-        g.acquire(timedelta(0), -1, "t0", 0, Demand(300), timedelta(seconds=30))
-        g.release(timedelta(0), -1)
+    def acquire_and_release():
+        admission.acquire(timedelta(0), -1, "t0", 0, Demand(300), timedelta(seconds=30))
+        admission.release(timedelta(0), -1)
 
     return {
-        "tenants": n,
-        "gateBytes": memory(lambda: AdmissionController(Capacity(10 * n), {f"t{i}": 0.1 / n for i in range(n)})),
-        "enterLeaveUs": timed(pass_one),
+        "tenants": count,
+        "gateBytes": memory(
+            lambda: AdmissionController(Capacity(10 * count), {f"t{i}": 0.1 / count for i in range(count)})
+        ),
+        "enterLeaveUs": timed(acquire_and_release),
     }
 
 
-ALL = {
+MEASUREMENTS = {
     "runners": (runners, (100, 300, 1000, 3000, 10000)),
     "routes": (routes, (10, 100, 300, 1000, 3000)),
     "members": (members, (25, 100, 400, 1600)),
--- a/simulator/plan.py
+++ b/simulator/plan.py
@@ -1,4 +1,4 @@
-"""The plan of a scale run: a TOML file, checked before anything starts."""
+"""Reads the plan of a scale run from a TOML file and validates it before the run starts."""
 
 from attrs import define
 from returns.result import Failure, Success
@@ -9,98 +9,116 @@
 from .fleet import BOUNDS, Size
 from .simulated_router import Load
 
-_WHOLE = And(int, lambda v: type(v) is not bool and v >= 0, error="{!r} must be a whole number, 0 or more")
-_SOME = And(int, lambda v: type(v) is not bool and v >= 1, error="{!r} must be a whole number above 0")
-_FROM0 = And((lambda v: type(v) in (int, float)), lambda v: v >= 0, error="{!r} must be a number, 0 or more")
-_ABOVE0 = And((lambda v: type(v) in (int, float)), lambda v: v > 0, error="{!r} must be a number above 0")
+_NON_NEGATIVE_INT = And(
+    int, lambda value: type(value) is not bool and value >= 0, error="{!r} must be a whole number, 0 or more"
+)
+_POSITIVE_INT = And(
+    int, lambda value: type(value) is not bool and value >= 1, error="{!r} must be a whole number above 0"
+)
+_NON_NEGATIVE = And(
+    (lambda value: type(value) in (int, float)), lambda value: value >= 0, error="{!r} must be a number, 0 or more"
+)
+_POSITIVE = And(
+    (lambda value: type(value) in (int, float)), lambda value: value > 0, error="{!r} must be a number above 0"
+)
 
 PLAN = Schema(
     {
-        Optional("seed", default=1): _WHOLE,
-        Optional("runs", default=3): _SOME,
-        Optional("limitS", default=900): _ABOVE0,
-        Optional("memoryMb", default=4000): _SOME,
-        Optional("perProcess", default=50): _SOME,
-        Optional("quietS", default=8): _ABOVE0,
-        Optional("realRouters", default=2): _WHOLE,
+        Optional("seed", default=1): _NON_NEGATIVE_INT,
+        Optional("runs", default=3): _POSITIVE_INT,
+        Optional("limitS", default=900): _POSITIVE,
+        Optional("memoryMb", default=4000): _POSITIVE_INT,
+        Optional("perProcess", default=50): _POSITIVE_INT,
+        Optional("quietS", default=8): _POSITIVE,
+        Optional("realRouters", default=2): _NON_NEGATIVE_INT,
         "points": [
             {
-                "nodes": And(_SOME, lambda v: v <= 2000, error="nodes must be 1 to 2000"),
-                Optional("runners", default=36): _SOME,
-                Optional("routes", default=10): _SOME,
-                Optional("zones", default=5): _SOME,
-                Optional("regions", default=1): _SOME,
-                Optional("slots", default=16): _SOME,
-                Optional("controllers", default=3): And(_SOME, lambda v: v <= 9, error="controllers must be 1 to 9"),
+                "nodes": And(_POSITIVE_INT, lambda value: value <= 2000, error="nodes must be 1 to 2000"),
+                Optional("runners", default=36): _POSITIVE_INT,
+                Optional("routes", default=10): _POSITIVE_INT,
+                Optional("zones", default=5): _POSITIVE_INT,
+                Optional("regions", default=1): _POSITIVE_INT,
+                Optional("slots", default=16): _POSITIVE_INT,
+                Optional("controllers", default=3): And(
+                    _POSITIVE_INT, lambda value: value <= 9, error="controllers must be 1 to 9"
+                ),
             }
         ],
         Optional("load", default={}): {
-            Optional("rate", default=2.0): _FROM0,
-            Optional("hold", default=5.0): _ABOVE0,
-            Optional("long", default=0.1): And(_FROM0, lambda v: v <= 1),
-            Optional("runners", default=0): _WHOLE,
-            Optional("prefixes", default=100): _SOME,
+            Optional("rate", default=2.0): _NON_NEGATIVE,
+            Optional("hold", default=5.0): _POSITIVE,
+            Optional("long", default=0.1): And(_NON_NEGATIVE, lambda value: value <= 1),
+            Optional("runners", default=0): _NON_NEGATIVE_INT,
+            Optional("prefixes", default=100): _POSITIVE_INT,
+        },
+        Optional("changes", default={}): {
+            Optional("perS", default=0.76): _POSITIVE,
+            Optional("count", default=8): _POSITIVE_INT,
         },
-        Optional("changes", default={}): {Optional("perS", default=0.76): _ABOVE0, Optional("count", default=8): _SOME},
         Optional("failures", default={}): {
-            Optional("perDay", default=220): _FROM0,
-            Optional("restartsPerDay", default=2400): _FROM0,
-            Optional("ofNodes", default=1600): _SOME,
-            Optional("times", default=2000): _FROM0,
-            Optional("seconds", default=15): _ABOVE0,
+            Optional("perDay", default=220): _NON_NEGATIVE,
+            Optional("restartsPerDay", default=2400): _NON_NEGATIVE,
+            Optional("ofNodes", default=1600): _POSITIVE_INT,
+            Optional("times", default=2000): _NON_NEGATIVE,
+            Optional("seconds", default=15): _POSITIVE,
             Optional("zone", default=True): bool,
         },
         Optional("platform", default={}): {
-            Optional("pageSize", default=50): _SOME,
-            Optional("ratePerS", default=40.0): _ABOVE0,
+            Optional("pageSize", default=50): _POSITIVE_INT,
+            Optional("ratePerS", default=40.0): _POSITIVE,
         },
-        Optional("bounds", default={}): {str: _FROM0},
+        Optional("bounds", default={}): {str: _NON_NEGATIVE},
     }
 )
 
 
 @define(frozen=True, slots=True)
 class Plan:
-    """A sound plan: ``told`` as written, with what it left out filled in."""
+    """A valid plan; ``values`` is the document with the defaults filled in."""
 
-    told: dict
+    values: dict
     sizes: tuple
     load: Load
     bounds: dict
 
     def __getitem__(self, key):
-        return self.told[key]
+        return self.values[key]
 
 
-def from_dict(d):
-    """Checks a parsed plan.
+def from_dict(document):
+    """Validates a parsed plan.
 
     >>> from_dict({"points": [{"nodes": 25}]}).unwrap().sizes[0].runners
     36
     >>> from_dict({"points": [{"nodes": 25.5}]}).failure()
-    'the plan is not sound: 25.5 must be a whole number above 0'
+    'invalid plan: 25.5 must be a whole number above 0'
     >>> from_dict({"points": [{"nodes": 5}], "sed": 1}).failure()
-    "the plan is not sound: Wrong key 'sed' in {'points': [{'nodes': 5}], 'sed': 1}"
+    "invalid plan: Wrong key 'sed' in {'points': [{'nodes': 5}], 'sed': 1}"
     """
     try:
-        told = PLAN.validate(d)
-        for part in ("load", "changes", "failures", "platform"):
-            told[part] = PLAN.validate({"points": [{"nodes": 1}], part: told[part]})[part]
+        values = PLAN.validate(document)
+        for section in ("load", "changes", "failures", "platform"):
+            values[section] = PLAN.validate({"points": [{"nodes": 1}], section: values[section]})[section]
     except SchemaError as e:
-        told = [t for t in e.errors if t] or [t for t in e.autos if t]
-        return Failure(f"the plan is not sound: {' '.join(told[-1].split())[:300]}")
-    if not told["points"]:
-        return Failure("the plan is not sound: points must be a list of at least one table with nodes")
-    few = next((p for p in told["points"] if p["nodes"] < told["realRouters"]), None)
-    if few:
-        return Failure(f"the plan is not sound: {few['nodes']} nodes are fewer than realRouters, {told['realRouters']}")
+        errors = [text for text in e.errors if text] or [text for text in e.autos if text]
+        return Failure(f"invalid plan: {' '.join(errors[-1].split())[:300]}")
+    if not values["points"]:
+        return Failure("invalid plan: points must be a list of at least one table with nodes")
+    too_small = next((point for point in values["points"] if point["nodes"] < values["realRouters"]), None)
+    if too_small:
+        return Failure(f"invalid plan: {too_small['nodes']} nodes are fewer than realRouters, {values['realRouters']}")
     return Success(
-        Plan(told, tuple(Size(**p) for p in told["points"]), Load(**told["load"]), {**BOUNDS, **told["bounds"]})
+        Plan(
+            values,
+            tuple(Size(**point) for point in values["points"]),
+            Load(**values["load"]),
+            {**BOUNDS, **values["bounds"]},
+        )
     )
 
 
 def read(path):
-    """Reads and checks a plan.
+    """Reads and validates a plan.
 
     >>> read("/nowhere.toml").failure()
     '/nowhere.toml: the plan is missing.'
--- a/simulator/point.py
+++ b/simulator/point.py
@@ -1,4 +1,9 @@
-"""One point of the scale run in simulated time: a fleet of a size, its messages, delays and judgements."""
+"""Measures one point of the scale run in simulated time: the messages, delays and failure detection of a fleet.
+
+``Point`` takes a fleet of one size through its phases: steady state,
+configuration changes, a change of the runner list, a partition of the regions,
+router failures and a zone loss.
+"""
 
 import asyncio
 import math
@@ -10,275 +15,300 @@
 from sparloom.membership import DEAD
 from sparloom.transport import monotonic
 
-from .fleet import BOUNDS, Fleet, entries, patch
+from .fleet import BOUNDS, Fleet, entries, route_change
 from .simulated_router import DEFAULT_LOAD, SKIPS
-from .tally import HEADER
+from .tally import HEADER_BYTES
 from .virtual import world
 
 
-def middle(vals, part=0.5):
-    """A quantile by nearest rank; None of nothing.
+def quantile(values, fraction=0.5):
+    """A quantile by nearest rank; None without values.
 
-    >>> middle([3, 1, 2]), middle([1, 2, 3], 0.99), middle([])
+    >>> quantile([3, 1, 2]), quantile([1, 2, 3], 0.99), quantile([])
     (2, 3, None)
     """
-    vals = sorted(vals)
-    return vals[max(0, math.ceil(part * len(vals)) - 1)] if vals else None
+    values = sorted(values)
+    return values[max(0, math.ceil(fraction * len(values)) - 1)] if values else None
 
 
-def three(vals):
-    """Median, 99 in 100 and worst, in ms, and how many never came.
+def delay_summary(delays_s):
+    """Median, 99th percentile and maximum in milliseconds, and the number of delays that are None.
 
-    >>> three([0.001, None])
+    >>> delay_summary([0.001, None])
     {'median': 1.0, 'p99': 1.0, 'worst': 1.0, 'never': 1, 'of': 2}
     """
-    got = [v * 1000 for v in vals if v is not None]
-    fig = {
-        k: None if q is None else round(q, 2)
-        for k, q in (("median", middle(got)), ("p99", middle(got, 0.99)), ("worst", max(got, default=None)))
+    delays_ms = [delay * 1000 for delay in delays_s if delay is not None]
+    figures = {
+        name: None if value is None else round(value, 2)
+        for name, value in (
+            ("median", quantile(delays_ms)),
+            ("p99", quantile(delays_ms, 0.99)),
+            ("worst", max(delays_ms, default=None)),
+        )
     }
-    return {**fig, "never": len(vals) - len(got), "of": len(vals)}
+    return {**figures, "never": len(delays_s) - len(delays_ms), "of": len(delays_s)}
+
 
+def link_delays(size):
+    """A function that gives the one-way delay between two addresses, in seconds.
 
-def spans(size):
-    """How far two addresses are apart, one way, in seconds: zones 0.5 ms, regions 30 ms.
+    It is 0.1 ms within a zone, 0.5 ms between zones and 30 ms between regions.
 
     >>> from .fleet import Size
-    >>> spans(Size(regions=2))("127.2.0.1", "127.2.0.2"), spans(Size())("127.2.0.1", "127.2.0.6")
+    >>> link_delays(Size(regions=2))("127.2.0.1", "127.2.0.2"), link_delays(Size())("127.2.0.1", "127.2.0.6")
     (0.03, 0.0001)
     """
 
     def zone(ip):
-        _, _, hi, lo = ip.split(".")
-        return size.zone(int(hi) * 250 + int(lo) - 1)
+        _, _, high, low = ip.split(".")
+        return size.zone(int(high) * 250 + int(low) - 1)
 
-    def far(a, b):
-        za, zb = zone(a), zone(b)
-        return 0.0001 if za == zb else 0.0005 if size.region(za) == size.region(zb) else 0.03
+    def delay(source, destination):
+        source_zone, destination_zone = zone(source), zone(destination)
+        return (
+            0.0001
+            if source_zone == destination_zone
+            else 0.0005
+            if size.region(source_zone) == size.region(destination_zone)
+            else 0.03
+        )
 
-    return far
+    return delay
 
 
 def rates(tally, hosts, seconds):
-    """Messages and bytes a second of the mean and the busiest of some hosts, out and in.
+    """Messages and bytes per second, sent and received, for the mean and the busiest of some hosts.
 
     >>> from .tally import Tally
     >>> t = Tally(); t.sent("a", "Ping", 72); rates(t, ["a", "b"], 1)["meanOut"]
     {'messages': 0.5, 'bytes': 50.0}
     """
-    got = [tally.node(h) for h in hosts]
+    counts = [tally.node(host) for host in hosts]
 
-    def fig(pick, at):
-        n, b = pick(g[at] for g in got), pick(g[at + 1] + HEADER * g[at] for g in got)
-        return {"messages": round(n / seconds, 2), "bytes": round(b / seconds, 1)}
+    def rate(aggregate, column):
+        messages, size = (
+            aggregate(row[column] for row in counts),
+            aggregate(row[column + 1] + HEADER_BYTES * row[column] for row in counts),
+        )
+        return {"messages": round(messages / seconds, 2), "bytes": round(size / seconds, 1)}
 
-    def mean(vals):
-        vals = list(vals)
-        return sum(vals) / len(vals)
+    def mean(values):
+        values = list(values)
+        return sum(values) / len(values)
 
-    return {"meanOut": fig(mean, 0), "meanIn": fig(mean, 2), "mostOut": fig(max, 0), "mostIn": fig(max, 2)}
+    return {"meanOut": rate(mean, 0), "meanIn": rate(mean, 2), "mostOut": rate(max, 0), "mostIn": rate(max, 2)}
 
 
 class Point:
-    """Plays a fleet of one size through quiet, changes, deaths and a lost zone."""
+    """Runs a fleet of one size through all phases and collects the figures."""
 
-    def __init__(self, loop, size, load, seed, seconds=5, rate=0.76, changes=5, troubles=True, bounds=BOUNDS):
+    def __init__(self, loop, size, load, seed, seconds=5, rate=0.76, changes=5, faults=True, bounds=BOUNDS):
         self.loop, self.size, self.rng, self.seconds = loop, size, random.Random(seed), seconds
         self.fleet = Fleet(loop, size, load, bounds)
-        self.rate, self.changes, self.troubles, self.bounds = rate, changes, troubles, bounds
-        self.out = {"size": asdict(size), "load": asdict(load), "seed": seed, "skips": SKIPS, "headerBytes": HEADER}
+        self.rate, self.changes, self.faults, self.bounds = rate, changes, faults, bounds
+        self.figures = {
+            "size": asdict(size),
+            "load": asdict(load),
+            "seed": seed,
+            "skips": SKIPS,
+            "headerBytes": HEADER_BYTES,
+        }
 
     async def play(self):
-        """The figures of the point."""
-        t, f = time.process_time(), self.fleet
-        await f.start()
-        self.out["settledMs"] = await self._settle()
-        await asyncio.sleep(f.load.hold * 2)
-        await self._quiet()
-        await self._change()
-        await self._relist()
+        """Runs all phases and gives the figures of the point."""
+        started, fleet = time.process_time(), self.fleet
+        await fleet.start()
+        self.figures["settledMs"] = await self._wait_until_converged()
+        await asyncio.sleep(fleet.load.hold * 2)
+        await self._measure_steady_state()
+        await self._measure_changes()
+        await self._replace_listed_runner()
         if self.size.regions > 1:
-            await self._parted()
-        if self.troubles:
-            await self._deaths()
-            await self._zone()
-        self.out["emulatorCpuS"] = round(time.process_time() - t, 1)
-        return self.out
-
-    async def _settle(self):
-        begun, n = monotonic(), self.size.nodes
-        while (monotonic() - begun).total_seconds() < 90:
-            if all(r.ready() and r.nodes() == n for r in self.fleet.routers.values()):
-                return round((monotonic() - begun).total_seconds() * 1000)
+            await self._partition_regions()
+        if self.faults:
+            await self._kill_routers()
+            await self._lose_zone()
+        self.figures["emulatorCpuS"] = round(time.process_time() - started, 1)
+        return self.figures
+
+    async def _wait_until_converged(self):
+        started, nodes = monotonic(), self.size.nodes
+        while (monotonic() - started).total_seconds() < 90:
+            if all(router.ready() and router.nodes() == nodes for router in self.fleet.routers.values()):
+                return round((monotonic() - started).total_seconds() * 1000)
             await asyncio.sleep(0.25)
         return None
 
-    def _observers(self, most=24):
-        up = list(self.fleet.routers.values())
-        return self.rng.sample(up, min(most, len(up)))
+    def _observers(self, limit=24):
+        running = list(self.fleet.routers.values())
+        return self.rng.sample(running, min(limit, len(running)))
 
-    async def _quiet(self):
-        tally, f = self.loop.net.tally, self.fleet
+    async def _measure_steady_state(self):
+        tally, fleet = self.loop.net.tally, self.fleet
         tally.clear()
-        false = []
+        false_beliefs = []
         for _ in range(int(self.seconds * 2)):
             await asyncio.sleep(0.5)
-            false.append(f.doubted(self._observers(8)))
-        ends = list(f.routers)
-        duty = [ip for ip, r in f.routers.items() if r.relay_tier.is_relay]
-        self.out["quiet"] = {
-            "relayDuty": {"nodes": len(duty), **(rates(tally, duty, self.seconds) if duty else {})},
-            "others": rates(tally, [ip for ip in ends if ip not in duty] or ends, self.seconds),
-            "routers": rates(tally, ends, self.seconds),
-            "controllers": rates(tally, list(f.controllers), self.seconds),
+            false_beliefs.append(fleet.failure_beliefs(self._observers(8)))
+        routers = list(fleet.routers)
+        relays = [ip for ip, router in fleet.routers.items() if router.relay_tier.is_relay]
+        self.figures["quiet"] = {
+            "relayDuty": {"nodes": len(relays), **(rates(tally, relays, self.seconds) if relays else {})},
+            "others": rates(tally, [ip for ip in routers if ip not in relays] or routers, self.seconds),
+            "routers": rates(tally, routers, self.seconds),
+            "controllers": rates(tally, list(fleet.controllers), self.seconds),
             "kinds": {
-                k: {
-                    "messages": round(n / self.seconds / len(ends), 2),
-                    "bytes": round((b + HEADER * n) / self.seconds / len(ends), 1),
+                kind: {
+                    "messages": round(messages / self.seconds / len(routers), 2),
+                    "bytes": round((size + HEADER_BYTES * messages) / self.seconds / len(routers), 1),
                 }
-                for k, (n, b) in tally.kinds(set(ends)).items()
+                for kind, (messages, size) in tally.kinds(set(routers)).items()
             },
             "tooLong": tally.long,
-            "falselySuspected": sum(d.suspect for d in false),
-            "falselyDead": sum(d.dead for d in false),
-            "calls": sum(r.calls for r in f.routers.values()),
-            "refused": sum(r.refused for r in f.routers.values()),
+            "falselySuspected": sum(beliefs.suspect for beliefs in false_beliefs),
+            "falselyDead": sum(beliefs.dead for beliefs in false_beliefs),
+            "calls": sum(router.calls for router in fleet.routers.values()),
+            "refused": sum(router.rejected for router in fleet.routers.values()),
         }
 
-    async def _change(self):
-        tally, f, all_ms = self.loop.net.tally, self.fleet, []
+    async def _measure_changes(self):
+        tally, fleet, delays_s = self.loop.net.tally, self.fleet, []
         tally.clear()
-        begun = monotonic()
+        started = monotonic()
         for i in range(self.changes):
-            due = i / self.rate - (monotonic() - begun).total_seconds()
-            await asyncio.sleep(max(0.0, due))
-            all_ms += await self._one_change(i)
-        took = (monotonic() - begun).total_seconds() or 1
-        self.out["change"] = {
-            "delayMs": three(all_ms),
-            "seconds": round(took, 2),
-            "routers": rates(tally, list(f.routers), took),
-            "controllers": rates(tally, list(f.controllers), took),
+            wait_s = i / self.rate - (monotonic() - started).total_seconds()
+            await asyncio.sleep(max(0.0, wait_s))
+            delays_s += await self._apply_change(i)
+        elapsed_s = (monotonic() - started).total_seconds() or 1
+        self.figures["change"] = {
+            "delayMs": delay_summary(delays_s),
+            "seconds": round(elapsed_s, 2),
+            "routers": rates(tally, list(fleet.routers), elapsed_s),
+            "controllers": rates(tally, list(fleet.controllers), elapsed_s),
         }
 
-    async def _one_change(self, i):
-        f = self.fleet
+    async def _apply_change(self, index):
+        fleet = self.fleet
         for _ in range(100):
-            v = f.revision + 1
-            acked = await f.change(patch(v, i % self.size.routes, 500 + v))
-            if acked is not None:
-                return await f.spread(acked, v, self.bounds["configApplyMs"] / 500)
+            revision = fleet.revision + 1
+            acknowledged_at = await fleet.change(route_change(revision, index % self.size.routes, 500 + revision))
+            if acknowledged_at is not None:
+                return await fleet.propagation_delays(acknowledged_at, revision, self.bounds["configApplyMs"] / 500)
             await asyncio.sleep(0.1)
         return [None]
 
-    async def _relist(self):
-        tally, f = self.loop.net.tally, self.fleet
+    async def _replace_listed_runner(self):
+        tally, fleet = self.loop.net.tally, self.fleet
         tally.clear()
-        new = f"i-00000-{1}"
-        for c in f.controllers.values():
-            c.poller.listing = entries(self.size.runners, self.size.zones, 1, self.size.slots)
-        begun = monotonic()
-        while (monotonic() - begun).total_seconds() < 30 and not all(
-            new in r.backends.by_id for r in f.routers.values()
+        new_id = f"i-00000-{1}"
+        for controller in fleet.controllers.values():
+            controller.poller.listing = entries(self.size.runners, self.size.zones, 1, self.size.slots)
+        started = monotonic()
+        while (monotonic() - started).total_seconds() < 30 and not all(
+            new_id in router.backends.by_id for router in fleet.routers.values()
         ):
             await asyncio.sleep(0.05)
-        took = (monotonic() - begun).total_seconds()
-        self.out["list"] = {
-            "lastMs": round(took * 1000),
+        elapsed_s = (monotonic() - started).total_seconds()
+        self.figures["list"] = {
+            "lastMs": round(elapsed_s * 1000),
             "changeBytes": self._kind_bytes("Change"),
-            "whole": all(new in r.backends.by_id for r in f.routers.values()),
+            "whole": all(new_id in router.backends.by_id for router in fleet.routers.values()),
         }
 
-    def _kind_bytes(self, what):
-        return self.loop.net.tally.kinds().get(what, (0, 0))[1]
+    def _kind_bytes(self, kind):
+        return self.loop.net.tally.kinds().get(kind, (0, 0))[1]
 
-    async def _noticed(self, keys, most):
-        """Seconds until each of some observers believed each of some gone."""
-        begun, seen = monotonic(), {}
-        watch = [(r, k) for r in self._observers() for k in keys]
-        while (monotonic() - begun).total_seconds() < most and len(seen) < len(watch):
+    async def _detection_delays(self, keys, timeout_s):
+        """Seconds until each of some observers removed each key or believed it dead; None where none did in time."""
+        started, detected = monotonic(), {}
+        pairs = [(router, key) for router in self._observers() for key in keys]
+        while (monotonic() - started).total_seconds() < timeout_s and len(detected) < len(pairs):
             await asyncio.sleep(0.1)
-            for i, (r, k) in enumerate(watch):
-                e = r.swim.table.get(k)
-                if i not in seen and (e is None or e.peer.state == DEAD):
-                    seen[i] = (monotonic() - begun).total_seconds()
-        return [seen.get(i) for i in range(len(watch))]
-
-    async def _deaths(self):
-        f = self.fleet
-        gone = self.rng.sample(list(f.routers), max(1, self.size.nodes // 50))
-        keys = [f.routers[ip].key for ip in gone]
-        await f.kill(gone)
-        self.out["deaths"] = {
-            "killed": len(gone),
-            "noticedMs": three(await self._noticed(keys, 8 * self.bounds["contactMs"] / 1000)),
+            for i, (router, key) in enumerate(pairs):
+                entry = router.swim.table.get(key)
+                if i not in detected and (entry is None or entry.peer.state == DEAD):
+                    detected[i] = (monotonic() - started).total_seconds()
+        return [detected.get(i) for i in range(len(pairs))]
+
+    async def _kill_routers(self):
+        fleet = self.fleet
+        killed = self.rng.sample(list(fleet.routers), max(1, self.size.nodes // 50))
+        keys = [fleet.routers[ip].key for ip in killed]
+        await fleet.kill(killed)
+        self.figures["deaths"] = {
+            "killed": len(killed),
+            "noticedMs": delay_summary(await self._detection_delays(keys, 8 * self.bounds["contactMs"] / 1000)),
         }
 
-    async def _parted(self, cut_s=20):
-        """The first region loses the others, then finds them again."""
-        f, net, s = self.fleet, self.loop.net, self.size
-        every = [*f.routers, *f.controllers]
-        zones = {ip: (f.routers.get(ip) or f.controllers[ip]).settings.zone for ip in every}
-        away = {ip for ip in every if s.region(zones[ip]) == "region-1"}
-        net.cut(away, set(every) - away)
-        await asyncio.sleep(cut_s)
+    async def _partition_regions(self, duration_s=20):
+        """Separates the first region from the others, changes the configuration, and heals the partition."""
+        fleet, net, size = self.fleet, self.loop.net, self.size
+        hosts = [*fleet.routers, *fleet.controllers]
+        zones = {ip: (fleet.routers.get(ip) or fleet.controllers[ip]).settings.zone for ip in hosts}
+        isolated = {ip for ip in hosts if size.region(zones[ip]) == "region-1"}
+        net.cut(isolated, set(hosts) - isolated)
+        await asyncio.sleep(duration_s)
         net.tally.clear()
-        delays = dict(zip(f.routers, await self._one_change(0), strict=True))
-        sides = {"cutOff": [ip for ip in f.routers if ip in away], "rest": [ip for ip in f.routers if ip not in away]}
-        self.out["parted"] = {
-            "seconds": cut_s,
+        delays = dict(zip(fleet.routers, await self._apply_change(0), strict=True))
+        sides = {
+            "cutOff": [ip for ip in fleet.routers if ip in isolated],
+            "rest": [ip for ip in fleet.routers if ip not in isolated],
+        }
+        self.figures["parted"] = {
+            "seconds": duration_s,
             **{
-                k: {
-                    "routers": len(v),
-                    "controllers": sum(c in away for c in f.controllers)
-                    if k == "cutOff"
-                    else sum(c not in away for c in f.controllers),
-                    "changeMs": three([delays[ip] for ip in v]),
-                    "ready": sum(f.routers[ip].ready() for ip in v),
-                    "nodesSeen": sorted({f.routers[ip].nodes() for ip in v}),
-                    "dividedBy": sorted({f.routers[ip].fleet_size.divisor for ip in v}),
+                side: {
+                    "routers": len(ips),
+                    "controllers": sum(ip in isolated for ip in fleet.controllers)
+                    if side == "cutOff"
+                    else sum(ip not in isolated for ip in fleet.controllers),
+                    "changeMs": delay_summary([delays[ip] for ip in ips]),
+                    "ready": sum(fleet.routers[ip].ready() for ip in ips),
+                    "nodesSeen": sorted({fleet.routers[ip].nodes() for ip in ips}),
+                    "dividedBy": sorted({fleet.routers[ip].fleet_size.divisor for ip in ips}),
                 }
-                for k, v in sides.items()
+                for side, ips in sides.items()
             },
         }
         net.cuts.clear()
-        begun = monotonic()
-        while (monotonic() - begun).total_seconds() < 90 and not all(
-            f._has(r, f.revision) and r.nodes() == s.nodes for r in f.routers.values()
+        started = monotonic()
+        while (monotonic() - started).total_seconds() < 90 and not all(
+            fleet._has_revision(router, fleet.revision) and router.nodes() == size.nodes
+            for router in fleet.routers.values()
         ):
             await asyncio.sleep(0.1)
-        whole = all(r.nodes() == s.nodes for r in f.routers.values())
-        self.out["parted"]["healedMs"] = round((monotonic() - begun).total_seconds() * 1000) if whole else None
+        healed = all(router.nodes() == size.nodes for router in fleet.routers.values())
+        self.figures["parted"]["healedMs"] = round((monotonic() - started).total_seconds() * 1000) if healed else None
 
-    async def _zone(self):
-        f, tally = self.fleet, self.loop.net.tally
-        gone = [ip for ip, r in f.routers.items() if r.settings.zone == self.size.zone(0)]
-        keys = [f.routers[ip].key for ip in gone][:10]
+    async def _lose_zone(self):
+        fleet, tally = self.fleet, self.loop.net.tally
+        killed = [ip for ip, router in fleet.routers.items() if router.settings.zone == self.size.zone(0)]
+        keys = [fleet.routers[ip].key for ip in killed][:10]
         self.loop.net.off.add(self.size.controller(0))
-        await f.kill(gone)
-        watch = asyncio.ensure_future(self._noticed(keys, 10 * self.bounds["contactMs"] / 1000))
-        worst, changed = None, asyncio.ensure_future(self._one_change(0))
-        begun = monotonic()
-        while not watch.done() or not changed.done():
+        await fleet.kill(killed)
+        detection = asyncio.ensure_future(self._detection_delays(keys, 10 * self.bounds["contactMs"] / 1000))
+        worst, change = None, asyncio.ensure_future(self._apply_change(0))
+        started = monotonic()
+        while not detection.done() or not change.done():
             tally.clear()
             await asyncio.sleep(1.0)
-            now = rates(tally, list(f.routers), 1.0)
-            worst = now if worst is None or now["mostOut"]["bytes"] > worst["mostOut"]["bytes"] else worst
-        self.out["zone"] = {
-            "lost": len(gone),
-            "noticedMs": three(watch.result()),
-            "changeMs": three(changed.result()),
+            current = rates(tally, list(fleet.routers), 1.0)
+            worst = current if worst is None or current["mostOut"]["bytes"] > worst["mostOut"]["bytes"] else worst
+        self.figures["zone"] = {
+            "lost": len(killed),
+            "noticedMs": delay_summary(detection.result()),
+            "changeMs": delay_summary(change.result()),
             "worstSecond": worst,
-            "tookMs": round((monotonic() - begun).total_seconds() * 1000),
+            "tookMs": round((monotonic() - started).total_seconds() * 1000),
         }
 
 
-def point(size, load=DEFAULT_LOAD, seed=1, loss=0.0005, **kw):
-    """Plays one point; the same seed gives the same figures.
+def point(size, load=DEFAULT_LOAD, seed=1, loss=0.0005, **options):
+    """Measures one point; the same seed gives the same figures.
 
     >>> from .fleet import Size
-    >>> point(Size(nodes=4, runners=4, controllers=3, zones=2), seconds=1, changes=1, troubles=False)["change"]["delayMs"]["never"]
+    >>> point(Size(nodes=4, runners=4, controllers=3, zones=2), seconds=1, changes=1, faults=False)["change"]["delayMs"]["never"]
     0
     """
-    with world(seed, spans(size), loss) as loop:
-        return loop.run_until_complete(Point(loop, size, load, seed, **kw).play())
+    with world(seed, link_delays(size), loss) as loop:
+        return loop.run_until_complete(Point(loop, size, load, seed, **options).play())
--- a/simulator/simulated_router.py
+++ b/simulator/simulated_router.py
@@ -1,8 +1,9 @@
-"""A hollow router: all that a router knows and tells, with made-up calls in place of traffic.
+"""A router without a front end that generates its own calls.
 
-It is the router's own ``RouterNode`` service: membership, feed, counts, parts of the
-whole, budgets, and whatever tier of relays belongs to it. It has no front, so
-it skips requests, replies, connections to runners and the choice among them.
+``SimulatedRouter`` runs the router's own ``RouterNode`` service: membership,
+feed, in-flight counts, prefix placements, budgets and the relay tier. It has
+no front end, so requests, replies, connections to runners and the choice among
+runners are left out. ``Load`` describes the calls that it generates.
 """
 
 import asyncio
@@ -22,11 +23,12 @@
 
 @define(frozen=True, slots=True)
 class Load:
-    """The made-up calls of one router.
+    """The calls that one router generates.
 
-    ``rate``: calls begun a second. ``hold``: seconds that each lasts. ``long``:
-    the share of calls with a long shared part. ``runners``: on how many of the
-    listed runners its calls go (0: all).
+    ``rate``: calls started per second. ``hold``: mean duration of a call, in
+    seconds. ``long``: fraction of calls with a long shared prefix. ``runners``:
+    number of listed runners that the router sends calls to (0: all).
+    ``prefixes``: number of distinct shared prefixes.
     """
 
     rate: float = 10.0
@@ -40,8 +42,8 @@
 
 
 @define(frozen=True, slots=True)
-class Ask:
-    """What a line needs to know of a made-up call."""
+class SimulatedCall:
+    """The fields of a generated call that the admission queue reads."""
 
     parts: tuple
     route: object
@@ -49,75 +51,75 @@
 
     @property
     def priority(self):
-        """That of its route: made-up calls have no tenant."""
+        """The priority of the route; generated calls have no tenant."""
         return self.route.priority
 
 
-class HollowRouter(RouterNode):
-    """A router without a front."""
+class SimulatedRouter(RouterNode):
+    """A router without a front end."""
 
-    def __init__(self, up, load, seed=0):
-        super().__init__(up)
-        self.load, self.luck = load, random.Random(seed)
-        self.seen, self.calls, self.refused, self.now_in = {}, 0, 0, 0
-        self.ends = set()
+    def __init__(self, settings, load, seed=0):
+        super().__init__(settings)
+        self.load, self.rng = load, random.Random(seed)
+        self.revision_times, self.calls, self.rejected, self.calls_in_flight = {}, 0, 0, 0
+        self.call_tasks = set()
 
     def update_backends(self):
-        """Notes when a revision came into force here."""
+        """Also records when a configuration revision was first applied here."""
         super().update_backends()
         if self.configuration is not None:
-            self.seen.setdefault(self.configuration.revision, monotonic())
+            self.revision_times.setdefault(self.configuration.revision, monotonic())
 
     @Service.task
-    async def _call_often(self):
+    async def _generate_calls(self):
         await self.prefixes_known.wait()
         while not self.should_stop:
-            await asyncio.sleep(self.luck.expovariate(self.load.rate) if self.load.rate else 3600.0)
+            await asyncio.sleep(self.rng.expovariate(self.load.rate) if self.load.rate else 3600.0)
             if self.ready():
-                t = asyncio.ensure_future(self._call())
-                self.ends.add(t)
-                t.add_done_callback(self.ends.discard)
+                task = asyncio.ensure_future(self._run_call())
+                self.call_tasks.add(task)
+                task.add_done_callback(self.call_tasks.discard)
 
     async def on_stop(self):
-        for t in list(self.ends):
-            t.cancel()
+        for task in list(self.call_tasks):
+            task.cancel()
         await super().on_stop()
 
-    def _ask(self):
-        pool = self.configuration.routes[:1]
-        n = 2048 if self.luck.random() < self.load.long else 200
-        parts = ((self.luck.randrange(self.load.prefixes), n), (self.luck.getrandbits(60), 300))
-        return Ask(parts, pool[0], monotonic() + pool[0].timeout)
+    def _make_call(self):
+        routes = self.configuration.routes[:1]
+        shared_tokens = 2048 if self.rng.random() < self.load.long else 200
+        parts = ((self.rng.randrange(self.load.prefixes), shared_tokens), (self.rng.getrandbits(60), 300))
+        return SimulatedCall(parts, routes[0], monotonic() + routes[0].timeout)
 
-    async def _call(self):
-        ask = self._ask()
-        service = ask.route.split[0][0]
+    async def _run_call(self):
+        call = self._make_call()
+        service = call.route.split[0][0]
         self.calls += 1
         self.budget(service).on_request(monotonic())
-        place = await self.queues.enter(service, ask)
-        if isinstance(place, Rejected):
-            self.refused += 1
+        admitted = await self.queues.enter(service, call)
+        if isinstance(admitted, Rejected):
+            self.rejected += 1
             return
         try:
-            await self._hold(service, ask)
+            await self._run_on_backend(service, call)
         finally:
-            self.queues.leave(service, place.id)
+            self.queues.leave(service, admitted.id)
 
-    async def _hold(self, service, ask):
-        posts = self.backends.of(service)
-        if not posts:
+    async def _run_on_backend(self, service, call):
+        backends = self.backends.of(service)
+        if not backends:
             return
-        most = self.load.runners or len(posts)
-        post = posts[self.luck.randrange(min(most, len(posts)))]
-        tokens = sum(n for _, n in ask.parts)
-        slot = self.in_flight.acquire(post.id, buckets_for(ask.route, post.slots), monotonic(), tokens)
+        limit = self.load.runners or len(backends)
+        backend = backends[self.rng.randrange(min(limit, len(backends)))]
+        tokens = sum(n for _, n in call.parts)
+        slot = self.in_flight.acquire(backend.id, buckets_for(call.route, backend.slots), monotonic(), tokens)
         if slot is None:
-            self.refused += 1
+            self.rejected += 1
             return
-        self.gossip.on_prompt_sent(post, ask.parts[:-1])
+        self.gossip.on_prompt_sent(backend, call.parts[:-1])
         try:
             await asyncio.sleep(min(0.3, self.load.hold / 4))
             self.gossip.on_prefilled(slot)
-            await asyncio.sleep(self.luck.expovariate(1 / self.load.hold))
+            await asyncio.sleep(self.rng.expovariate(1 / self.load.hold))
         finally:
             slot.release(monotonic())
--- a/simulator/tally.py
+++ b/simulator/tally.py
@@ -1,14 +1,15 @@
-"""Counts messages and bytes, per node and kind of record."""
+"""Counts messages and bytes per node and kind of record."""
 
 from attrs import define, field
 
 from sparloom.codec.records import _BY_TAG, MAGIC
 
-HEADER = 28
+# IPv4 and UDP headers of a datagram, added to its payload.
+HEADER_BYTES = 28
 
 
 def kind(raw, at=0):
-    """The name of the record that starts at a place in some bytes.
+    """The name of the record that starts at an offset of some bytes, or "?".
 
     >>> from sparloom.dynamic_timeout import PrefixPlacement
     >>> from sparloom.codec import pack
@@ -21,7 +22,10 @@
 
 @define(slots=True)
 class Tally:
-    """Messages and payload bytes sent, by node and kind; and those received, by node.
+    """Messages and payload bytes sent, by node and kind, and received, by node.
+
+    ``lost``: datagrams dropped on the way. ``long``: datagrams not sent because
+    they exceed the maximum size.
 
     >>> t = Tally(); t.sent("a", "Ping", 70); t.sent("a", "Ping", 30); t.kinds()
     {'Ping': (2, 100)}
@@ -33,49 +37,53 @@
     long: int = 0
 
     def sent(self, node, what, size):
-        """Counts a message that a node sent.
+        """Counts a message that a node sent; ``what`` is its kind.
 
         >>> t = Tally(); t.sent("a", "Ping", 70); t.node("a")
         (1, 70, 0, 0)
         """
-        got = self.out.setdefault(node, {}).setdefault(what, [0, 0])
-        got[0] += 1
-        got[1] += size
+        counts = self.out.setdefault(node, {}).setdefault(what, [0, 0])
+        counts[0] += 1
+        counts[1] += size
 
     def received(self, node, size):
-        """Counts a message that reached a node.
+        """Counts a message that a node received.
 
         >>> t = Tally(); t.received("a", 70); t.node("a")
         (0, 0, 1, 70)
         """
-        got = self.into.setdefault(node, [0, 0])
-        got[0] += 1
-        got[1] += size
+        counts = self.into.setdefault(node, [0, 0])
+        counts[0] += 1
+        counts[1] += size
 
     def node(self, node):
-        """One node's messages and bytes out, and in.
+        """Messages and bytes that one node sent, then those that it received.
 
         >>> Tally().node("a")
         (0, 0, 0, 0)
         """
-        out = self.out.get(node, {}).values()
-        return (sum(n for n, _ in out), sum(b for _, b in out), *self.into.get(node, (0, 0)))
+        sent = self.out.get(node, {}).values()
+        return (
+            sum(messages for messages, _ in sent),
+            sum(size for _, size in sent),
+            *self.into.get(node, (0, 0)),
+        )
 
     def kinds(self, nodes=None):
-        """Messages and bytes sent per kind, of some nodes or all.
+        """Messages and bytes sent per kind, by the given nodes or by all.
 
         >>> Tally().kinds()
         {}
         """
-        found = {}
-        for node, by in self.out.items():
-            for what, (n, b) in by.items() if nodes is None or node in nodes else ():
-                old = found.get(what, (0, 0))
-                found[what] = (old[0] + n, old[1] + b)
-        return dict(sorted(found.items()))
+        totals = {}
+        for node, counts in self.out.items():
+            for what, (messages, size) in counts.items() if nodes is None or node in nodes else ():
+                old = totals.get(what, (0, 0))
+                totals[what] = (old[0] + messages, old[1] + size)
+        return dict(sorted(totals.items()))
 
     def clear(self):
-        """Begins anew.
+        """Resets all counts to zero.
 
         >>> Tally().clear()
         """
--- a/tests/simulator/test_scale.py
+++ b/tests/simulator/test_scale.py
@@ -1,4 +1,4 @@
-"""The emulator's own parts, and a quick point of the scale run against the page's bound."""
+"""Tests of the scale run's parts, and a small point against the traffic bound in docs/CAPACITY.md."""
 
 import asyncio
 import os
@@ -14,83 +14,91 @@
 from tests.support.paths import ROOT
 
 
-def bound():
-    """The bound that docs/CAPACITY.md states for the quick point: mean and busiest, messages and bytes."""
-    with open(os.path.join(ROOT, "docs", "CAPACITY.md"), encoding="utf-8") as f:
-        got = re.search(
+def documented_bound():
+    """The bound in docs/CAPACITY.md for the small point: messages and bytes of the mean and of the busiest node."""
+    with open(os.path.join(ROOT, "docs", "CAPACITY.md"), encoding="utf-8") as file:
+        match = re.search(
             r"bound of the quick point: ([\d,]+) messages and ([\d,]+) bytes .* mean, ([\d,]+) and ([\d,]+) .* busiest",
-            f.read(),
+            file.read(),
         )
-    return [int(g.replace(",", "")) for g in got.groups()]
-
-
-class Quick(unittest.TestCase):
-    def test_25_nodes_stay_under_the_bound_that_the_page_states(self):
-        p = point(Size(nodes=25), Load(rate=2.0, hold=5.0), 1, seconds=3, changes=2, troubles=False)
-        q = p["quiet"]["routers"]
-        sent = [q["meanOut"]["messages"], q["meanOut"]["bytes"], q["mostOut"]["messages"], q["mostOut"]["bytes"]]
-        over = [(s, b) for s, b in zip(sent, bound(), strict=False) if s > b]
-        self.assertEqual(over, [], "messages and bytes a node and second: mean, then busiest")
-        self.assertEqual(p["change"]["delayMs"]["never"], 0)
-        self.assertTrue(p["list"]["whole"])
-        self.assertEqual((p["quiet"]["falselyDead"], p["quiet"]["tooLong"]), (0, 0))
-        self.assertGreater(p["quiet"]["calls"], 0)
+    return [int(group.replace(",", "")) for group in match.groups()]
+
+
+class SmallPoint(unittest.TestCase):
+    def test_traffic_of_25_nodes_stays_within_the_documented_bound(self):
+        result = point(Size(nodes=25), Load(rate=2.0, hold=5.0), 1, seconds=3, changes=2, faults=False)
+        rates = result["quiet"]["routers"]
+        sent = [
+            rates["meanOut"]["messages"],
+            rates["meanOut"]["bytes"],
+            rates["mostOut"]["messages"],
+            rates["mostOut"]["bytes"],
+        ]
+        over = [(value, bound) for value, bound in zip(sent, documented_bound(), strict=False) if value > bound]
+        self.assertEqual(over, [], "messages and bytes per node and second: mean, then busiest")
+        self.assertEqual(result["change"]["delayMs"]["never"], 0)
+        self.assertTrue(result["list"]["whole"])
+        self.assertEqual((result["quiet"]["falselyDead"], result["quiet"]["tooLong"]), (0, 0))
+        self.assertGreater(result["quiet"]["calls"], 0)
 
     def test_the_same_seed_gives_the_same_figures(self):
-        some = [
-            point(Size(nodes=4, runners=4, controllers=3, zones=2), seed=s, seconds=1, changes=1) for s in (3, 3, 4)
+        results = [
+            point(Size(nodes=4, runners=4, controllers=3, zones=2), seed=seed, seconds=1, changes=1)
+            for seed in (3, 3, 4)
         ]
-        for p in some:
-            del p["emulatorCpuS"]
-        self.assertEqual(some[0], some[1])
-        self.assertNotEqual(some[0]["quiet"], some[2]["quiet"])
+        for result in results:
+            del result["emulatorCpuS"]
+        self.assertEqual(results[0], results[1])
+        self.assertNotEqual(results[0]["quiet"], results[2]["quiet"])
 
 
-class Echo(asyncio.DatagramProtocol):
-    def __init__(self, got):
-        self.got = got
+class RecordingProtocol(asyncio.DatagramProtocol):
+    def __init__(self, received):
+        self.received = received
 
     def connection_made(self, transport):
         self.transport = transport
 
     def datagram_received(self, data, addr):
-        self.got.append((data, addr))
+        self.received.append((data, addr))
 
 
-class Virtual(unittest.TestCase):
+class SimulatedLoop(unittest.TestCase):
     def setUp(self):
-        self.loop = Loop(random.Random(1), lambda a, b: 0.01)
+        self.loop = Loop(random.Random(1), lambda source, destination: 0.01)
         self.net = self.loop.net
         self.addCleanup(end, self.loop)
 
-    def run_on(self, host, coro):
-        async def go():
+    def run_on(self, host, coroutine):
+        async def run():
             HOST.set(host)
-            return await coro
+            return await coroutine
 
-        return self.loop.run_until_complete(self.loop.create_task(go()))
+        return self.loop.run_until_complete(self.loop.create_task(run()))
 
-    def open(self, host, got):
-        return self.run_on(host, self.loop.create_datagram_endpoint(lambda: Echo(got), local_addr=(host, 1)))[1]
+    def open_endpoint(self, host, received):
+        return self.run_on(
+            host, self.loop.create_datagram_endpoint(lambda: RecordingProtocol(received), local_addr=(host, 1))
+        )[1]
 
-    def test_datagrams_arrive_later_and_not_through_a_cut(self):
-        got = []
-        a, _ = self.open("a", []), self.open("b", got)
-        a.transport.sendto(b"one", ("b", 1))
-        self.assertEqual(got, [])
+    def test_datagrams_arrive_after_the_link_delay_and_not_across_a_partition(self):
+        received = []
+        sender, _ = self.open_endpoint("a", []), self.open_endpoint("b", received)
+        sender.transport.sendto(b"one", ("b", 1))
+        self.assertEqual(received, [])
         self.loop.run_until_complete(asyncio.sleep(0.05))
-        self.assertEqual(got, [(b"one", ("a", 1))])
+        self.assertEqual(received, [(b"one", ("a", 1))])
         self.net.cut(["a"], ["b"])
-        a.transport.sendto(b"two", ("b", 1))
+        sender.transport.sendto(b"two", ("b", 1))
         self.loop.run_until_complete(asyncio.sleep(0.05))
-        self.assertEqual((len(got), self.net.tally.lost, self.net.tally.node("a")[:2]), (1, 1, (2, 6)))
+        self.assertEqual((len(received), self.net.tally.lost, self.net.tally.node("a")[:2]), (1, 1, (2, 6)))
 
-    def test_a_datagram_too_long_is_not_sent(self):
-        got = []
-        a, _ = self.open("a", []), self.open("b", got)
-        a.transport.sendto(bytes(65508), ("b", 1))
+    def test_a_datagram_over_the_maximum_size_is_not_sent(self):
+        received = []
+        sender, _ = self.open_endpoint("a", []), self.open_endpoint("b", received)
+        sender.transport.sendto(bytes(65508), ("b", 1))
         self.loop.run_until_complete(asyncio.sleep(0.05))
-        self.assertEqual((got, self.net.tally.long), ([], 1))
+        self.assertEqual((received, self.net.tally.long), ([], 1))
 
     def serve(self, host, port):
         async def echo(reader, writer):
@@ -99,31 +107,31 @@
 
         return self.run_on(host, asyncio.start_server(echo, host, port))
 
-    def test_a_connection_carries_bytes_in_order_and_ends(self):
+    def test_a_connection_delivers_bytes_in_order_and_closes(self):
         self.serve("b", 5)
 
-        async def talk():
+        async def exchange():
             reader, writer = await asyncio.open_connection("b", 5)
             for i in range(50):
                 writer.write(bytes([i]))
-            got = await reader.readexactly(50)
+            echoed = await reader.readexactly(50)
             writer.close()
-            return got, await reader.read()
+            return echoed, await reader.read()
 
-        got, rest = self.run_on("a", talk())
-        self.assertEqual((got, rest), (bytes(range(50)), b""))
+        echoed, rest = self.run_on("a", exchange())
+        self.assertEqual((echoed, rest), (bytes(range(50)), b""))
 
-    def test_nobody_there_refuses_and_a_lost_machine_hangs(self):
+    def test_connecting_is_refused_without_a_listener_and_times_out_at_a_failed_host(self):
         with self.assertRaises(ConnectionRefusedError):
             self.run_on("a", asyncio.open_connection("b", 6))
         self.net.off.add("b")
         with self.assertRaises(TimeoutError):
             self.run_on("a", asyncio.wait_for(asyncio.open_connection("b", 5), 30))
 
-    def test_writing_to_a_lost_machine_breaks_off(self):
+    def test_writing_to_a_failed_host_resets_the_connection(self):
         self.serve("b", 5)
 
-        async def talk():
+        async def exchange():
             reader, writer = await asyncio.open_connection("b", 5)
             self.net.off.add("b")
             writer.write(b"x")
@@ -132,70 +140,70 @@
             except ConnectionResetError:
                 return self.loop.time() - START
 
-        self.assertLess(self.run_on("a", talk()), 3)
+        self.assertLess(self.run_on("a", exchange()), 3)
 
-    def test_waiting_for_nothing_is_told(self):
+    def test_waiting_without_pending_events_raises(self):
         with self.assertRaises(Stuck):
             self.loop.run_until_complete(self.loop.create_future())
 
 
-class Plans(unittest.TestCase):
-    def refused(self, d, text):
-        self.assertIn(text, from_dict(d).failure())
+class PlanValidation(unittest.TestCase):
+    def assert_invalid(self, document, text):
+        self.assertIn(text, from_dict(document).failure())
 
-    def test_faults_are_named(self):
-        self.refused({}, "points")
-        self.refused({"points": []}, "at least one")
-        self.refused({"points": [{"nodes": 2001}]}, "1 to 2000")
-        self.refused({"points": [{"nodes": 5, "zonez": 1}]}, "zonez")
-        self.refused({"points": [{"nodes": 5}], "changes": {"perS": 0}}, "above 0")
-        self.refused({"points": [{"nodes": 5}], "seed": True}, "whole number")
-        self.refused({"points": [{"nodes": 1}], "realRouters": 2}, "fewer than realRouters")
+    def test_error_messages_name_the_fault(self):
+        self.assert_invalid({}, "points")
+        self.assert_invalid({"points": []}, "at least one")
+        self.assert_invalid({"points": [{"nodes": 2001}]}, "1 to 2000")
+        self.assert_invalid({"points": [{"nodes": 5, "zonez": 1}]}, "zonez")
+        self.assert_invalid({"points": [{"nodes": 5}], "changes": {"perS": 0}}, "above 0")
+        self.assert_invalid({"points": [{"nodes": 5}], "seed": True}, "whole number")
+        self.assert_invalid({"points": [{"nodes": 1}], "realRouters": 2}, "fewer than realRouters")
 
-    def test_every_plan_of_the_repository_is_sound(self):
+    def test_every_plan_in_the_repository_is_valid(self):
         import tomllib
 
         folder = os.path.join(ROOT, "simulator", "plans")
         for name in sorted(os.listdir(folder)):
-            with self.subTest(name), open(os.path.join(folder, name), "rb") as f:
-                self.assertTrue(from_dict(tomllib.load(f)).unwrap().sizes)
+            with self.subTest(name), open(os.path.join(folder, name), "rb") as file:
+                self.assertTrue(from_dict(tomllib.load(file)).unwrap().sizes)
 
     def test_addresses_stay_on_loopback(self):
         size = Size(nodes=2000, controllers=9)
-        every = {size.router(i) for i in range(2000)} | {size.controller(i) for i in range(9)}
-        self.assertEqual(len(every), 2009)
-        self.assertTrue(all(a.startswith("127.") for a in every))
+        addresses = {size.router(i) for i in range(2000)} | {size.controller(i) for i in range(9)}
+        self.assertEqual(len(addresses), 2009)
+        self.assertTrue(all(address.startswith("127.") for address in addresses))
 
 
-class Tools(unittest.TestCase):
-    def test_a_bent_curve_is_called_so(self):
+class FitAndChildren(unittest.TestCase):
+    def test_a_curve_is_not_called_straight(self):
         from simulator.report import Fit
 
         self.assertTrue(Fit.of([25, 50, 100], [30, 55, 104]).straight)
         self.assertFalse(Fit.of([25, 50, 100, 200], [25, 100, 400, 1600]).straight)
-        self.assertFalse(Fit.of([25, 50], [1, 2]).straight, "two sizes show no line")
+        self.assertFalse(Fit.of([25, 50], [1, 2]).straight, "two sizes are too few for a straight curve")
         self.assertIsNone(Fit.of([25, 25], [1, 2]))
 
-    def test_no_child_outlives_its_point(self):
+    def test_no_child_process_outlives_its_point(self):
         import tempfile
 
         import psutil
 
         from simulator.children import Children
 
-        async def go(folder):
-            kids = Children(folder, 2)
-            host = await kids.start("hollow", ["simulator.host"], asked=True)
-            other = await kids.start("idle", ["asyncio"])
+        async def start_and_stop(folder):
+            children = Children(folder, 2)
+            host = await children.start("hollow", ["simulator.host"], takes_commands=True)
+            other = await children.start("idle", ["asyncio"])
             with self.assertRaises(RuntimeError):
-                await kids.start("hollow", ["simulator.host"])
-            self.assertEqual((await host.ask("figures"))["nodes"], 0)
+                await children.start("hollow", ["simulator.host"])
+            self.assertEqual((await host.request("figures"))["nodes"], 0)
             with self.assertRaises(RuntimeError):
-                await host.ask("start", startups=[{"ipAddress": "10.0.0.1"}], load={}, seed=1)
-            pids = [host.proc.pid, other.proc.pid]
-            await kids.end()
+                await host.request("start", startups=[{"ipAddress": "10.0.0.1"}], load={}, seed=1)
+            pids = [host.process.pid, other.process.pid]
+            await children.stop_all()
             return pids
 
         with tempfile.TemporaryDirectory() as folder:
-            pids = asyncio.run(go(folder))
-        self.assertFalse(any(psutil.pid_exists(p) for p in pids))
+            pids = asyncio.run(start_and_stop(folder))
+        self.assertFalse(any(psutil.pid_exists(pid) for pid in pids))
