--- a/simulator/soak/duties.py
+++ b/simulator/soak/duties.py
@@ -114,7 +114,7 @@
                 self._ends_at = asyncio.get_running_loop().time() + self.seconds
                 clients = [self._client(http, number) for number in range(6)]
                 await asyncio.gather(self._inject_faults(), self._revoke_keys(http), *clients)
-                self.platform.answer_s = self.platform.late_s = 0.0
+                self.platform.response_delay_s = self.platform.late_s = 0.0
                 self.platform.duty_statuses = []
                 await self._check_usage_reports()
         finally:
@@ -190,9 +190,9 @@
             await node.terminate()
 
     async def _slow_platform(self) -> None:
-        self.platform.answer_s, self.platform.late_s = self.rng.choice(((1.5, 0.0), (0.0, 2.5), (0.5, 0.5)))
+        self.platform.response_delay_s, self.platform.late_s = self.rng.choice(((1.5, 0.0), (0.0, 2.5), (0.5, 0.5)))
         await asyncio.sleep(self.rng.uniform(0.5, 4.0))
-        self.platform.answer_s = self.platform.late_s = 0.0
+        self.platform.response_delay_s = self.platform.late_s = 0.0
 
     async def _reject_duty_calls(self) -> None:
         self.platform.duty_statuses += self.rng.choices((0, 429, 503), k=self.rng.randint(1, 8))
--- a/simulator/soak/jobs.py
+++ b/simulator/soak/jobs.py
@@ -340,6 +340,6 @@
             self.fleet.faults.append(
                 f"MIXED {job} is reported as completed with unfinished tasks: {', '.join(unfinished[:3])}"
             )
-        failures = self.log.most_failures(job)
+        failures = self.log.max_task_failures(job)
         if state == "failed" and failures < MAXIMUM_ATTEMPTS:
             self.fleet.faults.append(f"LOST {job} is reported as failed, and no task failed more than {failures} times")
