--- a/simulator/caller.py
+++ b/simulator/caller.py
@@ -5,7 +5,7 @@
 
 from attrs import define
 
-MOST_REDIRECTS = 2
+MAX_REDIRECTS = 2
 TEMPORARY_REDIRECT = 307
 
 
--- a/simulator/clients.py
+++ b/simulator/clients.py
@@ -1,6 +1,6 @@
 """HTTP clients on persistent connections, and the classification of their requests around a router shutdown.
 
-``Client`` sends requests and returns an ``Outcome`` for each. ``PlannedEnd``
+``Client`` sends requests and returns an ``Outcome`` for each. ``PlannedShutdown``
 decides which failed requests are acceptable during a graceful shutdown.
 ``Tally`` groups the outcomes.
 """
@@ -111,7 +111,7 @@
             await self.reader.readuntil(LAST_CHUNK)
         outcome.whole = True
 
-    async def next_end(self) -> None:
+    async def wait_until_closed(self) -> None:
         """Wait until the router closes the connection."""
         await self.reader.read()
         self.open = False
@@ -122,7 +122,7 @@
 
 
 @define(frozen=True, slots=True)
-class PlannedEnd:
+class PlannedShutdown:
     """A graceful shutdown of a router; decides which failed requests are acceptable during it.
 
     ``at``: when the router received SIGTERM, in event loop time. ``grace``: the grace period.
@@ -130,7 +130,7 @@
     ``accept_window_s``: for this many seconds after SIGTERM, requests may still be accepted and later aborted.
 
     >>> from datetime import timedelta
-    >>> end = PlannedEnd(10.0, timedelta(seconds=6))
+    >>> end = PlannedShutdown(10.0, timedelta(seconds=6))
     >>> end.allows_failure(Outcome("a", 12.0, sent=12.0, ended=15.5)), end.allows_failure(Outcome("a", 13.5, sent=13.5, ended=15.5))
     (True, False)
     """
@@ -171,7 +171,7 @@
     unread: list[Outcome] = field(factory=list)
     lost: list[Outcome] = field(factory=list)
 
-    def add(self, outcome: Outcome, forwarded: bool, end: PlannedEnd) -> None:
+    def add(self, outcome: Outcome, forwarded: bool, end: PlannedShutdown) -> None:
         """Add one request to its group."""
         if end.lost(outcome, forwarded):
             self.lost.append(outcome)
--- a/simulator/evacuations.py
+++ b/simulator/evacuations.py
@@ -12,7 +12,7 @@
 
 from attrs import define, field
 
-from .caller import MOST_REDIRECTS, call, redirected
+from .caller import MAX_REDIRECTS, call, redirected
 from .history import NEVER
 from .virtual import HOST
 
@@ -88,7 +88,7 @@
     async def _call(self, method, path):
         """Send one call and follow redirects; return the response, or None when there was none or it was dropped."""
         address = self.site.control(self.rng.choice(self.site.addresses))
-        for _ in range(MOST_REDIRECTS + 1):
+        for _ in range(MAX_REDIRECTS + 1):
             try:
                 async with asyncio.timeout(CALL_TIMEOUT_S):
                     answer = await call(address, method, path, b"", {})
--- a/simulator/fleet.py
+++ b/simulator/fleet.py
@@ -202,9 +202,9 @@
     def __init__(self, loop, size, load=DEFAULT_LOAD, bounds=BOUNDS):
         self.loop, self.size, self.load, self.bounds = loop, size, load, bounds
         self.controllers, self.routers, self.revision, self.boot_count = {}, {}, 0, 0
-        self.first_policy = configuration(1, size.routes, size.slots)
+        self.first_configuration = configuration(1, size.routes, size.slots)
 
-    async def _on(self, host, service):
+    async def _start_on(self, host, service):
         async def start():
             HOST.set(host)
             await service.start()
@@ -229,10 +229,10 @@
                 controller.settings, controller.consensus, controller.feed_server, controller.control_api.router_count
             )
             controller.poller.listing = self.listed()
-            await self._on(ip, controller)
+            await self._start_on(ip, controller)
         await asyncio.gather(*(self.boot(i, 2.0 * i / self.size.nodes) for i in range(self.size.nodes)))
         for _ in range(200):
-            if await self.change(self.first_policy, "PUT") is not None:
+            if await self.change(self.first_configuration, "PUT") is not None:
                 return
             await asyncio.sleep(0.1)
         raise RuntimeError("no controller acknowledged the first configuration")
@@ -247,7 +247,7 @@
         ip = self.size.router(i)
         self.boot_count += 1
         self.loop.net.off.discard(ip)
-        self.routers[ip] = await self._on(
+        self.routers[ip] = await self._start_on(
             ip, SimulatedRouter(self._startup_settings(ip, "router", i), self.load, self.boot_count)
         )
 
--- a/simulator/isolation.py
+++ b/simulator/isolation.py
@@ -17,7 +17,7 @@
 from sparloom.settings import from_dict
 
 from .fleet import SERVICE, Fleet, Size, entries, startup
-from .rivals import Books, CachingRunner, Clients, RequestCounts
+from .rivals import CacheRecords, CachingRunner, Clients, RequestCounts
 from .virtual import HOST, world
 
 SIZE = Size(nodes=6, runners=20, routes=0, zones=3, controllers=3, slots=16)
@@ -72,9 +72,9 @@
 class RivalFleet(Fleet):
     """Real routers that accept clients, in front of runners that cache prompts."""
 
-    def __init__(self, loop, isolated, books):
+    def __init__(self, loop, isolated, cache_records):
         super().__init__(loop, SIZE)
-        self.isolated, self.books = isolated, books
+        self.isolated, self.cache_records = isolated, cache_records
         self.member_settings = settings(ALL_MEMBERS[:3], KEYS[0])
         self.runners, self.incarnations, self.draining = {}, {}, None
 
@@ -90,7 +90,7 @@
         ip = self.size.router(i)
         self.incarnations[ip] = self.incarnations.get(ip, 0) + 1
         self.loop.net.off.discard(ip)
-        self.routers[ip] = await self._on(ip, Router(self._settings(ip, i), ""))
+        self.routers[ip] = await self._start_on(ip, Router(self._settings(ip, i), ""))
 
     async def kill(self, ips):
         """Cut the power of routers."""
@@ -118,9 +118,9 @@
         if old:
             stopping_at = self.loop.time()
             await old.runner.stop()
-            self.books.runner_ends.append((stopping_at, self.loop.time()))
+            self.cache_records.runner_ends.append((stopping_at, self.loop.time()))
         host = f"127.4.0.{index + 1}"
-        runner = CachingRunner(id=f"i-{index}-{number}", events=4, pause=0.005, books=self.books)
+        runner = CachingRunner(id=f"i-{index}-{number}", events=4, pause=0.005, cache_records=self.cache_records)
         HOST.set(host)
         await runner.start(host, 8080)
         self.runners[index] = RunnerIncarnation(runner, number)
@@ -177,7 +177,7 @@
         """Return the mean response time of new prompts minus that of repeated prompts, in ms."""
         return 1000 * (statistics.fmean(self.fresh) - statistics.fmean(self.repeated))
 
-    def least_effect_ms(self):
+    def minimum_detectable_effect_ms(self):
         """Return the shift of the mean that the test detects with probability ``POWER`` (normal approximation)."""
         normal = statistics.NormalDist()
         spread = statistics.pstdev(self.repeated + self.fresh)
@@ -189,7 +189,7 @@
 class IsolationResult:
     """The results of one run."""
 
-    books: Books
+    cache_records: CacheRecords
     seen: RequestCounts
     times: ResponseTimes
     twice: int
@@ -197,25 +197,25 @@
     @property
     def held(self):
         """Whether there was no cross-member hit, no lost or repeated request, and no significant timing difference."""
-        isolated = not self.books.crossed and self.times.p_value() >= ALPHA
+        isolated = not self.cache_records.cross_member_hits and self.times.p_value() >= ALPHA
         return isolated and not self.seen.lost and not self.twice
 
     def balance(self):
         """Return the load of the busiest runner incarnation divided by the mean load of all incarnations."""
-        load = self.books.load.values()
+        load = self.cache_records.load.values()
         return max(load) / statistics.mean(load)
 
     def lines(self):
         """Return the report, one string per line."""
-        books, seen, times = self.books, self.seen, self.times
+        cache_records, seen, times = self.cache_records, self.seen, self.times
         return [
-            f"cache hits on parts of other members: {len(books.crossed)}; on own parts: {books.own_hits}; parts prefilled: {books.prefills}",
+            f"cache hits on parts of other members: {len(cache_records.cross_member_hits)}; on own parts: {cache_records.own_hits}; parts prefilled: {cache_records.prefills}",
             f"requests answered {seen.answered}, refused {seen.refused}, lost {len(seen.lost)}, run twice {self.twice}",
             f"aborted by the end of a router or a runner {seen.cut}, no connection {seen.unread}",
             f"load of the busiest runner incarnation over the mean: {self.balance():.2f}",
             f"prompts of another member and new prompts: {len(times.repeated)} and {len(times.fresh)} responses",
             f"mean response time of new prompts {times.difference_ms():+.2f} ms, p = {times.p_value():.3g}",
-            f"a shift of {times.least_effect_ms():.2f} ms is detected with probability {POWER}",
+            f"a shift of {times.minimum_detectable_effect_ms():.2f} ms is detected with probability {POWER}",
         ]
 
 
@@ -224,9 +224,9 @@
 
     def __init__(self, loop, seed, isolated, seconds):
         self.loop, self.seconds, self.rng = loop, seconds, random.Random(seed)
-        self.books, self.times = Books(frozenset([PUBLIC])), ResponseTimes()
-        self.fleet = RivalFleet(loop, isolated, self.books)
-        self.clients = Clients(seed, self.fleet.ready, lambda ip: self.fleet.incarnations[ip], self.books)
+        self.cache_records, self.times = CacheRecords(frozenset([PUBLIC])), ResponseTimes()
+        self.fleet = RivalFleet(loop, isolated, self.cache_records)
+        self.clients = Clients(seed, self.fleet.ready, lambda ip: self.fleet.incarnations[ip], self.cache_records)
 
     async def run(self):
         """Run the scenario; return the results."""
@@ -242,12 +242,12 @@
         await asyncio.sleep(max(0.0, end - self.loop.time()))
         await self.clients.all_done()
         await asyncio.gather(*(router.stop() for router in self.fleet.routers.values()))
-        twice = sum(runs > 1 for runs in self.books.runs.values())
-        return IsolationResult(self.books, self.clients.seen, self.times, twice)
+        twice = sum(runs > 1 for runs in self.cache_records.runs.values())
+        return IsolationResult(self.cache_records, self.clients.seen, self.times, twice)
 
     async def _start_fleet(self):
         fleet = self.fleet
-        fleet.first_policy = policy()
+        fleet.first_configuration = policy()
         await fleet.start()
         while len(fleet.ready()) < SIZE.nodes:
             await asyncio.sleep(0.1)
--- a/simulator/operators.py
+++ b/simulator/operators.py
@@ -8,7 +8,7 @@
 from attrs import define, field
 
 from . import virtual
-from .caller import MOST_REDIRECTS, call, redirected
+from .caller import MAX_REDIRECTS, call, redirected
 from .evacuations import dispatchers
 from .fleet import SERVICE
 from .history import Call, Outcome, Sent, fault_in
@@ -124,7 +124,7 @@
 
     async def _try(self, address, order, body_after=0.0):
         """Calls a node and follows redirects; gives the call's last answer or None."""
-        for _ in range(MOST_REDIRECTS + 1):
+        for _ in range(MAX_REDIRECTS + 1):
             answer = await self._once(address, order, body_after)
             if answer is None or redirected(answer) is None:
                 return answer
--- a/simulator/rivals.py
+++ b/simulator/rivals.py
@@ -1,6 +1,6 @@
 """Runners that record every prompt part in their prefix cache, and clients of several members with equal prompts.
 
-``CachingRunner`` simulates the prefix cache, ``Books`` records cache hits and
+``CachingRunner`` simulates the prefix cache, ``CacheRecords`` records cache hits and
 runs of all runners, and ``Clients`` sends prompts and classifies the outcomes.
 """
 
@@ -30,13 +30,13 @@
 
 
 @define(slots=True)
-class Books:
+class CacheRecords:
     """The combined records of all runners.
 
     ``public``: ids of the parts that all members may share. ``runs``: runs by
     request id. ``load``: requests by runner id. ``own_hits``: cache hits on
     parts that the same member has sent. ``prefills``: parts not found in the
-    cache. ``crossed``: cache hits on parts of other members, as (runner, part,
+    cache. ``cross_member_hits``: cache hits on parts of other members, as (runner, part,
     member, first member). ``broken``: ids of requests aborted by the end of a
     runner. ``runner_ends``: when runners stopped, as (start, end) in event
     loop time.
@@ -47,14 +47,14 @@
     load: Counter = field(factory=Counter)
     own_hits: int = 0
     prefills: int = 0
-    crossed: list = field(factory=list)
+    cross_member_hits: list = field(factory=list)
     broken: set = field(factory=set)
     runner_ends: list = field(factory=list)
 
     def runner_ended_during(self, began, ended):
         """Whether a runner was stopping at some time in an interval of event loop time.
 
-        >>> Books(frozenset(), runner_ends=[(2.0, 3.0)]).runner_ended_during(2.5, 2.6)
+        >>> CacheRecords(frozenset(), runner_ends=[(2.0, 3.0)]).runner_ended_during(2.5, 2.6)
         True
         """
         return any(first <= ended and began <= last for first, last in self.runner_ends)
@@ -83,14 +83,14 @@
         if member in members:
             self.own_hits += 1
         else:
-            self.crossed.append((runner.id, id, member, members[0]))
+            self.cross_member_hits.append((runner.id, id, member, members[0]))
 
 
 @define(slots=True, eq=False)
 class CachingRunner(Runner):
     """A runner that waits for the prefill of uncached tokens and caches prompts until it stops."""
 
-    books: Books = None
+    cache_records: CacheRecords = None
     cache: dict = field(factory=dict)
 
     async def _ok(self, request, writer, **options):
@@ -98,14 +98,14 @@
             return await self._moved(request, writer)
         member = member_of(request.head("Host"))
         id = request.head("X-Sparloom-Attempt-Id")
-        self.books.runs[id] += 1
-        self.books.load[self.id] += 1
-        uncached_tokens = self.books.lookup(self, member, request.head(PROMPT))
+        self.cache_records.runs[id] += 1
+        self.cache_records.load[self.id] += 1
+        uncached_tokens = self.cache_records.lookup(self, member, request.head(PROMPT))
         try:
             await asyncio.sleep(uncached_tokens * PREFILL_S_PER_TOKEN)
             return await Runner._ok(self, request, writer, **options)
         except asyncio.CancelledError:
-            self.books.broken.add(id)
+            self.cache_records.broken.add(id)
             raise
 
 
@@ -133,8 +133,13 @@
     ``incarnation(address)``: a number that changes when that router loses power.
     """
 
-    def __init__(self, seed, routers, incarnation, books):
-        self.rng, self.routers, self.incarnation, self.books = random.Random(seed), routers, incarnation, books
+    def __init__(self, seed, routers, incarnation, cache_records):
+        self.rng, self.routers, self.incarnation, self.cache_records = (
+            random.Random(seed),
+            routers,
+            incarnation,
+            cache_records,
+        )
         self.seen = RequestCounts()
         self.tasks = set()
 
@@ -163,7 +168,7 @@
             return outcome.ended - outcome.began
         if outcome.refused:
             self.seen.refused += 1
-        elif not router_running or outcome.id in self.books.broken or self._failed_by_runner(outcome):
+        elif not router_running or outcome.id in self.cache_records.broken or self._failed_by_runner(outcome):
             self.seen.cut += 1
         else:
             self.seen.lost.append(outcome.id)
@@ -176,7 +181,7 @@
         then it isn't in the runner's records, and the router can't know that.
         """
         complete = outcome.whole and outcome.status == 502
-        return complete and self.books.runner_ended_during(outcome.began, outcome.ended)
+        return complete and self.cache_records.runner_ended_during(outcome.began, outcome.ended)
 
     def start(self, coroutine):
         """Run a coroutine in a task that ``all_done`` waits for."""
--- a/simulator/scale.py
+++ b/simulator/scale.py
@@ -21,7 +21,7 @@
 from .point import delay_summary
 from .simulated_router import SKIPS
 from .tally import HEADER_BYTES
-from .traffic import GIVEN, SERVICE, Traffic
+from .traffic import SERVICE, TRAFFIC_ROUTE, Traffic
 
 MAX_PROCESSES = 40
 
@@ -138,7 +138,7 @@
             )
         )
         document = configuration(1, size.routes, size.slots)
-        document["routes"].append(GIVEN)
+        document["routes"].append(TRAFFIC_ROUTE)
         document["services"].append({**document["services"][0], "name": SERVICE})
         for _ in range(100):
             if await self._send_configuration("PUT", document) is not None:
--- a/simulator/soak/requests.py
+++ b/simulator/soak/requests.py
@@ -14,7 +14,7 @@
 
 from fakes.platform import Platform
 from fakes.runner import Runner
-from simulator.clients import Client, Outcome, PlannedEnd
+from simulator.clients import Client, Outcome, PlannedShutdown
 
 from .faults import inject_overlapping
 from .processes import CONTROL_PORT, FRONT_PORT, READINESS_PORT, ROOT, Fleet, Node
@@ -279,7 +279,7 @@
             for runner in self.runners
             for request in runner.got[-4000:]
         )
-        shutdown = PlannedEnd(terminated_at if terminated_at is not None else 1e12, timedelta(seconds=GRACE_S))
+        shutdown = PlannedShutdown(terminated_at if terminated_at is not None else 1e12, timedelta(seconds=GRACE_S))
         # A paused router may leave a request unread for longer than the slack; the connection is then reset.
         unread = outcome.reset and not outcome.status and not forwarded
         if not unread and shutdown.lost(outcome, forwarded):
--- a/simulator/traffic.py
+++ b/simulator/traffic.py
@@ -14,7 +14,7 @@
 
 SERVICE, HOST = "real", "real.example"
 API = "127.3.0.1"
-GIVEN = {
+TRAFFIC_ROUTE = {
     "name": "real",
     "hostname": HOST,
     "pathPrefix": "/real/",
--- a/tests/isolation/test_isolation.py
+++ b/tests/isolation/test_isolation.py
@@ -9,7 +9,7 @@
 
 from simulator.clients import Outcome
 from simulator.isolation import play_isolation
-from simulator.rivals import Books, Clients
+from simulator.rivals import CacheRecords, Clients
 from sparloom.isolation import UNDECLARED, Generation, Isolation, part_ids
 from sparloom.load_balancing import parse_parts
 from sparloom.router.router_node import RouterNode
@@ -243,8 +243,8 @@
     """How the simulated clients count a request that was neither answered nor rejected."""
 
     def counted(self, **outcome):
-        books = Books(frozenset(), runner_ends=[(10.0, 10.2)])
-        clients = Clients(1, list, lambda address: 0, books)
+        cache_records = CacheRecords(frozenset(), runner_ends=[(10.0, 10.2)])
+        clients = Clients(1, list, lambda address: 0, cache_records)
         clients._count(Outcome("id", 0.0, 0.0, **outcome), True)
         return clients.seen
 
@@ -266,13 +266,13 @@
     def test_isolated_members_share_no_cache_in_a_simulated_fleet(self):
         result = play_isolation(1)
         self.assertTrue(result.held, result.lines())
-        self.assertEqual((result.books.crossed, result.seen.lost, result.twice), ([], [], 0))
-        self.assertGreater(result.books.own_hits, 500)
+        self.assertEqual((result.cache_records.cross_member_hits, result.seen.lost, result.twice), ([], [], 0))
+        self.assertGreater(result.cache_records.own_hits, 500)
         self.assertGreater(result.seen.answered, 1000)
-        self.assertLess(result.times.least_effect_ms(), 5.0)
+        self.assertLess(result.times.minimum_detectable_effect_ms(), 5.0)
 
     def test_the_simulation_detects_shared_caches_without_isolation(self):
         result = play_isolation(1, isolated=False)
         self.assertFalse(result.held)
-        self.assertGreater(len(result.books.crossed), 50)
+        self.assertGreater(len(result.cache_records.cross_member_hits), 50)
         self.assertLess(result.times.p_value(), 0.01)
--- a/tests/router/test_graceful_shutdown.py
+++ b/tests/router/test_graceful_shutdown.py
@@ -5,7 +5,7 @@
 import unittest
 from datetime import timedelta
 
-from simulator.clients import Client, PlannedEnd, Tally
+from simulator.clients import Client, PlannedShutdown, Tally
 from simulator.virtual import world
 from tests.support.router_fixture import POLICY, RouterFixture, route
 
@@ -27,7 +27,7 @@
         self.tally = Tally()
         async with RouterFixture(runners, LONG_TIMEOUT) as self.rig:
             self.sigterm_at = self.loop.time() + 1.0
-            self.planned_end = PlannedEnd(self.sigterm_at, GRACE)
+            self.planned_end = PlannedShutdown(self.sigterm_at, GRACE)
             tasks = [asyncio.ensure_future(coroutine) for coroutine in (scenario(), self._run_router())]
             async with asyncio.timeout(60):
                 await asyncio.gather(*tasks)
@@ -238,7 +238,7 @@
         async def scenario():
             client = await self.connect()
             await self.send(client)
-            await client.next_end()
+            await client.wait_until_closed()
             self.closed_after = self.loop.time() - self.sigterm_at
 
         self.run_scenario(scenario)
@@ -264,7 +264,7 @@
             client.writer.write(b"POST /once/x HTTP/1.1\r\nHost: h.ex")
             await self.sleep_until(0.1)
             self.assertEqual([connection.is_idle for connection in self.rig.front.client_server.connections], [False])
-            await client.next_end()
+            await client.wait_until_closed()
 
         self.run_scenario(scenario)
         self.assertLess(self.stopped_after, GRACE.total_seconds())
@@ -281,7 +281,7 @@
             self.assertEqual(len(server.connections), 1)
             await asyncio.sleep(0.2)
             server.close_expired()
-            await client.next_end()
+            await client.wait_until_closed()
 
         self.run_scenario(scenario)
 
--- a/tests/simulator/test_soak.py
+++ b/tests/simulator/test_soak.py
@@ -3,7 +3,7 @@
 import unittest
 from datetime import timedelta
 
-from simulator.clients import Outcome, PlannedEnd
+from simulator.clients import Outcome, PlannedShutdown
 from simulator.soak.command import soak
 from simulator.soak.processes import address, reserve_network, to_toml
 
@@ -25,7 +25,7 @@
         self.assertEqual(soak(play="nothing"), 2)
 
     def test_forwarded_request_without_complete_response_counts_as_lost(self):
-        shutdown = PlannedEnd(10.0, timedelta(seconds=5))
+        shutdown = PlannedShutdown(10.0, timedelta(seconds=5))
         aborted = Outcome("a", 11.68, sent=11.68, waits=8.0, ended=11.98)
         self.assertTrue(shutdown.lost(aborted, forwarded=True))
         self.assertFalse(shutdown.lost(Outcome("a", 11.68, sent=11.68, waits=8.0, ended=11.7), forwarded=False))
