--- a/simulator/check/__init__.py
+++ b/simulator/check/__init__.py
@@ -1,8 +1,10 @@
-"""A model checker for the ledger machine: every order of events within a small scope, and long seeded walks.
+"""Model checker for the consensus state machine: searches within a small scope, and long seeded random walks.
 
-``adapter`` knows the machine's names, ``copying`` copies and compares states, ``world`` holds members, disks and
-links, ``moves`` lists what may happen next, ``history`` holds the invariants, ``settle`` what must come back once
-troubles end, ``search`` explores, ``show`` prints a counterexample. Nothing here does I/O except ``show``'s caller.
+``model_state`` has the members, disks and links. ``transitions`` lists the possible next events. ``history`` has the
+safety invariants, ``durable`` the check that a member sends only what is on its disk, and ``recovery`` the liveness
+checks once all faults have ended. ``starts`` builds the initial states, ``search`` explores them, ``shrink`` shortens a
+counterexample and ``show`` formats it. ``copying`` copies and compares states, and ``adapter`` is the only module that
+uses the state machine's internal names. ``duties`` is a separate model of the duties. Only ``command`` does I/O.
 """
 
 from .history import Violation
--- a/simulator/check/adapter.py
+++ b/simulator/check/adapter.py
@@ -1,4 +1,4 @@
-"""The names of the ledger machine that the checker uses; the only module that follows their changes."""
+"""Access to the internals of the consensus state machine; no other module of the checker depends on their names."""
 
 from datetime import timedelta
 
@@ -6,46 +6,46 @@
 
 from sparloom.consensus import EMPTY, ConsensusTiming
 
-SPANS = ConsensusTiming.of(timedelta(seconds=3))
+TIMING = ConsensusTiming.of(timedelta(seconds=3))
 
 
 @frozen
-class FixedLuck:
-    """Stands in for a random generator: one value per member, so that a state holds no hidden luck.
+class FixedRandom:
+    """Replaces a random generator by one value per member, so that a state depends on no hidden random state.
 
-    >>> FixedLuck(0.25).random()
+    >>> FixedRandom(0.25).random()
     0.25
     """
 
     value: float
 
     def random(self):
-        """The member's value."""
+        """Return the member's value."""
         return self.value
 
     def uniform(self, low, high):
-        """A point between two bounds."""
+        """Return the value scaled to the range from ``low`` to ``high``."""
         return low + (high - low) * self.value
 
 
-def start(machine, member, kept, first_start, luck, replicas, genesis, now):
-    """A machine as its disk left it; ``machine`` is ``Ledger`` or a mutation of it.
+def start(machine, member, disk, first_start, random_value, replicas, genesis, now):
+    """Start a state machine from its disk; ``machine`` is ``ConsensusMember`` or a mutation of it.
 
     >>> from sparloom.consensus import ConsensusMember, Member
     >>> me = Member(1, "a", 1, "z", "")
-    >>> start(ConsensusMember, me, None, True, FixedLuck(0.5), 1, {("a", 1)}, timedelta(0)).leading()
+    >>> start(ConsensusMember, me, None, True, FixedRandom(0.5), 1, {("a", 1)}, timedelta(0)).leading()
     False
     """
-    return machine.start(member, kept, first_start, SPANS, FixedLuck(luck), replicas, genesis, now)
+    return machine.start(member, disk, first_start, TIMING, FixedRandom(random_value), replicas, genesis, now)
 
 
-def first_actions(ledger, kept):
-    """What a service does right after the start: the identity of an empty disk is put on it."""
-    return [ledger.save()] if kept is None else []
+def first_actions(ledger, disk):
+    """Return the actions right after the start: a member with an empty disk saves its new identity."""
+    return [ledger.save()] if disk is None else []
 
 
 def on_disk(save, before):
-    """What a disk holds after a save: the register, and the data if the save had any.
+    """Return the content of a disk after a save; a save without data leaves the data on the disk unchanged.
 
     >>> from sparloom.consensus import Save
     >>> on_disk(Save("register", None, 1), None) == ("register", EMPTY)
@@ -57,7 +57,7 @@
 
 
 def leading_view(ledger):
-    """The view that a machine leads, or None.
+    """Return the view that a member leads, or None.
 
     >>> from sparloom.consensus import ConsensusMember, Member
     >>> leading_view(start(ConsensusMember, Member(1, "a", 1, "z", ""), None, True, 0.5, 1, {("a", 1)}, timedelta(0)))
@@ -66,25 +66,25 @@
 
 
 def elected_view(ledger):
-    """The view that a machine leads or brings up, or None."""
+    """Return the view that a member leads or is about to lead, or None."""
     return ledger.leadership.view if ledger.leadership else None
 
 
 def settled(ledger):
-    """Whether the view that a machine leads needs no earlier roster any more."""
+    """Whether the change to the view that a member leads is complete, so that earlier rosters no longer vote."""
     return ledger.leadership.complete()
 
 
 def carries_data(record):
-    """Whether a record goes by connection, which ends with the process at its far end."""
+    """Whether a record is sent over a connection, which breaks when the receiving process ends."""
     return hasattr(record, "data")
 
 
 def is_heartbeat(record):
-    """Whether a newer record of this kind makes an older one on its way worthless."""
+    """Whether a newer record of this type supersedes an older one in flight."""
     return hasattr(record, "sequence")
 
 
 def view_on_disk(disk):
-    """The newest view that a disk holds, or None."""
+    """Return the newest view on a disk, or None."""
     return disk[0].view if disk else None
--- a/simulator/check/copying.py
+++ b/simulator/check/copying.py
@@ -1,4 +1,4 @@
-"""Copies of machine states, and their canonical form with times relative to the member's own clock."""
+"""Copies and canonical forms of state machines; a canonical form has times relative to the member's own clock."""
 
 from datetime import timedelta
 from enum import Enum
@@ -8,24 +8,24 @@
 
 from sparloom.consensus import ConsensusTiming
 
-OLD = timedelta(seconds=8)
-_CLONERS, _FORMS, _REMEMBERED = {}, {}, {}
-# The attribute that refers back to the member to which an object belongs.
+MAXIMUM_AGE = timedelta(seconds=8)
+_CLONERS, _FORM_BUILDERS, _CACHED_FORMS = {}, {}, {}
+# Name of the attribute with which a part refers back to its member.
 OWNER = "consensus"
-_MOST_REMEMBERED = 300_000
+_MAXIMUM_CACHED_FORMS = 300_000
 
 
 def _is_frozen(kind):
-    """Whether instances of an attrs class never change; their lists aren't changed either, by the machine's rule."""
+    """Whether an attrs class is immutable; the state machine never changes lists in its instances either."""
     return kind.__setattr__ is not object.__setattr__
 
 
-def _share(value, owner):
+def _return_same(value, owner):
     return value
 
 
 def _cloner(kind):
-    """How instances of a class are copied; chosen once."""
+    """Return the function that copies instances of a class; it is determined once per class."""
     if kind is dict:
         return lambda value, owner: {key: clone(item, owner) for key, item in value.items()}
     if kind is list:
@@ -33,21 +33,21 @@
     if kind is set:
         return lambda value, owner: set(value)
     if not has(kind) or _is_frozen(kind):
-        return _share
+        return _return_same
     names = tuple(f.name for f in fields(kind))
 
     def copy(value, owner):
-        new = object.__new__(kind)
-        owner = owner or new
+        duplicate = object.__new__(kind)
+        owner = owner or duplicate
         for name in names:
-            setattr(new, name, owner if name == OWNER else clone(getattr(value, name), owner))
-        return new
+            setattr(duplicate, name, owner if name == OWNER else clone(getattr(value, name), owner))
+        return duplicate
 
     return copy
 
 
 def clone(value, owner=None):
-    """A copy that shares what never changes; parts that refer back to the whole refer to the new whole.
+    """Return a copy that shares immutable values; back references to the member refer to the member's copy.
 
     >>> inner = {"seen": {1}}
     >>> copy = clone(inner); copy["seen"].add(2); inner
@@ -57,23 +57,23 @@
     cloner = _CLONERS.get(kind)
     if cloner is None:
         cloner = _CLONERS[kind] = _cloner(kind)
-    return value if cloner is _share else cloner(value, owner)
+    return value if cloner is _return_same else cloner(value, owner)
 
 
-def _remembered(value, make):
-    """The form of a value that never changes and holds no times, made once while the value lives."""
-    found = _REMEMBERED.get(id(value))
-    if found is None or found[0] is not value:
-        if len(_REMEMBERED) > _MOST_REMEMBERED:
-            _REMEMBERED.clear()
-        found = _REMEMBERED[id(value)] = (value, make(value))
-    return found[1]
+def _cached_form(value, build):
+    """Return the cached form of an immutable value without times; the cache is keyed by the value's identity."""
+    cached = _CACHED_FORMS.get(id(value))
+    if cached is None or cached[0] is not value:
+        if len(_CACHED_FORMS) > _MAXIMUM_CACHED_FORMS:
+            _CACHED_FORMS.clear()
+        cached = _CACHED_FORMS[id(value)] = (value, build(value))
+    return cached[1]
 
 
-def _former(kind):
-    """How the canonical form of a class's instances is made; chosen once."""
+def _form_builder(kind):
+    """Return the function that builds the canonical form of a class's instances; None if a value is its own form."""
     if kind is timedelta:
-        return lambda value, now: min(now - value, OLD)
+        return lambda value, now: min(now - value, MAXIMUM_AGE)
     if kind in (list, tuple):
         return lambda value, now: tuple([canonical(item, now) for item in value])
     if kind in (set, frozenset):
@@ -94,34 +94,34 @@
 
     if not (hasattr(kind, "tag") or _is_frozen(kind)):
         return form
-    return lambda value, now: _remembered(value, lambda made: form(made, timedelta(0)))
+    return lambda value, now: _cached_form(value, lambda immutable: form(immutable, timedelta(0)))
 
 
 def canonical(value, now):
-    """A hashable form; two states with the same form behave the same from here on.
+    """Return a hashable form; two states with the same form behave alike from now on.
 
-    Times become ages, and all ages over eight seconds count as one: no span of the machine is longer.
+    Times become ages. Ages above eight seconds are equal, since no timeout of the state machine is longer.
 
     >>> canonical([timedelta(seconds=1)], timedelta(seconds=3)) == canonical([timedelta(seconds=5)], timedelta(seconds=7))
     True
     """
     kind = type(value)
-    former = _FORMS.get(kind, False)
-    if former is False:
-        former = _FORMS[kind] = _former(kind)
-    return value if former is None else former(value, now)
+    build_form = _FORM_BUILDERS.get(kind, False)
+    if build_form is False:
+        build_form = _FORM_BUILDERS[kind] = _form_builder(kind)
+    return value if build_form is None else build_form(value, now)
 
 
 class Interner:
-    """Gives equal values one small number, so that a state's key is short and exact.
+    """Assigns the same small number to equal values, so that a state's key is short and free of collisions.
 
     >>> numbers = Interner(); numbers.of("x"), numbers.of("y"), numbers.of("x")
     (0, 1, 0)
     """
 
     def __init__(self):
-        self.known = {}
+        self.numbers = {}
 
     def of(self, value):
-        """The number of a value."""
-        return self.known.setdefault(value, len(self.known))
+        """Return the number of a value."""
+        return self.numbers.setdefault(value, len(self.numbers))
--- a/simulator/check/model_state.py
+++ b/simulator/check/model_state.py
@@ -1,6 +1,6 @@
-"""Members with their disks, the messages on their way, and one client that compares and sets.
+"""The state of the model: members with their disks, messages in flight, and one client with compare-and-set writes.
 
-Each member has a clock of its own, so a member may be slow or quick beside the others.
+Each member has its own clock, so clocks may run at different speeds.
 """
 
 from datetime import timedelta
@@ -31,7 +31,7 @@
 
 @frozen
 class Scope:
-    """How large a world is, and how much of each trouble it may see."""
+    """Size of a model, and the maximum number of events of each kind."""
 
     members: str = "abc"
     replicas: int = 1
@@ -49,72 +49,76 @@
 
 @frozen
 class Message:
-    """A record on its way from one address to another."""
+    """A record in flight from one address to another."""
 
     source: str
     target: str
     record: object
 
     def key(self):
-        """What tells it from others."""
+        """Return a hashable form that identifies the message."""
         return canonical(self, timedelta(0))
 
 
 @define(slots=True)
 class Node:
-    """A machine's process, its disk and the saves under way; ``ledger`` is None while it is down.
+    """A machine with its process, its disk and the pending saves; ``ledger`` is None while the process is down.
 
-    ``gone``: it was lost for good. ``left``: its planned leave is complete; its old disk may still come back.
+    ``removed``: the machine was lost for good. ``left``: its planned leave is complete, but it may still restart with
+    its old disk.
     """
 
     name: str
     member: Member
-    luck: float
+    random_value: float
     ledger: object = None
     disk: tuple = None
     saves: list = field(factory=list)
     now: timedelta = timedelta(0)
-    life: int = 0
+    incarnation: int = 0
     stalled: bool = False
     wiped: bool = False
-    gone: bool = False
+    removed: bool = False
     leaving: bool = False
     left: bool = False
     elected: int = 0
 
     def key(self):
-        """A hashable form of all that decides its future."""
-        flags = (self.name, self.life, self.stalled, self.wiped, self.gone, self.leaving, self.left)
-        return (*flags, *(canonical(v, self.now) for v in (self.member, self.ledger, self.disk, self.saves)))
+        """Return a hashable form of everything that affects the node's future."""
+        flags = (self.name, self.incarnation, self.stalled, self.wiped, self.removed, self.leaving, self.left)
+        return (*flags, *(canonical(value, self.now) for value in (self.member, self.ledger, self.disk, self.saves)))
 
 
 @frozen
 class Order:
-    """A client's order: a confirmed read that began at ``floor``, then a write on what it showed."""
+    """A client's change: a confirmed read, then a write on top of its result.
+
+    ``floor`` is the newest acknowledged or read state when the read began.
+    """
 
     node: str
-    life: int
+    incarnation: int
     floor: bytes
     writing: bytes = b""
 
 
-def ask(method, *arguments):
-    """Calls the machine; an exception out of it is a violation too.
+def call_machine(method, *arguments):
+    """Call the state machine; an exception that it raises is a violation.
 
-    >>> ask({}.popitem)
+    >>> call_machine({}.popitem)
     Traceback (most recent call last):
     ...
-    simulator.check.history.Violation: the machine raises KeyError
+    simulator.check.history.Violation: the state machine raised KeyError
     """
     try:
         return method(*arguments)
     except Exception as error:
-        raise Violation(f"the machine raises {type(error).__name__}") from error
+        raise Violation(f"the state machine raised {type(error).__name__}") from error
 
 
 @define(slots=True)
 class World:
-    """One state of everything.
+    """One state of the whole model.
 
     >>> sorted(World.begin(Scope()).nodes)
     ['a', 'b', 'c']
@@ -136,17 +140,17 @@
 
     @classmethod
     def begin(cls, scope):
-        """All members of the first roster start on empty disks."""
-        world = cls(scope)
+        """Return the state in which all members of the first roster have started with empty disks."""
+        state = cls(scope)
         for name in scope.members:
-            world.add(name)
+            state.add(name)
         for name in scope.members:
-            world.boot(name, first_start=True)
-        return world
+            state.boot(name, first_start=True)
+        return state
 
     # -- copies and keys ----------------------------------------------------
     def copy(self):
-        """A copy that shares the members until one of the two changes them."""
+        """Return a copy; members are shared until either state changes them (copy on write)."""
         self.owned = set()
         return evolve(
             self,
@@ -160,7 +164,7 @@
         )
 
     def own(self, name):
-        """The member, copied first if another world shares it."""
+        """Return a member for modification; it is copied first if another state shares it."""
         if name not in self.owned:
             node = self.nodes[name]
             self.nodes[name] = evolve(node, ledger=clone(node.ledger), saves=list(node.saves))
@@ -169,7 +173,7 @@
         return self.nodes[name]
 
     def key(self, interner: Interner):
-        """A short exact key: equal for worlds with the same future and the same past in the invariants' eyes."""
+        """Return a short key; states with the same key have the same future and the same checked history."""
         for name, node in self.nodes.items():
             if name not in self.keys:
                 self.keys[name] = interner.of(node.key())
@@ -179,116 +183,125 @@
 
     # -- members --------------------------------------------------------------
     def add(self, name):
-        """A machine with an empty disk, down as yet."""
+        """Add a machine with an empty disk; it is not started."""
         self.identities += 1
-        luck = 0.1 + 0.13 * (len(self.nodes) % 7)
-        self.nodes[name] = Node(name, Member(self.identities, name, 1, "z" + name, name + ":9"), luck)
+        random_value = 0.1 + 0.13 * (len(self.nodes) % 7)
+        self.nodes[name] = Node(name, Member(self.identities, name, 1, "z" + name, name + ":9"), random_value)
         self.owned.add(name)
 
     def boot(self, name, first_start=False):
-        """Starts a member with what its disk holds; an empty disk makes a new identity.
+        """Start a member from its disk; an empty disk gives it a new identity.
 
-        A first member that ended before anything was on its disk is started for the first time again.
+        A founder that stopped before its first save repeats its first start, as long as no member has led.
         """
         node = self.own(name)
         never_led = not self.history.primaries
         founder = name in self.scope.members and not node.wiped
         first_start = first_start or (node.disk is None and founder and never_led)
-        genesis = {(n, 1) for n in self.scope.members}
+        genesis = {(name, 1) for name in self.scope.members}
         if node.disk is None and not first_start:
             self.identities += 1
             node.member = evolve(node.member, id=self.identities)
         elif node.disk is None and (name, 1) in genesis:
             node.member = evolve(node.member, id=founder_id(genesis, name, 1))
-        node.life += 1
+        node.incarnation += 1
         node.leaving = node.left = False
         node.ledger = adapter.start(
-            self.scope.machine, node.member, node.disk, first_start, node.luck, self.scope.replicas, genesis, node.now
+            self.scope.machine,
+            node.member,
+            node.disk,
+            first_start,
+            node.random_value,
+            self.scope.replicas,
+            genesis,
+            node.now,
         )
         self.act(node, adapter.first_actions(node.ledger, node.disk))
 
     def stop(self, name, finish_saves=False):
-        """Ends a process; saves under way are lost, or all on disk."""
+        """Stop a process; its pending saves are lost, or all complete with ``finish_saves``."""
         node = self.own(name)
         for save in node.saves if finish_saves else ():
             node.disk = adapter.on_disk(save, node.disk)
         node.saves, node.ledger, node.stalled = [], None, False
-        self.flight = [m for m in self.flight if m.target != name or not adapter.carries_data(m.record)]
+        self.flight = [
+            message for message in self.flight if message.target != name or not adapter.carries_data(message.record)
+        ]
 
     def wipe(self, name):
-        """Ends a process and empties its disk; its identity is gone with it."""
+        """Stop a process and erase its disk, and with it the identity of the member."""
         self.stop(name)
         node = self.nodes[name]
         node.disk, node.member, node.wiped = None, evolve(node.member, id=0), True
 
     def up(self):
-        """The names of the members that run."""
+        """Return the names of the running members."""
         return [name for name, node in self.nodes.items() if node.ledger is not None]
 
     def primary(self):
-        """The member that leads in the newest epoch, or None."""
-        leading = [n for n in self.up() if self.nodes[n].ledger.leading()]
-        return max(leading, key=lambda n: adapter.leading_view(self.nodes[n].ledger).epoch, default=None)
+        """Return the name of the member that leads in the newest epoch, or None."""
+        leading = [name for name in self.up() if self.nodes[name].ledger.leading()]
+        return max(leading, key=lambda name: adapter.leading_view(self.nodes[name].ledger).epoch, default=None)
 
     def holder(self, identity):
-        """The machine that has this identity now, or None."""
-        return next((node for node in self.nodes.values() if node.member.id == identity and not node.gone), None)
+        """Return the machine with this identity, or None."""
+        return next((node for node in self.nodes.values() if node.member.id == identity and not node.removed), None)
 
     # -- events -----------------------------------------------------------------
     def deliver(self, message):
-        """A record arrives."""
+        """Deliver a message; it is lost if its receiver is down."""
         if self.nodes[message.target].ledger is not None:
             node = self.own(message.target)
-            self.act(node, ask(node.ledger.receive, node.now, message.record))
+            self.act(node, call_machine(node.ledger.receive, node.now, message.record))
 
-    def tick(self, name, span):
-        """A member's own clock moves on."""
+    def tick(self, name, duration):
+        """Advance a member's own clock."""
         node = self.own(name)
-        node.now += span
+        node.now += duration
         if node.ledger is not None:
-            self.act(node, ask(node.ledger.tick, node.now))
+            self.act(node, call_machine(node.ledger.tick, node.now))
 
     def saved(self, name):
-        """The oldest save under way is on disk."""
+        """Complete the oldest pending save of a member."""
         node = self.own(name)
         save = node.saves.pop(0)
         node.disk = adapter.on_disk(save, node.disk)
-        self.act(node, ask(node.ledger.saved, node.now, save))
+        self.act(node, call_machine(node.ledger.saved, node.now, save))
 
     def save_failed(self, name):
-        """The oldest save under way is refused by the disk; it is tried again before those behind it."""
+        """Let the oldest pending save fail; it is retried before the later ones."""
         node = self.own(name)
-        self.act(node, ask(node.ledger.save_failed, node.now))
+        self.act(node, call_machine(node.ledger.save_failed, node.now))
 
     def order(self, name):
-        """A client asks a member for a change: a confirmed read first."""
+        """Start a client's change at a member, with a confirmed read."""
         node = self.own(name)
         number, self.next_order = self.next_order, self.next_order + 2
-        self.orders[number] = Order(name, node.life, self.history.newest())
-        actions = ask(node.ledger.read, node.now, number)
+        self.orders[number] = Order(name, node.incarnation, self.history.newest())
+        actions = call_machine(node.ledger.read, node.now, number)
         if actions is None:
             del self.orders[number]
         self.act(node, actions or [])
 
     def leave(self, name):
-        """A member is asked to leave as planned."""
+        """Request the planned leave of a member."""
         node = self.own(name)
         node.leaving = True
-        self.act(node, ask(node.ledger.leave, node.now))
+        self.act(node, call_machine(node.ledger.leave, node.now))
 
     def act(self, node, actions):
-        """Carries out a member's actions; what it sends to itself arrives at once."""
-        todo = list(actions or ())
-        while todo:
-            action = todo.pop(0)
+        """Execute a member's actions; records to itself are delivered at once."""
+        pending = list(actions or ())
+        while pending:
+            action = pending.pop(0)
             if isinstance(action, Save):
                 node.saves.append(action)
             elif isinstance(action, Send):
-                todo += self._send(node, action)
+                pending += self._send(node, action)
             elif isinstance(action, Committed):
-                self._decided(node, action)
+                self._on_committed(node, action)
             elif isinstance(action, ReadConfirmed):
-                todo += self._confirmed(node, action) or []
+                pending += self._on_read_confirmed(node, action) or []
             elif isinstance(action, Aborted):
                 self.orders.pop(action.id, None)
             elif isinstance(action, LeaveCompleted):
@@ -298,82 +311,86 @@
         elected = adapter.elected_view(node.ledger)
         if elected is not None and elected.epoch > node.elected:
             node.elected = elected.epoch
-            self._on_majorities(
+            self._check_on_majorities(
                 elected, lambda register: register.promised_epoch, "promised the epoch of a new primary"
             )
         view = adapter.leading_view(node.ledger)
         if view is not None:
-            self.history = self.history.leads(view.epoch, (node.name, node.life))
+            self.history = self.history.leads(view.epoch, (node.name, node.incarnation))
 
     def _send(self, node, action):
-        """Puts a record on its way; gives the actions of one that goes to its sender."""
+        """Send a record; return the actions that its delivery to the sender itself causes."""
         durable.check(node.name, action.record, node.disk)
         if action.destination is CONTROLLERS:
-            targets = [n for n in self.nodes if n != node.name]
+            targets = [name for name in self.nodes if name != node.name]
         elif action.destination is SEEDS:
             targets = list(self.scope.members)
         else:
             targets = [action.destination.host]
-        out = []
+        local_actions = []
         for target in targets:
             if target == node.name:
-                out += ask(node.ledger.receive, node.now, action.record) or []
+                local_actions += call_machine(node.ledger.receive, node.now, action.record) or []
             elif target in self.nodes and (node.name, target) not in self.cuts:
-                self._post(Message(node.name, target, action.record))
-        return out
+                self._enqueue(Message(node.name, target, action.record))
+        return local_actions
 
-    def _post(self, message):
-        """One copy of equal messages is enough, and the newest heartbeat: the others count as lost."""
-        beat = adapter.is_heartbeat(message.record)
+    def _enqueue(self, message):
+        """Put a message in flight; an equal one or an older heartbeat on its link is replaced and counts as lost."""
+        is_heartbeat = adapter.is_heartbeat(message.record)
         for other in self.flight:
             if (other.source, other.target) == (message.source, message.target):
-                same = type(other.record) is type(message.record) if beat else other.record == message.record
-                if same:
+                replaced = (
+                    type(other.record) is type(message.record) if is_heartbeat else other.record == message.record
+                )
+                if replaced:
                     self.flight.remove(other)
                     break
         self.flight.append(message)
 
-    # -- what the client sees ------------------------------------------------
-    def _decided(self, node, action):
+    # -- results for the client ----------------------------------------------
+    def _on_committed(self, node, action):
         view = adapter.leading_view(node.ledger)
-        self._on_every_holder(view, action.data, "decided")
+        self._check_on_every_holder(view, action.data, "decided")
         if action.id == 0:
-            self._on_majorities(view, lambda register: register.view_epoch, "marked the view that is served")
+            self._check_on_majorities(view, lambda register: register.view_epoch, "activated the view that is served")
             self.history = self.history.new_primary(view.epoch, action.data.blob)
         elif action.id in self.orders:
             order = self.orders.pop(action.id)
             if order.writing != action.data.blob:
-                raise Violation(f"{node.name} acknowledged {action.data.blob!r} for the order {order.writing!r}")
+                raise Violation(f"{node.name} acknowledged {action.data.blob!r} for the write {order.writing!r}")
             self.history = self.history.acknowledge(view.epoch, action.data.blob)
 
-    def _confirmed(self, node, action):
+    def _on_read_confirmed(self, node, action):
         order = self.orders.pop(action.id, None)
         if order is None:
             return []
         data = action.data
         self.history = self.history.show(order.floor, data.blob)
-        self._on_every_holder(adapter.leading_view(node.ledger), data, "shown by a confirmed read")
+        self._check_on_every_holder(adapter.leading_view(node.ledger), data, "returned by a confirmed read")
         blob = data.blob + b"%d." % action.id
-        actions = ask(node.ledger.write, node.now, action.id + 1, data.revision + 1, blob)
+        actions = call_machine(node.ledger.write, node.now, action.id + 1, data.revision + 1, blob)
         if actions is not None:
             self.orders[action.id + 1] = evolve(order, writing=blob)
         return actions
 
-    def _on_every_holder(self, view, data, what):
-        """What a client may rely on is on the disk of every holder that still has its disk."""
+    def _check_on_every_holder(self, view, data, description):
+        """Check that a state confirmed to a client is on the disk of every holder that still has its disk."""
         if view is None:
-            raise Violation(f"a state was {what} by a member that does not lead")
+            raise Violation(f"a state was {description} by a member that does not lead")
         for identity in view.holders:
             holder = self.holder(identity)
             if holder is None:
                 continue
             if holder.disk is None or holder.disk[1].version < data.version:
-                raise Violation(f"state {data.blob.decode()!r} was {what}, but it is not on the disk of {holder.name}")
+                raise Violation(
+                    f"state {data.blob.decode()!r} was {description}, but it is not on the disk of {holder.name}"
+                )
 
-    def _on_majorities(self, view, epoch_of, what):
-        """A majority of each roster has something on disk; those lost since may have had it."""
+    def _check_on_majorities(self, view, epoch_of, description):
+        """Check that a majority of each roster has an epoch on disk; members lost since then count as having it."""
         for roster in view.rosters:
             voters = [self.holder(identity) for identity in roster]
-            done = sum(node is None or bool(node.disk) and epoch_of(node.disk[0]) >= view.epoch for node in voters)
-            if 2 * done <= len(roster):
-                raise Violation(f"only {done} of {len(roster)} voters have {what}")
+            stored = sum(node is None or bool(node.disk) and epoch_of(node.disk[0]) >= view.epoch for node in voters)
+            if 2 * stored <= len(roster):
+                raise Violation(f"only {stored} of {len(roster)} voters have {description}")
--- a/simulator/check/recovery.py
+++ b/simulator/check/recovery.py
@@ -1,118 +1,122 @@
-"""What must come back once troubles end: a primary, writes, all copies, and the strength to bear any tolerated loss."""
+"""Liveness checks: once all faults end, a primary, writes and all copies return, and any tolerated loss is survived."""
 
 from itertools import combinations
 
 from .history import Violation
 from .model_state import NEWCOMERS
-from .transitions import At, disks_lost, run_fairly, whole
+from .transitions import At, disks_lost, fully_repaired, run_fairly
 
 PRIMARY_MS = 8000
 WRITE_MS = 4000
 REPAIR_MS = 12000
 
 
-def end_troubles(world):
-    """All links up, all disks well, every machine that is still there runs."""
-    world.cuts = frozenset()
-    for name, node in world.nodes.items():
-        if node.gone or node.left:
+def end_faults(state):
+    """Heal all links and disks, and start every machine that was neither removed nor left."""
+    state.cuts = frozenset()
+    for name, node in state.nodes.items():
+        if node.removed or node.left:
             continue
-        world.own(name).stalled = False
+        state.own(name).stalled = False
         if node.ledger is None:
-            At("boot", name).play(world)
+            At("boot", name).play(state)
 
 
-def replace_machines(world):
-    """Brings an empty machine for each one that is gone for good."""
-    while sum(not (node.gone or node.left or node.leaving) for node in world.nodes.values()) < len(world.scope.members):
-        At("join", next(name for name in NEWCOMERS if name not in world.nodes)).play(world)
+def replace_machines(state):
+    """Add empty machines until the fleet has its first size again, without removed and leaving machines."""
+    while sum(not (node.removed or node.left or node.leaving) for node in state.nodes.values()) < len(
+        state.scope.members
+    ):
+        At("join", next(name for name in NEWCOMERS if name not in state.nodes)).play(state)
 
 
-def _write_succeeds(world):
-    before = len(world.history.acknowledged)
+def _write_succeeds(state):
+    acknowledged_before = len(state.history.acknowledged)
 
-    def acknowledged(now):
-        return len(now.history.acknowledged) > before
+    def acknowledged(current):
+        return len(current.history.acknowledged) > acknowledged_before
 
     for _ in range(10):
-        name = world.primary()
+        name = state.primary()
         if name is not None:
-            world.order(name)
-        if run_fairly(world, WRITE_MS // 10, acknowledged):
+            state.order(name)
+        if run_fairly(state, WRITE_MS // 10, acknowledged):
             return True
     return False
 
 
-def serves(world, when):
-    """Raises a violation unless a primary comes up in time and a write succeeds."""
-    if not run_fairly(world, PRIMARY_MS, lambda now: now.primary() is not None):
-        raise Violation(f"no primary within {PRIMARY_MS} ms {when}")
-    if not _write_succeeds(world):
-        raise Violation(f"no write succeeds within {WRITE_MS} ms {when}")
+def check_service(state, condition):
+    """Raise a violation unless a primary is elected in time and a write succeeds."""
+    if not run_fairly(state, PRIMARY_MS, lambda current: current.primary() is not None):
+        raise Violation(f"no primary within {PRIMARY_MS} ms {condition}")
+    if not _write_succeeds(state):
+        raise Violation(f"no write succeeds within {WRITE_MS} ms {condition}")
 
 
-def _losses(world):
-    """Every set of members whose loss is tolerated."""
-    here = world.up()
-    return [set(names) for names in combinations(here, world.scope.replicas)]
+def _tolerable_losses(state):
+    """Return every largest set of members whose loss is tolerated."""
+    running = state.up()
+    return [set(names) for names in combinations(running, state.scope.replicas)]
 
 
-def closing_losses(world):
-    """Every set of members whose disks may be lost in this very state, none included.
+def tolerable_disk_losses(state):
+    """Return every set of members whose disks may be lost in this state, including the empty set.
 
-    No more disks are lost than are tolerated, those counted that no repair has made good yet.
+    Disk losses that are not repaired yet count towards the tolerated number.
     """
-    left = world.scope.replicas - disks_lost(world)
-    with_disks = [name for name, node in world.nodes.items() if node.disk and not node.gone and not node.left]
-    return [set(names) for size in range(left + 1) for names in combinations(with_disks, size)]
+    remaining_losses = state.scope.replicas - disks_lost(state)
+    with_disks = [name for name, node in state.nodes.items() if node.disk and not node.removed and not node.left]
+    return [set(names) for size in range(remaining_losses + 1) for names in combinations(with_disks, size)]
 
 
-def close(world, names):
-    """All lose power at once and some lose their disks, in whatever state they are; then all must come back."""
-    world = world.copy()
-    running = [name for name, node in world.nodes.items() if not node.gone and not node.left]
+def check_power_loss(state, names):
+    """Let all members lose power at once and some lose their disks; raise a violation unless service returns."""
+    state = state.copy()
+    running = [name for name, node in state.nodes.items() if not node.removed and not node.left]
     for name in running:
-        world.stop(name)
+        state.stop(name)
     for name in sorted(names):
-        world.wipe(name)
-    world.flight, world.orders, world.cuts = [], {}, frozenset()
+        state.wipe(name)
+    state.flight, state.orders, state.cuts = [], {}, frozenset()
     for name in running:
-        world.boot(name)
-    lost = " and ".join(sorted(names)) or "no one"
-    serves(world, f"after all lost power and {lost} the disk")
+        state.boot(name)
+    lost = " and ".join(sorted(names)) or "none"
+    check_service(state, f"after a power loss of all members with loss of the disks of {lost}")
 
 
-def settle(world, then_lose=True):
-    """Ends all troubles on a copy of a world; raises a violation unless all comes back.
+def settle(state, then_lose=True):
+    """End all faults on a copy of a state; raise a violation unless the fleet recovers completely.
 
-    So it must after a closing fault right now, too.
+    It must also recover from a power loss with any tolerable loss of disks in this very state.
 
     >>> from .starts import ready
     >>> from .model_state import Scope
     >>> settle(ready(Scope()), then_lose=False)
     """
-    for names in closing_losses(world):
-        close(world, names)
-    world = world.copy()
-    end_troubles(world)
-    serves(world, "after all troubles ended")
-    replace_machines(world)
-    if not run_fairly(world, REPAIR_MS, whole):
-        raise Violation(f"not whole again within {REPAIR_MS} ms after all troubles ended: {_missing(world)}")
-    for names in _losses(world) if then_lose else ():
-        after = world.copy()
+    for names in tolerable_disk_losses(state):
+        check_power_loss(state, names)
+    state = state.copy()
+    end_faults(state)
+    check_service(state, "after all faults ended")
+    replace_machines(state)
+    if not run_fairly(state, REPAIR_MS, fully_repaired):
+        raise Violation(f"not fully repaired within {REPAIR_MS} ms after all faults ended: {_describe_view(state)}")
+    for names in _tolerable_losses(state) if then_lose else ():
+        reduced = state.copy()
         for name in sorted(names):
-            At("remove", name).play(after)
-        serves(after, f"after the loss of {' and '.join(sorted(names))} following a finished repair")
+            At("remove", name).play(reduced)
+        check_service(reduced, f"after the loss of {' and '.join(sorted(names))} following a finished repair")
 
 
-def _missing(world):
+def _describe_view(state):
     from . import adapter
 
-    name = world.primary()
+    name = state.primary()
     if name is None:
         return "no primary"
-    view = adapter.leading_view(world.nodes[name].ledger)
-    roster = [world.holder(i).name if world.holder(i) else f"gone {i}" for i in view.ids]
-    holders = [world.holder(i).name if world.holder(i) else f"gone {i}" for i in view.holders]
+    view = adapter.leading_view(state.nodes[name].ledger)
+    roster = [state.holder(identity).name if state.holder(identity) else f"removed {identity}" for identity in view.ids]
+    holders = [
+        state.holder(identity).name if state.holder(identity) else f"removed {identity}" for identity in view.holders
+    ]
     return f"roster {' '.join(roster)}; holders {' '.join(holders)}"
--- a/simulator/check/search.py
+++ b/simulator/check/search.py
@@ -1,8 +1,8 @@
-"""Explores worlds: all deviations from the fair schedule up to a depth, and seeded walks for long runs.
+"""Exploration of model states: a search over deviations from the fair schedule up to a depth, and long random walks.
 
-The fair move costs nothing, every other move costs one deviation. With as many deviations as moves this is the
-search of all interleavings; with fewer it reaches deep states that differ from a fair run in a few places.
-Deviations deepen step by step, so the shortest counterexample comes first.
+The fair transition is free and every other transition costs one deviation. With as many deviations as transitions, the
+search covers all interleavings. With fewer, it reaches deep states that differ from a fair run in a few places. The
+number of deviations is increased step by step, so the counterexample with the fewest deviations is found first.
 """
 
 import random
@@ -20,7 +20,11 @@
 
 @frozen
 class Bounds:
-    """How far a search goes."""
+    """Limits of a search.
+
+    ``settle_every``: one in this many states is also checked for recovery from all faults (0: none).
+    ``most_states``: the maximum number of states (0: no limit).
+    """
 
     depth: int = 20
     deviations: int = 2
@@ -31,12 +35,16 @@
 
 @define
 class Report:
-    """What a search did; ``found`` is the violation, with the moves that lead to it."""
+    """Result of a search or walk.
+
+    ``found`` is the violation and ``trace`` the transitions that lead to it. ``settled`` counts the recovery checks.
+    ``complete`` is False if the search stopped at the limit of states. ``kinds`` counts the transitions of each kind.
+    """
 
     states: int = 0
     settled: int = 0
     seconds: float = 0.0
-    whole: bool = True
+    complete: bool = True
     found: Violation | None = None
     trace: list = field(factory=list)
     start: World | None = None
@@ -44,118 +52,124 @@
 
     @property
     def rate(self):
-        """States a second."""
+        """Return the number of states per second."""
         return self.states / self.seconds if self.seconds else 0.0
 
 
 def search(start, bounds):
-    """Explores from a world; stops at the first violation.
+    """Search from a state; stop at the first violation.
 
     >>> from .starts import ready
     >>> from .model_state import Scope
     >>> search(ready(Scope()), Bounds(depth=3, deviations=1)).found
     """
     report = Report(start=start)
-    begun = time.perf_counter()
-    for limit in range(bounds.deviations + 1):
-        _deepen(report, start, bounds, limit)
-        if report.found or not report.whole:
+    started_at = time.perf_counter()
+    for maximum_cost in range(bounds.deviations + 1):
+        _deepen(report, start, bounds, maximum_cost)
+        if report.found or not report.complete:
             break
-    report.seconds = time.perf_counter() - begun
+    report.seconds = time.perf_counter() - started_at
     return report
 
 
-def _deepen(report, start, bounds, limit):
-    """One search in breadth with a limit of deviations; a state is left out when it was seen no costlier and no later.
+def _deepen(report, start, bounds, maximum_cost):
+    """Search breadth first up to a number of deviations.
 
-    States that only an earlier limit reaches are walked again; that is a small part of each deeper search.
+    A state is skipped if it was reached before at no higher cost and no greater depth. States
+    within smaller limits are searched again, but they are a small part of each deeper search.
     """
-    interner, seen, luck = Interner(), {}, random.Random(bounds.seed)
+    interner, costs, rng = Interner(), {}, random.Random(bounds.seed)
     frontier = [(start, (), 0)]
     for _ in range(bounds.depth):
-        following = []
-        for world, trace, spent in frontier:
-            for move, cost in _choices(world, limit - spent):
-                after = _next(report, world, trace, move)
+        next_frontier = []
+        for state, trace, cost_so_far in frontier:
+            for transition, cost in _choices(state, maximum_cost - cost_so_far):
+                successor = _apply(report, state, trace, transition)
                 if report.found:
                     return
-                key = after.key(interner)
-                if seen.get(key, limit + 1) <= spent + cost:
+                key = successor.key(interner)
+                if costs.get(key, maximum_cost + 1) <= cost_so_far + cost:
                     continue
-                seen[key] = spent + cost
+                costs[key] = cost_so_far + cost
                 report.states += 1
-                line = (*trace, move)
+                extended_trace = (*trace, transition)
                 if (
                     bounds.settle_every
-                    and luck.random() * bounds.settle_every < 1
-                    and not _settles(report, after, line)
+                    and rng.random() * bounds.settle_every < 1
+                    and not _recovers(report, successor, extended_trace)
                 ):
                     return
                 if bounds.most_states and report.states >= bounds.most_states:
-                    report.whole = False
+                    report.complete = False
                     return
-                following.append((after, line, spent + cost))
-        frontier = following
+                next_frontier.append((successor, extended_trace, cost_so_far + cost))
+        frontier = next_frontier
 
 
-def _choices(world, left):
-    yield fair(world), 0
-    if left > 0:
-        for move in deviations(world):
-            yield move, 1
+def _choices(state, remaining):
+    yield fair(state), 0
+    if remaining > 0:
+        for transition in deviations(state):
+            yield transition, 1
 
 
-def _next(report, world, trace, move):
-    after = world.copy()
-    report.kinds[getattr(move, "what", type(move).__name__)] += 1
+def _apply(report, state, trace, transition):
+    successor = state.copy()
+    report.kinds[getattr(transition, "what", type(transition).__name__)] += 1
     try:
-        move.play(after)
-    except Violation as fault:
-        report.found, report.trace = fault, [*trace, move]
-    return after
+        transition.play(successor)
+    except Violation as violation:
+        report.found, report.trace = violation, [*trace, transition]
+    return successor
 
 
-def _settles(report, world, trace):
+def _recovers(report, state, trace):
     report.settled += 1
     try:
-        settle(world)
-    except Violation as fault:
-        report.found, report.trace = fault, list(trace)
+        settle(state)
+    except Violation as violation:
+        report.found, report.trace = violation, list(trace)
         return False
     return True
 
 
 def walk(start, seed, steps=400, odds=0.12):
-    """One long seeded walk: mostly fair moves, now and then a deviation; at the end all troubles end.
+    """Run one long seeded walk of mostly fair transitions and some deviations, then check the recovery from all faults.
+
+    ``odds`` is the probability of a deviation at each step.
 
     >>> from .starts import ready
     >>> from .model_state import Scope
     >>> walk(ready(Scope()), seed=1, steps=30).states
     30
     """
-    report, luck = Report(start=start), random.Random(seed)
-    begun = time.perf_counter()
-    world, trace = start.copy(), []
+    report, rng = Report(start=start), random.Random(seed)
+    started_at = time.perf_counter()
+    state, trace = start.copy(), []
     try:
         for _ in range(steps):
-            move = _pick(world, luck, odds)
-            trace.append(move)
-            report.kinds[getattr(move, "what", type(move).__name__)] += 1
-            move.play(world)
+            transition = _pick(state, rng, odds)
+            trace.append(transition)
+            report.kinds[getattr(transition, "what", type(transition).__name__)] += 1
+            transition.play(state)
             report.states += 1
         report.settled += 1
-        settle(world)
-    except Violation as fault:
-        report.found, report.trace = fault, trace
-    report.seconds = time.perf_counter() - begun
+        settle(state)
+    except Violation as violation:
+        report.found, report.trace = violation, trace
+    report.seconds = time.perf_counter() - started_at
     return report
 
 
-def _pick(world, luck, odds):
-    """A deviation with some odds: first its kind, then one of that kind, so that messages don't crowd out the rest."""
-    if luck.random() >= odds:
-        return fair(world)
+def _pick(state, rng, odds):
+    """Return a deviation with probability ``odds``, else the fair transition.
+
+    The kind of the deviation is drawn first, then one of that kind, so that the many messages do not dominate.
+    """
+    if rng.random() >= odds:
+        return fair(state)
     kinds = {}
-    for move in deviations(world):
-        kinds.setdefault(getattr(move, "what", type(move)), []).append(move)
-    return luck.choice(kinds[luck.choice(sorted(kinds, key=str))]) if kinds else fair(world)
+    for transition in deviations(state):
+        kinds.setdefault(getattr(transition, "what", type(transition)), []).append(transition)
+    return rng.choice(kinds[rng.choice(sorted(kinds, key=str))]) if kinds else fair(state)
--- a/simulator/check/show.py
+++ b/simulator/check/show.py
@@ -1,4 +1,4 @@
-"""A counterexample as a timeline: the member clocks' time in ms, then a column for each node."""
+"""Formats a counterexample as a timeline: a column for the time in ms, then a column for each node."""
 
 from .transitions import Pass
 
@@ -6,7 +6,7 @@
 
 
 def timeline(start, trace):
-    """The moves from a world as text; fair moves of one kind at one place are not folded, only time is.
+    """Return the transitions from a state as text; a transition of time only advances the time of the rows that follow.
 
     >>> from .transitions import At
     >>> from .model_state import Scope, World
@@ -16,32 +16,44 @@
     100   boot  .  .
     """
     names = list(start.nodes)
-    names += [m.node for m in trace if getattr(m, "what", "") == "join"]
-    rows, now = [], 0
-    for move in trace:
-        if isinstance(move, Pass):
-            now += STEP_MS
+    names += [transition.node for transition in trace if getattr(transition, "what", "") == "join"]
+    rows, now_ms = [], 0
+    for transition in trace:
+        if isinstance(transition, Pass):
+            now_ms += STEP_MS
             continue
-        cells = move.cells()
-        rows.append([str(now), *(cells.get(name, cells.get("all", ".")) for name in names)])
-    return _aligned([["ms", *names], *_folded(rows)])
+        cells = transition.cells()
+        rows.append([str(now_ms), *(cells.get(name, cells.get("all", ".")) for name in names)])
+    return _align([["ms", *names], *_merge_rows(rows)])
 
 
-def _folded(rows):
-    """Joins neighbouring rows of one time that stand in different columns, in order."""
-    out = []
+def _merge_rows(rows):
+    """Merge consecutive rows with the same time if each cell of the second is right of all cells of the first."""
+    merged = []
     for row in rows:
-        last = out[-1] if out else None
-        if last and last[0] == row[0] and all(a == "." or b == "." for a, b in zip(last[1:], row[1:], strict=False)):
-            used = max((i for i, cell in enumerate(last) if i and cell != "."), default=0)
-            if min(i for i, cell in enumerate(row) if i and cell != ".") > used:
-                out[-1] = [last[0], *(b if a == "." else a for a, b in zip(last[1:], row[1:], strict=False))]
+        last = merged[-1] if merged else None
+        if (
+            last
+            and last[0] == row[0]
+            and all(previous == "." or current == "." for previous, current in zip(last[1:], row[1:], strict=False))
+        ):
+            last_used = max((column for column, cell in enumerate(last) if column and cell != "."), default=0)
+            if min(column for column, cell in enumerate(row) if column and cell != ".") > last_used:
+                merged[-1] = [
+                    last[0],
+                    *(
+                        current if previous == "." else previous
+                        for previous, current in zip(last[1:], row[1:], strict=False)
+                    ),
+                ]
                 continue
-        out.append(row)
-    return out
+        merged.append(row)
+    return merged
 
 
-def _aligned(rows):
-    widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
+def _align(rows):
+    widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
     widths[0] = max(widths[0], 4)
-    return "\n".join("  ".join(cell.ljust(w) for cell, w in zip(row, widths, strict=False)).rstrip() for row in rows)
+    return "\n".join(
+        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=False)).rstrip() for row in rows
+    )
--- a/simulator/check/shrink.py
+++ b/simulator/check/shrink.py
@@ -1,95 +1,98 @@
-"""Shortens a long walk that found a fault: fewer deviations, then fewer fair moves, with the same kind of fault."""
+"""Shortens the trace of a walk that found a violation, while it still leads to a violation of the same kind."""
 
 from .history import Violation
 from .recovery import settle
 from .transitions import Deliver, Drop, deviations, fair
 
 
-def kind(fault):
-    """The kind of a fault: its words without names, numbers and states.
+def kind(violation):
+    """Return the kind of a violation: its message without names, numbers and states.
 
     >>> kind(Violation("two primaries in one epoch: a and b"))
     'two primaries in one epoch'
     """
-    text = str(fault).split(":")[0].split("'")[0]
-    return " ".join(word for word in text.split() if not any(ch.isdigit() for ch in word))
+    text = str(violation).split(":")[0].split("'")[0]
+    return " ".join(word for word in text.split() if not any(character.isdigit() for character in word))
 
 
-def _same_message(world, wanted):
-    """The message on its way that fills the place of one from the longer walk."""
+def _matching_message(state, wanted):
+    """Return the first message in flight with the same link and record type, or None."""
 
-    def place(message):
+    def link_and_type(message):
         return message.source, message.target, type(message.record)
 
-    return next((message for message in world.flight if place(message) == place(wanted)), None)
+    return next((message for message in state.flight if link_and_type(message) == link_and_type(wanted)), None)
 
 
-def _fitting(world, move):
-    """The move as it can be played here, or None."""
-    if isinstance(move, Deliver | Drop):
-        message = _same_message(world, move.message)
+def _applicable(state, transition):
+    """Return the transition that corresponds to ``transition`` in this state, or None."""
+    if isinstance(transition, Deliver | Drop):
+        message = _matching_message(state, transition.message)
         if message is None:
             return None
-        return Drop(message) if isinstance(move, Drop) else Deliver(message, move.again)
-    return move if move in deviations(world) else None
+        return Drop(message) if isinstance(transition, Drop) else Deliver(message, transition.again)
+    return transition if transition in deviations(state) else None
 
 
-def replay(start, plan, settles):
-    """Plays a plan, where None is a fair move; gives the fault or None, and the moves that were played."""
-    world, played = start.copy(), []
+def replay(start, plan, check_recovery):
+    """Play a plan, in which None stands for a fair transition, and check the recovery at the end if asked to.
+
+    Return the violation or None, and the transitions played.
+    """
+    state, played = start.copy(), []
     try:
         for wanted in plan:
-            move = fair(world) if wanted is None else _fitting(world, wanted)
-            if move is not None:
-                played.append(move)
-                move.play(world)
-        if settles:
-            settle(world)
-    except Violation as fault:
-        return fault, played
+            transition = fair(state) if wanted is None else _applicable(state, wanted)
+            if transition is not None:
+                played.append(transition)
+                transition.play(state)
+        if check_recovery:
+            settle(state)
+    except Violation as violation:
+        return violation, played
     return None, played
 
 
 def as_plan(start, trace):
-    """The plan of a trace: None for each fair move.
+    """Return the plan of a trace, with None for each fair transition.
 
     >>> from .transitions import At
     >>> from .model_state import Scope, World
     >>> as_plan(World.begin(Scope()), [At("saved", "a"), At("kill", "b")])
     [None, At(what='kill', node='b')]
     """
-    world, plan = start.copy(), []
-    for move in trace:
-        plan.append(None if move == fair(world) else move)
+    state, plan = start.copy(), []
+    for transition in trace:
+        plan.append(None if transition == fair(state) else transition)
         try:
-            move.play(world)
+            transition.play(state)
         except Violation:
             break
     return plan
 
 
-def shrink(report, most=3000):
-    """A report with a shorter trace to the same kind of fault; plays at most so many plans."""
+def shrink(report, maximum_plays=3000):
+    """Shorten the trace of a report to a violation of the same kind; play at most ``maximum_plays`` plans."""
     wanted = kind(report.found)
     plan = as_plan(report.start, report.trace)
     played = 0
-    for settles in (False, True):
-        fault, _ = replay(report.start, plan, settles)
-        if fault is not None and kind(fault) == wanted:
+    for check_recovery in (False, True):
+        violation, _ = replay(report.start, plan, check_recovery)
+        if violation is not None and kind(violation) == wanted:
             break
     else:
         return report
     size = max(1, len(plan) // 2)
-    while size and played < most:
-        at, cut = 0, False
-        while at < len(plan) and played < most:
-            shorter = plan[:at] + plan[at + size :]
+    while size and played < maximum_plays:
+        start, shortened = 0, False
+        while start < len(plan) and played < maximum_plays:
+            shorter = plan[:start] + plan[start + size :]
             played += 1
-            fault, _ = replay(report.start, shorter, settles)
-            if fault is not None and kind(fault) == wanted:
-                plan, cut = shorter, True
+            violation, _ = replay(report.start, shorter, check_recovery)
+            if violation is not None and kind(violation) == wanted:
+                plan, shortened = shorter, True
             else:
-                at += size
-        size = size if cut and size == 1 else size // 2
-    report.found, report.trace = replay(report.start, plan, settles)
+                start += size
+        size = size if shortened and size == 1 else size // 2
+    report.found, report.trace = replay(report.start, plan, check_recovery)
     return report
--- a/simulator/check/transitions.py
+++ b/simulator/check/transitions.py
@@ -1,4 +1,4 @@
-"""What may happen next in a model state: one transition of the fair schedule, and the deviations from it."""
+"""Transitions of the model: the next one of the fair schedule, and all deviations from it."""
 
 from datetime import timedelta
 
@@ -7,27 +7,27 @@
 from . import adapter
 from .model_state import NEWCOMERS, STEP, Message
 
-# A schedule without progress in time ends after this many transitions, and 100 more for each ms that it may take.
+# A fair run ends after this many transitions, plus 100 for each ms of its duration, even if time does not advance.
 MAXIMUM_TRANSITIONS = 500
 
 
 @frozen
 class Deliver:
-    """A message arrives, perhaps out of order; ``again`` leaves a copy on its way."""
+    """A message arrives, possibly out of order; with ``again``, a duplicate stays in flight."""
 
     message: Message
     again: bool = False
 
-    def play(self, world):
-        """Carries it out."""
+    def play(self, state):
+        """Apply the transition to a state."""
         if not self.again:
-            world.flight.remove(self.message)
-        world.deliver(self.message)
+            state.flight.remove(self.message)
+        state.deliver(self.message)
 
     def cells(self):
-        """Where and how a timeline shows it."""
-        word = "twice" if self.again else "got"
-        return {self.message.target: f"{word}:{type(self.message.record).__name__}/{self.message.source}"}
+        """Return the cells of the transition in a timeline, by node."""
+        label = "twice" if self.again else "got"
+        return {self.message.target: f"{label}:{type(self.message.record).__name__}/{self.message.source}"}
 
 
 @frozen
@@ -36,136 +36,136 @@
 
     message: Message
 
-    def play(self, world):
-        """Carries it out."""
-        world.flight.remove(self.message)
+    def play(self, state):
+        """Apply the transition to a state."""
+        state.flight.remove(self.message)
 
     def cells(self):
-        """Where and how a timeline shows it."""
+        """Return the cells of the transition in a timeline, by node."""
         return {self.message.target: f"lost:{type(self.message.record).__name__}/{self.message.source}"}
 
 
 @frozen
 class Pass:
-    """Time passes at all members alike."""
+    """The clocks of all running members advance by one step."""
 
-    def play(self, world):
-        """Carries it out."""
-        for name in world.up():
-            world.tick(name, STEP)
+    def play(self, state):
+        """Apply the transition to a state."""
+        for name in state.up():
+            state.tick(name, STEP)
 
     def cells(self):
-        """Where and how a timeline shows it."""
+        """Return the cells of the transition in a timeline, by node."""
         return {}
 
 
 @frozen
 class At:
-    """Something happens at one member; ``what`` is a word of the timelines where they have one."""
+    """An event at one member; ``what`` is its name, as timelines show it."""
 
     what: str
     node: str
 
-    def play(self, world):
-        """Carries it out."""
-        _EVENTS[self.what](world, self.node)
-        if self.what in _COUNTED:
-            world.used[_COUNTED[self.what]] = world.used.get(_COUNTED[self.what], 0) + 1
+    def play(self, state):
+        """Apply the transition to a state."""
+        _EVENTS[self.what](state, self.node)
+        if self.what in _BUDGETS:
+            state.used[_BUDGETS[self.what]] = state.used.get(_BUDGETS[self.what], 0) + 1
 
     def cells(self):
-        """Where and how a timeline shows it."""
+        """Return the cells of the transition in a timeline, by node."""
         return {self.node: self.what}
 
 
 @frozen
 class Power:
-    """All lose power at once, saves under way are lost, and all start again."""
+    """All running members lose power at once, lose their pending saves, and restart."""
 
-    def play(self, world):
-        """Carries it out."""
-        world.used["powers"] = world.used.get("powers", 0) + 1
-        names = world.up()
+    def play(self, state):
+        """Apply the transition to a state."""
+        state.used["powers"] = state.used.get("powers", 0) + 1
+        names = state.up()
         for name in names:
-            world.stop(name)
-        world.flight, world.orders = [], {}
+            state.stop(name)
+        state.flight, state.orders = [], {}
         for name in names:
-            world.boot(name)
+            state.boot(name)
 
     def cells(self):
-        """Where and how a timeline shows it."""
+        """Return the cells of the transition in a timeline, by node."""
         return {"all": "kill+boot"}
 
 
-def _cut_links(world, links):
-    """Cuts (source, target) links; the messages on them are lost."""
-    world.cuts |= set(links)
-    world.flight = [message for message in world.flight if (message.source, message.target) not in world.cuts]
+def _cut_links(state, links):
+    """Cut (source, target) links; the messages in flight on them are lost."""
+    state.cuts |= set(links)
+    state.flight = [message for message in state.flight if (message.source, message.target) not in state.cuts]
 
 
-def separate(world, half):
-    """Cuts some members off from all others, both ways."""
-    rest = [name for name in world.nodes if name not in half]
-    _cut_links(world, [link for one in half for other in rest for link in ((one, other), (other, one))])
+def separate(state, group):
+    """Partition some members from all others, in both directions."""
+    others = [name for name in state.nodes if name not in group]
+    _cut_links(state, [link for member in group for other in others for link in ((member, other), (other, member))])
 
 
-def _isolate(world, name, outwards=True, inwards=True):
-    """Cuts one member off from all others, in one direction or both."""
-    others = [other for other in world.nodes if other != name]
+def _isolate(state, name, outwards=True, inwards=True):
+    """Isolate one member from all others, in one direction or both."""
+    others = [other for other in state.nodes if other != name]
     outgoing = [(name, other) for other in others] if outwards else []
     incoming = [(other, name) for other in others] if inwards else []
-    _cut_links(world, outgoing + incoming)
+    _cut_links(state, outgoing + incoming)
 
 
-def _partition(world, name):
-    """Parts the members into halves: this one and those behind it in order, and the rest."""
-    names = list(world.nodes)
+def _partition(state, name):
+    """Partition the members into halves: this one with the next ones in order (wrapping around), and the others."""
+    names = list(state.nodes)
     start = names.index(name)
-    separate(world, {names[(start + offset) % len(names)] for offset in range(len(names) // 2)})
+    separate(state, {names[(start + offset) % len(names)] for offset in range(len(names) // 2)})
 
 
-def _wipe(world, name):
-    if whole(world):
-        world.lost_disks = 0
-    world.lost_disks += 1
-    world.wipe(name)
+def _wipe(state, name):
+    if fully_repaired(state):
+        state.lost_disks = 0
+    state.lost_disks += 1
+    state.wipe(name)
 
 
-def _remove(world, name):
-    _wipe(world, name)
-    world.nodes[name].gone = True
+def _remove(state, name):
+    _wipe(state, name)
+    state.nodes[name].removed = True
 
 
-def _join(world, name):
-    world.add(name)
-    world.boot(name)
+def _join(state, name):
+    state.add(name)
+    state.boot(name)
 
 
-def _set_stalled(world, name, stalled):
-    world.own(name).stalled = stalled
+def _set_stalled(state, name, stalled):
+    state.own(name).stalled = stalled
 
 
 _EVENTS = {
-    "saved": lambda world, name: world.saved(name),
-    "save-failed": lambda world, name: world.save_failed(name),
-    "timeout": lambda world, name: world.tick(name, adapter.SPANS.election_timeout * 1.1),
-    "dead-timeout": lambda world, name: world.tick(name, adapter.SPANS.removal_timeout * 1.1),
-    "kill": lambda world, name: world.stop(name),
-    "kill-saved": lambda world, name: world.stop(name, finish_saves=True),
-    "boot": lambda world, name: world.boot(name),
+    "saved": lambda state, name: state.saved(name),
+    "save-failed": lambda state, name: state.save_failed(name),
+    "timeout": lambda state, name: state.tick(name, adapter.TIMING.election_timeout * 1.1),
+    "dead-timeout": lambda state, name: state.tick(name, adapter.TIMING.removal_timeout * 1.1),
+    "kill": lambda state, name: state.stop(name),
+    "kill-saved": lambda state, name: state.stop(name, finish_saves=True),
+    "boot": lambda state, name: state.boot(name),
     "wipe": _wipe,
     "remove": _remove,
     "join": _join,
-    "leave": lambda world, name: world.leave(name),
-    "write": lambda world, name: world.order(name),
-    "cut": lambda world, name: _isolate(world, name),
-    "cut-in": lambda world, name: _isolate(world, name, outwards=False),
-    "cut-out": lambda world, name: _isolate(world, name, inwards=False),
+    "leave": lambda state, name: state.leave(name),
+    "write": lambda state, name: state.order(name),
+    "cut": lambda state, name: _isolate(state, name),
+    "cut-in": lambda state, name: _isolate(state, name, outwards=False),
+    "cut-out": lambda state, name: _isolate(state, name, inwards=False),
     "split": _partition,
-    "heal": lambda world, name: setattr(world, "cuts", frozenset()),
-    "stall": lambda world, name: _set_stalled(world, name, True),
-    "flow": lambda world, name: _set_stalled(world, name, False),
+    "heal": lambda state, name: setattr(state, "cuts", frozenset()),
+    "stall": lambda state, name: _set_stalled(state, name, True),
+    "flow": lambda state, name: _set_stalled(state, name, False),
 }
-_COUNTED = {
+_BUDGETS = {
     "save-failed": "failed_saves",
     "kill": "crashes",
     "kill-saved": "crashes",
@@ -182,137 +182,144 @@
 }
 
 
-def whole(world):
-    """Whether all that repairs can do is done: all of the roster is there, and all holders have what is decided."""
-    name = world.primary()
+def fully_repaired(state):
+    """Whether repair is complete: all members of a full roster run, and all holders have the committed data on disk."""
+    name = state.primary()
     if name is None:
         return False
-    view = adapter.leading_view(world.nodes[name].ledger)
-    here = [world.holder(identity) for identity in view.ids]
-    if any(node is None or node.ledger is None or node.leaving for node in here):
+    view = adapter.leading_view(state.nodes[name].ledger)
+    members = [state.holder(identity) for identity in view.ids]
+    if any(node is None or node.ledger is None or node.leaving for node in members):
         return False
-    if len(view.ids) < 2 * world.scope.replicas + 1:
+    if len(view.ids) < 2 * state.scope.replicas + 1:
         return False
-    if len(view.holders) < world.scope.replicas + 1 or not adapter.settled(world.nodes[name].ledger):
+    if len(view.holders) < state.scope.replicas + 1 or not adapter.settled(state.nodes[name].ledger):
         return False
-    decided = world.nodes[name].ledger.decided.version
-    return all(world.holder(i).disk[1].version >= decided for i in view.holders if world.holder(i).disk)
+    decided = state.nodes[name].ledger.decided.version
+    return all(
+        state.holder(identity).disk[1].version >= decided for identity in view.holders if state.holder(identity).disk
+    )
 
 
-def disks_lost(world):
-    """How many disks are lost that no repair has made good yet.
+def disks_lost(state):
+    """Return the number of lost disks that are not repaired yet.
 
-    A machine that ended before its first save is as good as lost, and so is
-    one that has left as planned until all is whole without it.
+    A founder that stopped before its first save counts as lost. So does a machine that completed its planned leave,
+    until the repair without it is complete.
     """
-    if whole(world):
+    if fully_repaired(state):
         return 0
-    founders = (world.nodes[name] for name in world.scope.members)
+    founders = (state.nodes[name] for name in state.scope.members)
     unsaved = sum(node.ledger is None and node.disk is None and not node.wiped for node in founders)
-    return world.lost_disks + unsaved + sum(node.left for node in world.nodes.values())
+    return state.lost_disks + unsaved + sum(node.left for node in state.nodes.values())
 
 
-def fair(world):
-    """The move of the fair schedule: messages in order, then saves, then time."""
-    if world.flight:
-        return Deliver(world.flight[0])
-    for name, node in world.nodes.items():
+def fair(state):
+    """Return the next transition of the fair schedule: messages in order, then saves, then time."""
+    if state.flight:
+        return Deliver(state.flight[0])
+    for name, node in state.nodes.items():
         if node.saves and not node.stalled:
             return At("saved", name)
     return Pass()
 
 
-def run_fairly(world, duration_ms, until=None):
-    """Plays the fair schedule for some ms of simulated time, or until ``until(world)`` holds; tells whether it did.
+def run_fairly(state, duration_ms, until=None):
+    """Play the fair schedule for some ms of simulated time, or until ``until(state)`` holds; return whether it held.
 
     >>> from .model_state import Scope, World
-    >>> run_fairly(World.begin(Scope()), 3000, until=lambda world: world.primary() is not None)
+    >>> run_fairly(World.begin(Scope()), 3000, until=lambda state: state.primary() is not None)
     True
     """
-    passed = timedelta(0)
+    elapsed = timedelta(0)
     for _ in range(MAXIMUM_TRANSITIONS + 100 * duration_ms):
-        if until is not None and until(world):
+        if until is not None and until(state):
             return True
-        transition = fair(world)
+        transition = fair(state)
         if isinstance(transition, Pass):
-            if passed >= timedelta(milliseconds=duration_ms):
+            if elapsed >= timedelta(milliseconds=duration_ms):
                 break
-            passed += STEP
-        transition.play(world)
+            elapsed += STEP
+        transition.play(state)
     return False
 
 
-def deviations(world):
-    """All other moves within the scope's limits, in a fixed order."""
-    return [*_message_moves(world), *_time_moves(world), *_node_moves(world), *_whole_moves(world)]
+def deviations(state):
+    """Return all other transitions within the scope's limits, in a fixed order."""
+    return [
+        *_message_transitions(state),
+        *_time_transitions(state),
+        *_node_transitions(state),
+        *_fleet_transitions(state),
+    ]
 
 
-def _message_moves(world):
-    for index, message in enumerate(world.flight):
+def _message_transitions(state):
+    for index, message in enumerate(state.flight):
         if index:
             yield Deliver(message)
         yield Deliver(message, again=True)
         yield Drop(message)
 
 
-def _time_moves(world):
-    if world.flight or any(node.saves for node in world.nodes.values()):
+def _time_transitions(state):
+    if state.flight or any(node.saves for node in state.nodes.values()):
         yield Pass()
-    for name in world.up():
+    for name in state.up():
         yield At("timeout", name)
         yield At("dead-timeout", name)
 
 
-def _may(world, budget):
-    return world.used.get(budget, 0) < getattr(world.scope, budget)
+def _within_budget(state, budget):
+    return state.used.get(budget, 0) < getattr(state.scope, budget)
 
 
-def _node_moves(world):
-    for name, node in world.nodes.items():
-        if node.gone:
+def _node_transitions(state):
+    for name, node in state.nodes.items():
+        if node.removed:
             continue
         if node.ledger is None:
             yield At("boot", name)
         else:
-            yield from _running_moves(world, name, node)
-        if _may(world, "wipes") and node.disk and disks_lost(world) < world.scope.replicas:
+            yield from _running_transitions(state, name, node)
+        if _within_budget(state, "wipes") and node.disk and disks_lost(state) < state.scope.replicas:
             yield At("wipe", name)
             yield At("remove", name)
 
 
-def _running_moves(world, name, node):
+def _running_transitions(state, name, node):
     if node.saves:
-        if world.flight and not node.stalled:
+        if state.flight and not node.stalled:
             yield At("saved", name)
-        if _may(world, "failed_saves"):
+        if _within_budget(state, "failed_saves"):
             yield At("save-failed", name)
-    if _may(world, "crashes"):
+    if _within_budget(state, "crashes"):
         yield At("kill", name)
         if node.saves:
             yield At("kill-saved", name)
-    if node.ledger.leading() and _may(world, "writes"):
+    if node.ledger.leading() and _within_budget(state, "writes"):
         yield At("write", name)
     if node.stalled:
         yield At("flow", name)
-    elif _may(world, "stalls"):
+    elif _within_budget(state, "stalls"):
         yield At("stall", name)
     if (
-        _may(world, "leaves")
-        and world.history.primaries
+        _within_budget(state, "leaves")
+        and state.history.primaries
         and not node.leaving
-        and len(world.up()) > len(world.scope.members)
+        and len(state.up()) > len(state.scope.members)
     ):
         yield At("leave", name)
-    if not world.cuts and _may(world, "cuts"):
-        yield from (At(way, name) for way in ("cut", "cut-in", "cut-out"))
-        if len(world.nodes) > 3:
+    if not state.cuts and _within_budget(state, "cuts"):
+        yield from (At(direction, name) for direction in ("cut", "cut-in", "cut-out"))
+        if len(state.nodes) > 3:
             yield At("split", name)
 
 
-def _whole_moves(world):
-    if world.cuts:
-        yield At("heal", next(iter(world.nodes)))
-    if _may(world, "powers"):
+def _fleet_transitions(state):
+    if state.cuts:
+        yield At("heal", next(iter(state.nodes)))
+    if _within_budget(state, "powers"):
         yield Power()
-    if _may(world, "joins"):
-        yield At("join", next(name for name in NEWCOMERS if name not in world.nodes))
+    if _within_budget(state, "joins"):
+        yield At("join", next(name for name in NEWCOMERS if name not in state.nodes))
