--- a/simulator/clock.py
+++ b/simulator/clock.py
@@ -1,4 +1,4 @@
-"""The simulated clock: things to do, in the order of their time."""
+"""Simulated time: callbacks that run in the order of their due times."""
 
 import heapq
 from datetime import timedelta
@@ -8,29 +8,29 @@
 
 
 class Clock:
-    """Simulated time; it moves only when it is run.
+    """A simulated clock; its time advances only while it is run.
 
-    >>> c, seen = Clock(), []
-    >>> c.at(5 * MS, lambda: seen.append("late")); c.at(MS, lambda: seen.append("soon"))
-    >>> c.run(10); seen, c.now
+    >>> clock, called = Clock(), []
+    >>> clock.at(5 * MS, lambda: called.append("late")); clock.at(MS, lambda: called.append("soon"))
+    >>> clock.run(10); called, clock.now
     (['soon', 'late'], datetime.timedelta(microseconds=10000))
     """
 
     def __init__(self):
-        self.now, self.tie, self.todo = 0 * MS, count(), []
+        self.now, self.sequence, self.scheduled = 0 * MS, count(), []
 
-    def at(self, delay, fn):
-        """Calls ``fn`` after a delay; at the same time, in the order of asking."""
-        heapq.heappush(self.todo, (self.now + delay, next(self.tie), fn))
+    def at(self, delay, callback):
+        """Schedule ``callback`` after a delay; callbacks due at the same time run in the order of their scheduling."""
+        heapq.heappush(self.scheduled, (self.now + delay, next(self.sequence), callback))
 
     def run(self, ms):
-        """Plays a number of ms."""
+        """Advance the time by a number of ms."""
         self.run_for(ms * MS)
 
-    def run_for(self, span):
-        """Plays a span of time."""
-        end = self.now + span
-        while self.todo and self.todo[0][0] <= end:
-            self.now, _, fn = heapq.heappop(self.todo)
-            fn()
+    def run_for(self, duration):
+        """Advance the time by a duration, and run the callbacks due within it."""
+        end = self.now + duration
+        while self.scheduled and self.scheduled[0][0] <= end:
+            self.now, _, callback = heapq.heappop(self.scheduled)
+            callback()
         self.now = end
--- a/simulator/core.py
+++ b/simulator/core.py
@@ -1,4 +1,4 @@
-"""A core of controllers in simulated time: each has a ledger, a disk and links; seeded luck."""
+"""A consensus group of controllers in simulated time, with simulated disks and links and a seeded random generator."""
 
 import random
 from datetime import timedelta
@@ -22,13 +22,13 @@
 
 from .clock import MS, Clock
 
-SPANS = ConsensusTiming.of(timedelta(seconds=3))
+TIMING = ConsensusTiming.of(timedelta(seconds=3))
 TICK = 20 * MS
-LEAVE_BOUND = 4000 * MS
+LEAVE_TIMEOUT = 4000 * MS
 
 
 class Core(Clock):
-    """Some controllers whose links can be cut, whose disks can stall, and that can be killed or wiped.
+    """A group of controllers with fault injection: cut links, stalled or wiped disks, and killed members.
 
     >>> core = Core("abc"); core.run(2500); core.write(5)
     True
@@ -40,178 +40,189 @@
         self.names, self.replicas, self.loss, self.zones = list(names), replicas, loss, zones or {}
         self.nodes, self.disks, self.members = {}, {}, {}
         self.cuts, self.stalled, self.off = set(), set(), set()
-        self.disk_free, self.waiting = {}, {}
+        self.disk_free_at, self.stalled_saves = {}, {}
         self.decided, self.lost, self.confirmed = {}, set(), {}
-        self.acked, self.ids, self.lives = [], count(100), count()
+        self.acknowledged, self.ids, self.incarnations = [], count(100), count()
         self.left = {}
         self.copy_delay = 0 * MS
-        self.seeds = [(n, 1) for n in seeds or names]
-        for n in names:
-            self.boot(n, first=True)
+        self.seeds = [(name, 1) for name in seeds or names]
+        for name in names:
+            self.boot(name, first=True)
 
-    def boot(self, n, first=False):
-        """Starts a member with what its disk holds; a name not used before is a new machine."""
-        disk = self.disks.get(n)
+    def boot(self, name, first=False):
+        """Start a member from its disk; an empty disk gives it a new identity."""
+        disk = self.disks.get(name)
         if disk is None:
-            founder = first and (n, 1) in self.seeds
-            id = founder_id(self.seeds, n, 1) if founder else next(self.ids)
-            self.members[n] = Member(id, n, 1, self.zones.get(n, "z" + n), n + ":9")
-        luck = random.Random(self.rng.random())
-        ledger = ConsensusMember.start(self.members[n], disk, first, SPANS, luck, self.replicas, self.seeds, self.now)
-        life = next(self.lives)
-        self.nodes[n] = (ledger, life)
-        self.off.discard(n)
-        self.left.pop(n, None)
-        self.disk_free[n], self.waiting[n] = self.now, []
+            founder = first and (name, 1) in self.seeds
+            identity = founder_id(self.seeds, name, 1) if founder else next(self.ids)
+            self.members[name] = Member(identity, name, 1, self.zones.get(name, "z" + name), name + ":9")
+        member_rng = random.Random(self.rng.random())
+        ledger = ConsensusMember.start(
+            self.members[name], disk, first, TIMING, member_rng, self.replicas, self.seeds, self.now
+        )
+        incarnation = next(self.incarnations)
+        self.nodes[name] = (ledger, incarnation)
+        self.off.discard(name)
+        self.left.pop(name, None)
+        self.disk_free_at[name], self.stalled_saves[name] = self.now, []
         if disk is None:
-            self.act(n, [ledger.save()])
-        self.at(MS, lambda: self._tick(n, life))
+            self.act(name, [ledger.save()])
+        self.at(MS, lambda: self._tick(name, incarnation))
 
-    def up(self, n, life):
-        """Whether that life of a member still runs."""
-        return n not in self.off and self.nodes[n][1] == life
+    def is_running(self, name, incarnation):
+        """Whether this incarnation of a member is running."""
+        return name not in self.off and self.nodes[name][1] == incarnation
 
-    def _tick(self, n, life):
-        if not self.up(n, life):
+    def _tick(self, name, incarnation):
+        if not self.is_running(name, incarnation):
             return
-        self.act(n, self.nodes[n][0].tick(self.now))
-        self.at(TICK, lambda: self._tick(n, life))
+        self.act(name, self.nodes[name][0].tick(self.now))
+        self.at(TICK, lambda: self._tick(name, incarnation))
 
-    def act(self, n, actions):
-        """Carries out a member's actions."""
+    def act(self, name, actions):
+        """Execute a member's actions."""
         for action in actions or ():
             if isinstance(action, Save):
-                self._save(n, action)
+                self._save(name, action)
             elif isinstance(action, Send):
-                for to in self._where(n, action.destination):
-                    self._send(n, to, action.record)
+                for target in self._targets(name, action.destination):
+                    self._send(name, target, action.record)
             elif isinstance(action, Committed):
-                self.decided[n, action.id] = action.data
+                self.decided[name, action.id] = action.data
                 if action.id:
-                    self.acked.append(action.data)
+                    self.acknowledged.append(action.data)
             elif isinstance(action, Aborted):
-                self.lost.add((n, action.id))
+                self.lost.add((name, action.id))
             elif isinstance(action, ReadConfirmed):
-                self.confirmed[n, action.id] = action.data
+                self.confirmed[name, action.id] = action.data
             elif isinstance(action, LeaveCompleted):
-                self.left[n] = self.now
+                self.left[name] = self.now
 
-    def _save(self, n, save):
-        """Saves reach the disk in order; a stalled disk keeps them all waiting."""
-        if n in self.stalled:
-            self.waiting[n].append(save)
+    def _save(self, name, save):
+        """Complete a save after the disk's latency, in order; the saves of a stalled disk wait."""
+        if name in self.stalled:
+            self.stalled_saves[name].append(save)
             return
-        life = self.nodes[n][1]
-        self.disk_free[n] = max(self.disk_free[n] + MS, self.now + (20 + 10 * self.rng.random()) * MS)
-        self.at(self.disk_free[n] - self.now, lambda: self._saved(n, life, save))
+        incarnation = self.nodes[name][1]
+        self.disk_free_at[name] = max(self.disk_free_at[name] + MS, self.now + (20 + 10 * self.rng.random()) * MS)
+        self.at(self.disk_free_at[name] - self.now, lambda: self._saved(name, incarnation, save))
 
-    def _saved(self, n, life, save):
-        if not self.up(n, life):
+    def _saved(self, name, incarnation, save):
+        if not self.is_running(name, incarnation):
             return
-        if n in self.stalled:
-            self.waiting[n].append(save)
+        if name in self.stalled:
+            self.stalled_saves[name].append(save)
             return
-        ledger, old = self.nodes[n][0], self.disks.get(n)
-        self.disks[n] = (save.register, save.data if save.data is not None else old[1] if old else ledger.data)
-        self.act(n, ledger.saved(self.now, save))
-
-    def stall(self, n):
-        """The member's disk answers nothing."""
-        self.stalled.add(n)
-
-    def flow(self, n=None):
-        """The stalled disk, or all, go on with what waits for them."""
-        for name in [n] if n else list(self.stalled):
-            self.stalled.discard(name)
-            saves, self.waiting[name] = self.waiting.get(name, []), []
+        ledger, previous = self.nodes[name][0], self.disks.get(name)
+        self.disks[name] = (
+            save.register,
+            save.data if save.data is not None else previous[1] if previous else ledger.data,
+        )
+        self.act(name, ledger.saved(self.now, save))
+
+    def stall(self, name):
+        """Stall a member's disk, so that no save completes."""
+        self.stalled.add(name)
+
+    def flow(self, name=None):
+        """Resume a stalled disk, or all of them, with the saves that wait."""
+        for stalled_name in [name] if name else list(self.stalled):
+            self.stalled.discard(stalled_name)
+            saves, self.stalled_saves[stalled_name] = self.stalled_saves.get(stalled_name, []), []
             for save in saves:
-                self._save(name, save)
+                self._save(stalled_name, save)
 
-    def _where(self, n, to):
-        if to is CONTROLLERS:
-            return [m for m in self.nodes if m != n]
-        if to is SEEDS:
-            return [m for m, _ in self.seeds]
-        return [to.host]
+    def _targets(self, name, destination):
+        if destination is CONTROLLERS:
+            return [other for other in self.nodes if other != name]
+        if destination is SEEDS:
+            return [other for other, _ in self.seeds]
+        return [destination.host]
 
-    def _send(self, n, to, record):
-        if to not in self.nodes:
+    def _send(self, name, target, record):
+        if target not in self.nodes:
             return
-        life = self.nodes[to][1]
-        lost = not isinstance(record, Copy) and n != to and self.rng.random() < self.loss
-        if (n, to) in self.cuts or lost:
+        incarnation = self.nodes[target][1]
+        lost = not isinstance(record, Copy) and name != target and self.rng.random() < self.loss
+        if (name, target) in self.cuts or lost:
             return
-        delay = 0 * MS if n == to else (1 + 2 * self.rng.random()) * MS
-        if isinstance(record, Copy) and n != to:
+        delay = 0 * MS if name == target else (1 + 2 * self.rng.random()) * MS
+        if isinstance(record, Copy) and name != target:
             delay += self.copy_delay
-        self.at(delay, lambda: self._arrive(to, life, record))
+        self.at(delay, lambda: self._arrive(target, incarnation, record))
 
-    def _arrive(self, to, life, record):
-        if self.up(to, life):
-            self.act(to, self.nodes[to][0].receive(self.now, record))
+    def _arrive(self, target, incarnation, record):
+        if self.is_running(target, incarnation):
+            self.act(target, self.nodes[target][0].receive(self.now, record))
 
-    def leave(self, n, bound=LEAVE_BOUND):
-        """A planned end: the member goes once nothing rests on it, or at the bound."""
-        self.act(n, self.nodes[n][0].leave(self.now))
-        life, end = self.nodes[n][1], self.now + bound
+    def leave(self, name, timeout=LEAVE_TIMEOUT):
+        """Start a planned leave; the member stops once it has left, or at the timeout."""
+        self.act(name, self.nodes[name][0].leave(self.now))
+        incarnation, end = self.nodes[name][1], self.now + timeout
 
-        def watch():
-            if not self.up(n, life):
+        def stop_when_left():
+            if not self.is_running(name, incarnation):
                 return
-            if n in self.left or self.now >= end:
-                self.kill(n)
+            if name in self.left or self.now >= end:
+                self.kill(name)
                 return
-            self.at(TICK, watch)
+            self.at(TICK, stop_when_left)
 
-        watch()
+        stop_when_left()
 
     def view(self):
-        """The view of the member that leads."""
+        """Return the leader's view."""
         return self.nodes[self.leader()][0].leadership.view
 
     def voters(self):
-        """The names of the machines that vote in the leader's view."""
+        """Return the names of the voters of the leader's view."""
         return {member.host for member in self.view().roster}
 
     def holders(self):
-        """The names of the machines that hold the data in the leader's view."""
+        """Return the names of the members that hold the data in the leader's view."""
         view = self.view()
         return {member.host for member in view.roster if member.id in view.holders}
 
     def leader(self):
-        """The member that leads in the newest epoch, or None."""
-        up = [n for n in self.nodes if n not in self.off and self.nodes[n][0].leading()]
-        return max(up, key=lambda n: self.nodes[n][0].leadership.epoch, default=None)
-
-    def kill(self, n):
-        """Stops a member; its disk stays."""
-        self.off.add(n)
-
-    def wipe(self, n):
-        """Stops a member and empties its disk."""
-        self.kill(n)
-        self.disks.pop(n, None)
-
-    def cut(self, n, others=None, way="both"):
-        """Cuts a member from others (all), both ways, or ``in`` or ``out`` only."""
-        for o in others or self.nodes:
-            if o != n:
-                self.cuts |= {(n, o)} if way == "out" else {(o, n)} if way == "in" else {(n, o), (o, n)}
+        """Return the member that leads in the newest epoch, or None."""
+        leaders = [name for name in self.nodes if name not in self.off and self.nodes[name][0].leading()]
+        return max(leaders, key=lambda name: self.nodes[name][0].leadership.epoch, default=None)
+
+    def kill(self, name):
+        """Stop a member; its disk is kept."""
+        self.off.add(name)
+
+    def wipe(self, name):
+        """Stop a member and erase its disk."""
+        self.kill(name)
+        self.disks.pop(name, None)
+
+    def cut(self, name, others=None, way="both"):
+        """Cut the links between a member and others (default: all), in both directions, or only ``in`` or ``out``."""
+        for other in others or self.nodes:
+            if other != name:
+                self.cuts |= (
+                    {(name, other)}
+                    if way == "out"
+                    else {(other, name)}
+                    if way == "in"
+                    else {(name, other), (other, name)}
+                )
 
     def heal(self):
-        """Joins all links."""
+        """Restore all links."""
         self.cuts.clear()
 
-    def write(self, rev, n=None, wait=1500):
-        """Writes at a node (the leader); whether it was acknowledged."""
-        n = n or self.leader()
-        if n is None:
+    def write(self, revision, name=None, wait=1500):
+        """Write at a member (default: the leader); return whether the write was acknowledged within ``wait`` ms."""
+        name = name or self.leader()
+        if name is None:
             return False
-        actions = self.nodes[n][0].write(self.now, rev, rev, b"p%d" % rev)
+        actions = self.nodes[name][0].write(self.now, revision, revision, b"p%d" % revision)
         if actions is None:
             return False
-        self.act(n, actions)
+        self.act(name, actions)
         end = self.now + wait * MS
-        while self.now < end and (n, rev) not in self.decided and (n, rev) not in self.lost:
+        while self.now < end and (name, revision) not in self.decided and (name, revision) not in self.lost:
             self.run(5)
-        return (n, rev) in self.decided
+        return (name, revision) in self.decided
