--- a/simulator/mutations.py
+++ b/simulator/mutations.py
@@ -1,9 +1,8 @@
-"""Changes one check of the programs at a time and runs the tests that bind it: what survives is bound by none.
+"""Mutation testing: replaces one check of the programs at a time and runs its tests; a survivor is covered by no test.
 
-A mutation replaces one comparison, or one call of a quorum, by a constant.
-Each is tried in a copy of the tree, so that the tree itself stays as it is. It
-is tried with the module's own examples first, then with the tests that import
-the module.
+A mutation replaces one comparison, or one call of a quorum function, by a
+constant. It is applied in a copy of the tree, so that the tree itself does not
+change. The module's doctests run first, then the tests that import the module.
 """
 
 from __future__ import annotations
@@ -29,29 +28,40 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
-# Calls that are checks of their own.
+# Functions whose calls are checks themselves.
 QUORUM_CALLS = frozenset({"quorum", "majority"})
-# What a copy of the tree needs; the package that is changed is copied, the others are linked.
-CHANGED_PACKAGE = "sparloom"
-LINKED = ("tests", "simulator", "fakes", "deploy", "docs", "README.md", "requirements.txt", "requirements-tools.txt")
-
-
-# Runs the examples in a module's comments.
-EXAMPLES = "import doctest, importlib, sys; sys.exit(doctest.testmod(importlib.import_module(sys.argv[1])).failed > 0)"
+# The mutated package is copied into each copy of the tree; the other paths that the tests need are linked.
+MUTATED_PACKAGE = "sparloom"
+LINKED_PATHS = (
+    "tests",
+    "simulator",
+    "fakes",
+    "deploy",
+    "docs",
+    "README.md",
+    "requirements.txt",
+    "requirements-tools.txt",
+)
+
+
+# Runs the doctests of a module.
+DOCTEST_SCRIPT = (
+    "import doctest, importlib, sys; sys.exit(doctest.testmod(importlib.import_module(sys.argv[1])).failed > 0)"
+)
 
 
 class Result(Enum):
-    """What became of a mutation."""
+    """Result of a mutation."""
 
     FOUND = "found"
-    RAN_ON = "ran on"
+    TIMED_OUT = "timed out"
     SURVIVED = "survived"
     NOT_TRIED = "not tried"
 
 
 @define(frozen=True, slots=True)
 class Mutation:
-    """One check of one file, and the constant that replaces it.
+    """One check in a file, and the constant that replaces it.
 
     Attributes
     ----------
@@ -64,7 +74,7 @@
     constant
         ``True`` or ``False``, as source.
     start, end
-        The check's place in the file's bytes.
+        The check's byte offsets in the file.
     """
 
     path: str
@@ -93,12 +103,12 @@
 
 
 def find_mutations(path: str, source: str, only: str = "") -> Iterator[Mutation]:
-    """Yield the mutations of a file; two for each comparison, and a quorum is only taken for granted.
+    """Yield the mutations of a file: two for each comparison, and only ``True`` for a quorum call.
 
     Parameters
     ----------
     only
-        A regular expression that must be found in the check's source.
+        A regular expression that must match a part of the check's source.
 
     >>> [(m.check, m.constant) for m in find_mutations("m.py", "x = quorum(a, b) and c < d")]
     [('quorum(a, b)', 'True'), ('c < d', 'True'), ('c < d', 'False')]
@@ -122,7 +132,7 @@
 
 
 def mutations_of(paths: Sequence[str], only: str = "") -> list[Mutation]:
-    """Return the mutations of some files and folders, by file and line."""
+    """Return the mutations of files and directories, in order of file and position."""
     files: list[Path] = []
     for path in map(Path, paths):
         files += sorted(path.rglob("*.py")) if path.is_dir() else [path]
@@ -140,7 +150,7 @@
 
 
 def _imported_names(file: Path) -> set[str]:
-    """Modules, and names in modules, that a file imports, in dotted form."""
+    """Return the modules, and names in modules, that a file imports, in dotted form."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.Import):
@@ -154,19 +164,21 @@
 
 
 def _importing_tests(path: str, files: Sequence[Path]) -> list[str]:
-    """Return the test modules that import the module in a file, also by way of other files."""
+    """Return the test modules that import the module of a file, directly or through other files."""
     importers = {module_of(str(file)): _imported_names(file) for file in files}
     reached = {module_of(path)}
-    while more := {name for name, imported in importers.items() if name not in reached and imported & reached}:
-        reached |= more
+    while importers_of_reached := {
+        name for name, imported in importers.items() if name not in reached and imported & reached
+    }:
+        reached |= importers_of_reached
     return sorted(name for name in reached if name.rpartition(".")[2].startswith("test_"))
 
 
 def tests_of(path: str) -> list[str]:
-    """Return the test modules that are to notice a change of a file.
+    """Return the test modules that should detect a mutation of a file.
 
-    Those that import its module; without any, those that import what its package makes of it; without any, those in
-    the folder of tests that is named after the package.
+    These are the ones that import its module. If there are none, the ones that import it through other modules of its
+    package are used. If there are none either, all in the test directory named after the package are used.
 
     >>> "tests.scheduler.test_late_orders" in tests_of("sparloom/scheduler/late_orders.py")
     True
@@ -179,25 +191,25 @@
 
 
 class Trials:
-    """Copies of the tree in which mutations are tried, one at a time in each.
+    """Copies of the tree in which mutations are tested, one at a time in each.
 
     Parameters
     ----------
     tests
-        Names of tests or test modules, as ``unittest`` takes them; without any, those that import the module.
+        Names of tests or test modules for ``unittest``; if empty, those returned by ``tests_of``.
     limit_s
-        Seconds for which one run of the tests may take; one that runs on is as good as found.
+        Timeout of one test run in seconds; a mutation whose run times out counts as found.
     jobs
-        How many copies there are.
-    ends_at
-        No mutation is tried after this moment, in seconds of the monotonic clock.
+        Number of copies, and of mutations tested in parallel.
+    deadline
+        No mutation is started after this time, in seconds of the monotonic clock.
     """
 
-    def __init__(self, tests: Sequence[str], limit_s: float, jobs: int, ends_at: float = inf) -> None:
+    def __init__(self, tests: Sequence[str], limit_s: float, jobs: int, deadline: float = inf) -> None:
         self._tests = list(tests)
         self._limit_s = limit_s
         self._jobs = jobs
-        self._ends_at = ends_at
+        self._deadline = deadline
         self._copies: SimpleQueue[Path] = SimpleQueue()
 
     def run(self, mutations: Sequence[Mutation]) -> Iterator[tuple[Mutation, Result]]:
@@ -206,57 +218,57 @@
         Raises
         ------
         RuntimeError
-            The tests fail without any mutation, so they would tell nothing.
+            The tests fail without any mutation, so their results would be meaningless.
         """
-        with self._trees(), ThreadPoolExecutor(self._jobs) as pool:
+        with self._create_copies(), ThreadPoolExecutor(self._jobs) as pool:
             copy = self._copies.get()
             for path in sorted({mutation.path for mutation in mutations}):
-                if self._test(copy, path) is not Result.SURVIVED:
+                if self._run_tests(copy, path) is not Result.SURVIVED:
                     raise RuntimeError(f"the tests of {path} fail without a mutation")
             self._copies.put(copy)
             yield from zip(mutations, pool.map(self._try, mutations), strict=True)
 
     @contextmanager
-    def _trees(self) -> Iterator[None]:
+    def _create_copies(self) -> Iterator[None]:
         with tempfile.TemporaryDirectory() as folder:
             for number in range(self._jobs):
                 copy = Path(folder, str(number))
-                shutil.copytree(CHANGED_PACKAGE, copy / CHANGED_PACKAGE)
-                for name in filter(os.path.exists, LINKED):
+                shutil.copytree(MUTATED_PACKAGE, copy / MUTATED_PACKAGE)
+                for name in filter(os.path.exists, LINKED_PATHS):
                     (copy / name).symlink_to(Path(name).resolve())
                 self._copies.put(copy)
             yield
 
     def _try(self, mutation: Mutation) -> Result:
-        if time.monotonic() > self._ends_at:
+        if time.monotonic() > self._deadline:
             return Result.NOT_TRIED
         copy = self._copies.get()
         file = copy / mutation.path
         original = file.read_bytes()
         try:
             file.write_bytes(mutation.apply(original))
-            return self._test(copy, mutation.path)
+            return self._run_tests(copy, mutation.path)
         finally:
             file.write_bytes(original)
             self._copies.put(copy)
 
     def _commands(self, path: str) -> Iterator[list[str]]:
-        """The commands that are to notice a mutation of a file, the quickest first."""
-        yield [sys.executable, "-B", "-c", EXAMPLES, module_of(path)]
+        """Yield the commands that should detect a mutation of a file, fastest first."""
+        yield [sys.executable, "-B", "-c", DOCTEST_SCRIPT, module_of(path)]
         tests = self._tests or tests_of(path)
         if tests:
             yield [sys.executable, "-B", "-W", "ignore", "-m", "unittest", "-f", *tests]
 
-    def _test(self, copy: Path, path: str) -> Result:
+    def _run_tests(self, copy: Path, path: str) -> Result:
         environment = {**os.environ, "PYTHONHASHSEED": "0"}
         for command in self._commands(path):
             try:
-                ended = subprocess.run(
+                completed = subprocess.run(
                     command, cwd=copy, env=environment, capture_output=True, timeout=self._limit_s, check=False
                 )
             except subprocess.TimeoutExpired:
-                return Result.RAN_ON
-            if ended.returncode:
+                return Result.TIMED_OUT
+            if completed.returncode:
                 return Result.FOUND
         return Result.SURVIVED
 
@@ -264,14 +276,14 @@
 def mutate(
     *paths: str, tests: str = "", only: str = "", limit_s: float = 240.0, jobs: int = 2, within_s: float = 600.0
 ) -> int:
-    """Replace one check at a time by a constant and run the tests that are to notice it.
-
-    :param paths: files and folders of the package ``sparloom`` whose checks are replaced
-    :param tests: names of test modules, parted by commas; without them, those that import the module
-    :param only: a regular expression that a check's source must match
-    :param limit_s: seconds after which a run of the tests is ended, and the mutation counts as found
-    :param jobs: how many are tried at the same time
-    :param within_s: seconds after which no more are tried; those that were not are counted and named
+    """Replace one check at a time by a constant and run the tests that should detect it.
+
+    :param paths: files and directories of the package ``sparloom`` whose checks are replaced
+    :param tests: comma-separated names of test modules (default: those that import the module)
+    :param only: regular expression that must match a part of a check's source
+    :param limit_s: timeout of a test run in seconds; a mutation whose run times out counts as found
+    :param jobs: number of mutations tested in parallel
+    :param within_s: seconds after which no mutation is started; the remaining ones are counted and printed
     """
     mutations = mutations_of(paths, only)
     counts = dict.fromkeys(Result, 0)
--- a/tests/simulator/test_mutations.py
+++ b/tests/simulator/test_mutations.py
@@ -1,4 +1,4 @@
-"""The command that changes one check at a time: which checks it finds, and what it makes of a run of tests."""
+"""Mutation testing: which checks are found, which tests are run, and how their results are classified."""
 
 import os
 import tempfile
@@ -17,9 +17,9 @@
 """
 
 
-class Sites(unittest.TestCase):
-    def test_each_comparison_and_quorum_by_itself(self):
-        found = [(m.line, m.check, m.constant) for m in find_mutations("m.py", SOURCE)]
+class FindMutations(unittest.TestCase):
+    def test_each_comparison_and_quorum_call_is_found(self):
+        found = [(mutation.line, mutation.check, mutation.constant) for mutation in find_mutations("m.py", SOURCE)]
         self.assertCountEqual(
             found,
             [
@@ -31,26 +31,26 @@
             ],
         )
 
-    def test_only_checks_that_match(self):
+    def test_only_matching_checks_are_found(self):
         self.assertEqual(
-            {m.check for m in find_mutations("m.py", SOURCE, "epoch|quorum")},
+            {mutation.check for mutation in find_mutations("m.py", SOURCE, "epoch|quorum")},
             {
                 "epoch < other",
                 "quorum(ids, rosters)",
             },
         )
 
-    def test_a_mutation_changes_nothing_else(self):
-        [mutation] = [m for m in find_mutations("m.py", SOURCE, "epoch") if m.constant == "True"]
+    def test_mutation_changes_only_its_check(self):
+        [mutation] = [mutation for mutation in find_mutations("m.py", SOURCE, "epoch") if mutation.constant == "True"]
         self.assertEqual(mutation.apply(SOURCE.encode()).decode(), SOURCE.replace("epoch < other", "True"))
 
 
-class Runs(unittest.TestCase):
+class TestRuns(unittest.TestCase):
     def setUp(self):
-        self.before = os.getcwd()
+        self.previous_directory = os.getcwd()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.addCleanup(os.chdir, self.before)
+        self.addCleanup(os.chdir, self.previous_directory)
         os.chdir(folder.name)
         Path("sparloom").mkdir()
         Path("sparloom/__init__.py").write_text("")
@@ -66,9 +66,12 @@
             f"class Ages(unittest.TestCase):\n    def test(self):\n        {test}\n"
         )
         mutations = mutations_of(["sparloom/ages.py"])
-        return {(m.check, m.constant): result for m, result in Trials(["tests.test_ages"], 60, 2).run(mutations)}
+        return {
+            (mutation.check, mutation.constant): result
+            for mutation, result in Trials(["tests.test_ages"], 60, 2).run(mutations)
+        }
 
-    def test_what_no_test_notices_survives(self):
+    def test_undetected_mutations_survive(self):
         self.assertEqual(
             self.results("self.assertTrue(older(1, 2))"),
             {
@@ -79,7 +82,7 @@
             },
         )
 
-    def test_without_names_the_tests_that_import_the_module_are_run_and_its_examples_before_them(self):
+    def test_default_is_doctests_then_tests_that_import_the_module(self):
         self.results("self.assertTrue(older(1, 2))")
         Path("tests/base.py").write_text("from sparloom import ages\n")
         Path("tests/test_other.py").write_text("from tests import base\n")
@@ -88,21 +91,24 @@
         with Path("sparloom/ages.py").open("a") as file:
             file.write('\n\ndef late(a):\n    """\n    >>> late(3)\n    True\n    """\n    return a > 2\n')
         found = dict(Trials([], 60, 1).run(mutations_of(["sparloom/ages.py"], "a > 2")))
-        self.assertEqual({m.constant: r for m, r in found.items()}, {"True": Result.SURVIVED, "False": Result.FOUND})
+        self.assertEqual(
+            {mutation.constant: result for mutation, result in found.items()},
+            {"True": Result.SURVIVED, "False": Result.FOUND},
+        )
 
-    def test_a_module_that_no_test_reaches_is_left_to_the_tests_that_are_named_after_its_package(self):
+    def test_unreached_module_uses_tests_of_its_package(self):
         Path("sparloom/part").mkdir()
         Path("sparloom/part/alone.py").write_text("")
         Path("tests/part").mkdir()
         Path("tests/part/test_whole.py").write_text("import json\n")
         self.assertEqual(tests_of("sparloom/part/alone.py"), ["tests.part.test_whole"])
 
-    def test_nothing_is_tried_after_the_time_that_it_has(self):
+    def test_no_mutation_is_tried_after_deadline(self):
         self.results("self.assertTrue(older(1, 2))")
-        found = Trials(["tests.test_ages"], 60, 1, ends_at=0.0).run(mutations_of(["sparloom/ages.py"]))
+        found = Trials(["tests.test_ages"], 60, 1, deadline=0.0).run(mutations_of(["sparloom/ages.py"]))
         self.assertEqual({result for _, result in found}, {Result.NOT_TRIED})
 
-    def test_tests_that_fail_by_themselves_tell_nothing(self):
+    def test_tests_that_fail_without_mutation_are_an_error(self):
         with self.assertRaisesRegex(RuntimeError, "without a mutation"):
             self.results("self.assertTrue(older(2, 1))")
 
