--- a/simulator/history.py
+++ b/simulator/history.py
@@ -1,9 +1,10 @@
-"""Checks a recorded history of operators' calls: is the configuration one register, as the rules ask?
+"""Linearizability checker for a recorded history of operators' calls: the configuration must act as one register.
 
-The search is that of Wing and Gong, with two shortcuts that lose nothing. An order
-is one effect, however often it was sent, and takes place once at most. Answers
-only observe, so each is placed as early as the state lets it. The search branches
-on nothing but which order takes effect next, and goes back when it gets stuck.
+This is the search of Wing and Gong with two simplifications that keep it exact.
+An order takes effect at most once, however often it was sent. Answers only
+observe the state, so each one is placed as early as the state allows. So the
+search branches only on which order takes effect next, and backtracks when no
+order can.
 """
 
 from collections import defaultdict
@@ -12,12 +13,12 @@
 from attrs import define, field
 
 NEVER = float("inf")
-# A sound history needs little more than a state for each change; a search beyond this counts as a fault.
-MOST_STATES = 4000
+# A linearizable history needs little more than one state per change; a longer search counts as a violation.
+MAXIMUM_STATES = 4000
 
 
 class Outcome(Enum):
-    """What a call's answer said."""
+    """Result of a call."""
 
     ACKNOWLEDGED = auto()
     STALE = auto()
@@ -27,12 +28,12 @@
     UNCLEAR = auto()
 
 
-REFUSED = (Outcome.STALE, Outcome.INVALID)
+REJECTIONS = (Outcome.STALE, Outcome.INVALID)
 
 
 @define(frozen=True, slots=True, eq=False)
-class Sent:
-    """An order as an operator sends it, again and again if need be."""
+class ChangeOrder:
+    """A change of the configuration that an operator orders; it may be sent several times."""
 
     name: str
     method: str
@@ -42,94 +43,97 @@
 
     @property
     def revision(self):
-        """The number of the change."""
+        """Return the revision of the changed configuration."""
         return self.body["revision"]
 
 
 @define(slots=True, eq=False)
 class Call:
-    """One call: the order (None for a read), when it was sent and answered, and what the answer said."""
+    """One call: the order (None for a read), the times of request and answer, and the result."""
 
     sent: float
-    order: Sent | None = None
+    order: ChangeOrder | None = None
     answered: float = NEVER
     outcome: Outcome = Outcome.UNCLEAR
     content: dict | None = None
 
     def __str__(self):
-        what = (
+        request = (
             f"{self.order.method} {self.order.name} ({self.order.base} to {self.order.revision})"
             if self.order
             else "GET"
         )
-        said = f" revision {self.content.get('revision')}" if self.content else ""
-        return f"{what}, sent {self.sent:.3f}, answered {self.answered:.3f}: {self.outcome.name}{said}"
+        content = f" revision {self.content.get('revision')}" if self.content else ""
+        return f"{request}, sent {self.sent:.3f}, answered {self.answered:.3f}: {self.outcome.name}{content}"
 
 
 def _by_name(items):
     return {item["name"]: item for item in items}
 
 
-def _applied(policy, order):
-    """The configuration after an order; written anew here, so that the checker trusts nothing of the handler's."""
+def _apply(policy, order):
+    """Return the configuration after an order; implemented independently of the handler that is checked."""
     if order.method == "PUT":
         return order.body
-    made = {**policy, "revision": order.revision}
-    for key in ("routes", "services"):
-        items = _by_name(policy.get(key, ()))
-        for name in order.body.get("remove", {}).get(key, ()):
+    result = {**policy, "revision": order.revision}
+    for section in ("routes", "services"):
+        items = _by_name(policy.get(section, ()))
+        for name in order.body.get("remove", {}).get(section, ()):
             items.pop(name, None)
-        made[key] = list({**items, **_by_name(order.body.get("upsert", {}).get(key, ()))}.values())
-    return made
+        result[section] = list({**items, **_by_name(order.body.get("upsert", {}).get(section, ()))}.values())
+    return result
 
 
-def _same(read, expected):
-    def plain(policy):
-        return {key: _by_name(val) if key in ("routes", "services") else val for key, val in policy.items()}
+def _equal_configurations(read, expected):
+    def normalize(policy):
+        return {
+            section: _by_name(value) if section in ("routes", "services") else value
+            for section, value in policy.items()
+        }
 
-    return plain(read) == plain(expected)
+    return normalize(read) == normalize(expected)
 
 
 @define(frozen=True, slots=True)
 class _State:
-    """The register at one point of the search: what took effect, in order."""
+    """The register at one point of the search: the orders that took effect, in sequence, and the configuration."""
 
     chain: tuple = ()
-    taken: frozenset = frozenset()
+    applied: frozenset = frozenset()
     policy: dict = field(factory=dict)
 
     @property
     def revision(self):
         return self.policy.get("revision", 0)
 
-    def then(self, order):
-        return _State((*self.chain, order), self.taken | {order}, _applied(self.policy, order))
+    def with_order(self, order):
+        return _State((*self.chain, order), self.applied | {order}, _apply(self.policy, order))
 
     def allows(self, call):
-        """Whether a call may have been answered so in this state."""
+        """Whether this state permits the answer of a call."""
         order = call.order
         if call.outcome is Outcome.READ:
-            return self.revision == call.content.get("revision") and _same(call.content, self.policy)
+            return self.revision == call.content.get("revision") and _equal_configurations(call.content, self.policy)
         if call.outcome is Outcome.EMPTY:
             return self.revision == 0
         if call.outcome is Outcome.ACKNOWLEDGED:
-            return order in self.taken
+            return order in self.applied
         if not order.valid:
             return True
-        if order in self.taken:
+        if order in self.applied:
             return False
         if call.outcome is Outcome.STALE:
             return self.revision != order.base
         return order.revision <= self.revision
 
-    def may_follow(self, order):
-        """Whether an order could take effect now."""
+    def accepts(self, order):
+        """Whether an order can take effect in this state."""
         return order.valid and order.base == self.revision and order.revision > self.revision
 
 
 @define(slots=True)
-class Found:
-    """The end of a search: the orders in their sequence, or the call that fits nowhere."""
+class SearchResult:
+    """Result of a search: the sequence of the orders, or a message with a call that no sequence explains."""
 
     fault: str | None
     chain: tuple = ()
@@ -137,49 +141,53 @@
 
 class _Search:
     def __init__(self, calls):
-        self.seen = sorted((c for c in calls if c.outcome is not Outcome.UNCLEAR), key=lambda c: c.sent)
-        first = {}
-        for call in sorted(calls, key=lambda c: c.sent):
+        self.answered_calls = sorted(
+            (call for call in calls if call.outcome is not Outcome.UNCLEAR), key=lambda call: call.sent
+        )
+        first_sent = {}
+        for call in sorted(calls, key=lambda call: call.sent):
             if call.order is not None:
-                first.setdefault(call.order, call.sent)
-        self.first_sent = first
+                first_sent.setdefault(call.order, call.sent)
+        self.first_sent = first_sent
         self.by_base = defaultdict(list)
-        for order in first:
+        for order in first_sent:
             self.by_base[order.base].append(order)
 
-    def _observe(self, state, left):
-        """Places all answers that this state allows; gives those left and the end of the first of them."""
+    def _place_answers(self, state, remaining):
+        """Place all answers that a state permits; return the remaining calls and the earliest time of their answers."""
         while True:
-            bound = min((c.answered for c in left), default=NEVER)
-            rest = [c for c in left if c.sent > bound or not state.allows(c)]
-            if len(rest) == len(left):
-                return rest, bound
-            left = rest
+            earliest_end = min((call.answered for call in remaining), default=NEVER)
+            unplaced = [call for call in remaining if call.sent > earliest_end or not state.allows(call)]
+            if len(unplaced) == len(remaining):
+                return unplaced, earliest_end
+            remaining = unplaced
 
     def run(self):
-        """Whether the answers fit one sequence of the orders."""
-        stack, states = [(_State(), self.seen)], 0
-        stuck, deepest = None, -1
+        """Search for a sequence of the orders that explains all answers."""
+        stack, state_count = [(_State(), self.answered_calls)], 0
+        unexplained, deepest = None, -1
         while stack:
-            state, left = stack.pop()
-            states += 1
-            if states > MOST_STATES:
-                return Found(f"no sequence of the changes was found in {MOST_STATES} states; last stuck at: {stuck}")
-            left, bound = self._observe(state, left)
-            if not left:
-                return Found(None, state.chain)
+            state, remaining = stack.pop()
+            state_count += 1
+            if state_count > MAXIMUM_STATES:
+                return SearchResult(
+                    f"no sequence of the changes was found in {MAXIMUM_STATES} states; unexplained: {unexplained}"
+                )
+            remaining, earliest_end = self._place_answers(state, remaining)
+            if not remaining:
+                return SearchResult(None, state.chain)
             if len(state.chain) > deepest:
-                deepest, stuck = len(state.chain), min(left, key=lambda c: c.answered)
+                deepest, unexplained = len(state.chain), min(remaining, key=lambda call: call.answered)
             for order in self.by_base[state.revision]:
-                if state.may_follow(order) and self.first_sent[order] <= bound:
-                    stack.append((state.then(order), left))
-        return Found(f"no sequence of the changes explains: {stuck}")
+                if state.accepts(order) and self.first_sent[order] <= earliest_end:
+                    stack.append((state.with_order(order), remaining))
+        return SearchResult(f"no sequence of the changes explains: {unexplained}")
 
 
 def linearize(calls):
-    """Searches a sequence of the orders that explains all answers.
+    """Search for a sequence of the orders that explains all answers.
 
-    >>> put = Sent("a", "PUT", 0, {"revision": 3})
+    >>> put = ChangeOrder("a", "PUT", 0, {"revision": 3})
     >>> linearize([Call(0, put, 1, Outcome.ACKNOWLEDGED), Call(2, None, 3, Outcome.READ, {"revision": 3})]).fault
     >>> linearize([Call(0, put, 1, Outcome.ACKNOWLEDGED), Call(2, None, 3, Outcome.EMPTY)]).fault
     'no sequence of the changes explains: GET, sent 2.000, answered 3.000: EMPTY'
@@ -188,17 +196,18 @@
 
 
 def _acknowledged(calls):
-    first = {}
+    first_answered = {}
     for call in calls:
         if call.outcome is Outcome.ACKNOWLEDGED:
-            first[call.order] = min(call.answered, first.get(call.order, NEVER))
-    return first
+            first_answered[call.order] = min(call.answered, first_answered.get(call.order, NEVER))
+    return first_answered
 
 
 def broken_rule(calls):
-    """What the rules name themselves, checked without any search; the sentence, or None.
+    """Check the rules that need no search; return a message for the first broken rule, or None.
 
-    >>> a, b = Sent("a", "PUT", 0, {"revision": 3}), Sent("b", "PUT", 0, {"revision": 4})
+    >>> a = ChangeOrder("a", "PUT", 0, {"revision": 3})
+    >>> b = ChangeOrder("b", "PUT", 0, {"revision": 4})
     >>> broken_rule([Call(0, a, 1, Outcome.ACKNOWLEDGED), Call(0, b, 1, Outcome.ACKNOWLEDGED)])
     'two changes of revision 0 were acknowledged: a and b'
     """
@@ -213,16 +222,19 @@
         if not order.valid:
             return f"the invalid change {order.name} was acknowledged"
     for call in calls:
-        if call.outcome in REFUSED and call.sent > acknowledged.get(call.order, NEVER):
-            return f"an acknowledged change was refused when it was sent again: {call}"
-        newest = max((o.revision for o, at in acknowledged.items() if at < call.sent), default=0)
+        if call.outcome in REJECTIONS and call.sent > acknowledged.get(call.order, NEVER):
+            return f"an acknowledged change was rejected when it was retried: {call}"
+        newest = max(
+            (order.revision for order, acknowledged_at in acknowledged.items() if acknowledged_at < call.sent),
+            default=0,
+        )
         if call.outcome is Outcome.READ and call.content.get("revision", 0) < newest:
             return f"a read is older than the acknowledged revision {newest}: {call}"
     return None
 
 
 def fault_in(calls):
-    """The first thing wrong with a history, as a sentence, or None.
+    """Return a message for the first fault of a history, or None.
 
     >>> fault_in([Call(0, None, 1, Outcome.EMPTY)])
     """
--- a/simulator/operators.py
+++ b/simulator/operators.py
@@ -1,4 +1,4 @@
-"""Operators who work at once while troubles go on; all their calls are recorded."""
+"""Concurrent operators under injected faults; all their calls are recorded and checked."""
 
 import asyncio
 import json
@@ -11,70 +11,71 @@
 from .caller import MOST_REDIRECTS, call, redirected
 from .evacuations import dispatchers
 from .fleet import SERVICE
-from .history import Call, Outcome, Sent, fault_in
-from .site import Site, storm_disks
+from .history import Call, ChangeOrder, Outcome, fault_in
+from .site import Site, faulty_disks
 from .virtual import HOST, world
 
 PATH = "/-/configuration"
-SILENCE = 1.0
-FIRST_PAUSE, PAUSE_GROWTH = 0.05, 1.6
-MOST_TRIES = 6
-FIRST_TROUBLE = 2.5
-# A machine counts as lost for so long after it is back, and no further one may lose its disk meanwhile.
-CATCH_UP = 4.0
+CALL_TIMEOUT_S = 1.0
+FIRST_PAUSE_S, PAUSE_GROWTH = 0.05, 1.6
+MAXIMUM_ATTEMPTS = 6
+FIRST_FAULT_DELAY_S = 2.5
+# Seconds without another fault before and after the loss of a disk. A machine counts as lost until it has caught up,
+# and no other machine may lose its disk before that.
+CATCH_UP_S = 4.0
 OUTCOMES = {200: Outcome.ACKNOWLEDGED, 400: Outcome.INVALID, 404: Outcome.EMPTY, 412: Outcome.STALE}
 
 
-TROUBLES = ("kill", "power", "cut", "one_way", "shun", "stall", "all_killed", "all_power")
-REPLACING = (*TROUBLES, "wipe", "replace", "wipe", "replace")
+FAULTS = ("kill", "power", "cut", "one_way", "shun", "stall", "all_killed", "all_power")
+REPLACING = (*FAULTS, "wipe", "replace", "wipe", "replace")
 
 
 @define(frozen=True, slots=True)
 class Plan:
-    """How a history is played: operators, seconds of trouble, and the troubles that may come."""
+    """Parameters of a history: operators, seconds with faults, controllers, kinds of faults, and time to recover."""
 
     operators: int = 8
     seconds: float = 30.0
     controllers: int = 3
-    troubles: tuple = TROUBLES
-    settle: float = 12.0
+    troubles: tuple = FAULTS
+    recovery_s: float = 12.0
 
 
-STORMY = Plan()
+DEFAULT_PLAN = Plan()
 
 
 @define(slots=True)
-class Played:
-    """What was recorded: the calls, the troubles by time, and what was wrong."""
+class RecordedHistory:
+    """A recorded history: the calls, the injected faults by time, and a message for its first fault, or None."""
 
     calls: list = field(factory=list)
-    troubles: list = field(factory=list)
+    faults: list = field(factory=list)
     fault: str | None = None
     evacuations: list = field(factory=list)
 
     def count(self, outcome):
-        """How many calls were answered so.
+        """Return the number of calls with an outcome.
 
-        >>> Played([Call(0.0)]).count(Outcome.UNCLEAR)
+        >>> RecordedHistory([Call(0.0)]).count(Outcome.UNCLEAR)
         1
         """
-        return sum(c.outcome is outcome for c in self.calls)
+        return sum(call_record.outcome is outcome for call_record in self.calls)
 
     def summary(self):
-        """The calls by their answers, and the troubles, in a line.
+        """Return one line with the numbers of calls by outcome, of evacuations, and of injected faults.
 
-        >>> Played([Call(0.0)]).summary()
-        '1 unclear; 0 evacuations, 0 reads of them; 0 troubles'
+        >>> RecordedHistory([Call(0.0)]).summary()
+        '1 unclear; 0 evacuations, 0 reads of them; 0 faults'
         """
         orders = sum(len(dispatch.orders) for dispatch in self.evacuations)
         reads = sum(len(dispatch.reads) for dispatch in self.evacuations)
         counts = ((self.count(outcome), outcome.name.lower()) for outcome in Outcome)
-        calls = ", ".join(f"{n} {name}" for n, name in counts if n)
-        return f"{calls}; {orders} evacuations, {reads} reads of them; {len(self.troubles)} troubles"
+        calls = ", ".join(f"{number} {name}" for number, name in counts if number)
+        return f"{calls}; {orders} evacuations, {reads} reads of them; {len(self.faults)} faults"
 
 
 def route(name, target):
-    """A route of a configuration, with a name of its own."""
+    """Return a route with a name and a target time."""
     return {
         "name": name,
         "hostname": "history.example",
@@ -87,27 +88,27 @@
 
 
 class Operator:
-    """One operator: it reads, changes, repeats and errs as luck has it."""
+    """An operator that reads, changes, retries and sends invalid or stale orders at random."""
 
     def __init__(self, site, recorded, name, rng):
         self.site, self.recorded, self.name, self.rng = site, recorded, name, rng
         self.host = f"127.5.0.{int(name) + 1}"
-        self.known, self.older, self.numbers = 0, [], count(1)
-        self.past, self.late = [], set()
+        self.known_revision, self.older_revisions, self.order_numbers = 0, [], count(1)
+        self.past_orders, self.background_tasks = [], set()
 
     def _now(self):
         return self.site.loop.time()
 
     # -- calls --------------------------------------------------------------
-    async def _once(self, address, order, body_after=0.0):
-        """One call of one node, recorded unless it was redirected; gives the answer or None."""
+    async def _call_once(self, address, order, body_after=0.0):
+        """Call one node; the call is recorded unless it was redirected. Return the answer or None."""
         record = Call(self._now(), order)
         self.recorded.append(record)
         method = order.method if order else "GET"
         body = json.dumps(order.body).encode() if order else b""
         headers = {"If-Match": str(order.base)} if order else {}
         try:
-            async with asyncio.timeout(None if body_after else SILENCE):
+            async with asyncio.timeout(None if body_after else CALL_TIMEOUT_S):
                 answer = await call(address, method, PATH, body, headers, body_after)
         except (OSError, EOFError, TimeoutError):
             answer = None
@@ -122,102 +123,104 @@
             self.recorded.remove(record)
         return None if lost else answer
 
-    async def _try(self, address, order, body_after=0.0):
-        """Calls a node and follows redirects; gives the call's last answer or None."""
+    async def _call_with_redirects(self, address, order, body_after=0.0):
+        """Call a node and follow redirects; return the last answer or None."""
         for _ in range(MOST_REDIRECTS + 1):
-            answer = await self._once(address, order, body_after)
+            answer = await self._call_once(address, order, body_after)
             if answer is None or redirected(answer) is None:
                 return answer
             address = redirected(answer)
         return None
 
-    def _node(self):
+    def _pick_node(self):
         return self.site.control(self.rng.choice(self.site.addresses))
 
-    async def ask(self, order, tries=MOST_TRIES):
-        """Sends an order (None: a read) until the answer is clear; gives the answer or None."""
-        pause = FIRST_PAUSE
-        for _ in range(tries):
-            answer = await self._try(self._node(), order)
+    async def send(self, order, attempts=MAXIMUM_ATTEMPTS):
+        """Send an order (None: a read) until an answer is conclusive; return it or None."""
+        pause = FIRST_PAUSE_S
+        for _ in range(attempts):
+            answer = await self._call_with_redirects(self._pick_node(), order)
             if answer is not None and answer.status in OUTCOMES:
-                self._learn(order, answer)
+                self._update_known_revision(order, answer)
                 return answer
             await asyncio.sleep(pause * (0.5 + self.rng.random()))
             pause *= PAUSE_GROWTH
         return None
 
-    def _learn(self, order, answer):
-        newest = self.known
+    def _update_known_revision(self, order, answer):
+        newest = self.known_revision
         if answer.status == 200:
             newest = order.revision if order else answer.body["revision"]
         elif answer.status == 412:
             newest = int(answer.headers["revision"])
-        if newest > self.known:
-            self.older.append(self.known)
-            self.known = newest
+        if newest > self.known_revision:
+            self.older_revisions.append(self.known_revision)
+            self.known_revision = newest
 
-    # -- what it does -------------------------------------------------------
+    # -- behaviour ----------------------------------------------------------
     def order(self):
-        """A new order: on the newest revision known or a stale one, sound or not, whole or an edit."""
-        rng, number = self.rng, next(self.numbers)
-        stale = self.older and rng.random() < 0.15
-        base = rng.choice(self.older) if stale else self.known
+        """Return a new order, on the newest known revision or a stale one, valid or not, as a PUT or a PATCH."""
+        rng, number = self.rng, next(self.order_numbers)
+        stale = self.older_revisions and rng.random() < 0.15
+        base = rng.choice(self.older_revisions) if stale else self.known_revision
         revision = max(1, base + rng.choice((1, 1, 2, 2, 3, 5, 0)))
         valid = rng.random() > 0.1
         name = f"o{self.name}-{number}"
-        mine = route(name if rng.random() < 0.5 else f"shared-{rng.randrange(4)}", 100 + int(self.name) + 10 * number)
+        new_route = route(
+            name if rng.random() < 0.5 else f"shared-{rng.randrange(4)}", 100 + int(self.name) + 10 * number
+        )
         if not valid:
-            mine["service"] = "nobody"
+            new_route["service"] = "nobody"
         if base and rng.random() < 0.5:
             body = {
                 "revision": revision,
-                "upsert": {"routes": [mine]},
+                "upsert": {"routes": [new_route]},
                 "remove": {"routes": [f"o{self.name}-{number - 1}"]},
             }
-            return Sent(name, "PATCH", base, body, valid)
-        body = {"revision": revision, "routes": [mine], "services": [{"name": SERVICE}]}
-        return Sent(name, "PUT", base, body, valid)
+            return ChangeOrder(name, "PATCH", base, body, valid)
+        body = {"revision": revision, "routes": [new_route], "services": [{"name": SERVICE}]}
+        return ChangeOrder(name, "PUT", base, body, valid)
 
-    def _afterwards(self, coro):
-        task = asyncio.ensure_future(coro)
-        self.late.add(task)
-        task.add_done_callback(self.late.discard)
+    def _run_in_background(self, coroutine):
+        task = asyncio.ensure_future(coroutine)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
 
     async def act(self):
-        """One thing: a read, a change, an old order again, an order twice at once, or one held up on its way."""
-        luck = self.rng.random()
-        if luck < 0.25 or not self.known and luck < 0.5:
-            await self.ask(None)
-        elif luck < 0.4 and self.past:
-            await self.ask(self.rng.choice(self.past[-4:]))
+        """Read, change, retry an old order, send an order twice at once, or send one with a delayed body."""
+        draw = self.rng.random()
+        if draw < 0.25 or not self.known_revision and draw < 0.5:
+            await self.send(None)
+        elif draw < 0.4 and self.past_orders:
+            await self.send(self.rng.choice(self.past_orders[-4:]))
         else:
             order = self.order()
-            self.past.append(order)
-            if luck < 0.5:
-                self._afterwards(self._try(self._node(), order))
-            elif luck < 0.6:
-                self._afterwards(self._try(self._node(), order, 4 * self.rng.random()))
+            self.past_orders.append(order)
+            if draw < 0.5:
+                self._run_in_background(self._call_with_redirects(self._pick_node(), order))
+            elif draw < 0.6:
+                self._run_in_background(self._call_with_redirects(self._pick_node(), order, 4 * self.rng.random()))
                 return
-            await self.ask(order)
+            await self.send(order)
 
     async def work(self, until):
-        """Acts until a moment."""
+        """Act until a time."""
         HOST.set(self.host)
         while self._now() < until:
             await self.act()
             await asyncio.sleep(0.4 * self.rng.random() ** 2)
 
 
-class Troubles:
-    """Seeded troubles, one after another; each ends before all machines are needed again."""
+class FaultInjector:
+    """Injects seeded faults one after another; each one ends before the next begins."""
 
     def __init__(self, site, operators, rng, played):
         self.site, self.operators, self.rng, self.played = site, operators, rng, played
 
-    def _tell(self, what, *hosts):
-        self.played.troubles.append((round(self.site.loop.time() - virtual.START, 3), what, *hosts))
+    def _record(self, fault, *hosts):
+        self.played.faults.append((round(self.site.loop.time() - virtual.START, 3), fault, *hosts))
 
-    def _some(self):
+    def _pick_host(self):
         primary = self.site.primary()
         running = sorted(self.site.running)
         return primary if primary and self.rng.random() < 0.6 else self.rng.choice(running)
@@ -242,21 +245,21 @@
         await self._restart(sorted(self.site.running), power=True)
 
     async def cut(self, ip):
-        """Cut off from the others, while operators still reach it."""
+        """Isolate a controller from the others; operators still reach it."""
         self.site.cut([ip], self.site.addresses)
         await asyncio.sleep(8 * self.rng.random())
         self.site.heal()
 
     async def one_way(self, ip):
-        """Only one way is cut."""
-        others = [a for a in self.site.addresses if a != ip]
+        """Cut only one direction between a controller and the others."""
+        others = [address for address in self.site.addresses if address != ip]
         self.site.cut(*(([ip], others) if self.rng.random() < 0.5 else (others, [ip])), one_way=True)
         await asyncio.sleep(6 * self.rng.random())
         self.site.heal()
 
     async def shun(self, ip):
-        """Operators' calls arrive, and no answer comes back."""
-        self.site.cut([ip], [o.host for o in self.operators], one_way=True)
+        """Drop a controller's answers to the operators; their calls still arrive."""
+        self.site.cut([ip], [operator.host for operator in self.operators], one_way=True)
         await asyncio.sleep(3 * self.rng.random())
         self.site.heal()
 
@@ -266,72 +269,77 @@
         self.site.flow()
 
     async def wipe(self, ip):
-        """The disk is lost; the machine comes back at its address."""
-        await asyncio.sleep(CATCH_UP)
+        """Erase a controller's disk and restart it at the same address."""
+        await asyncio.sleep(CATCH_UP_S)
         self.site.wipe(ip)
         await asyncio.sleep(0.1 + self.rng.random())
         await self.site.boot(ip)
-        await asyncio.sleep(CATCH_UP)
+        await asyncio.sleep(CATCH_UP_S)
 
     async def replace(self, ip):
-        """Another machine comes in its place."""
-        await asyncio.sleep(CATCH_UP)
-        new = self.site.replace(ip)
+        """Replace a controller by an empty machine at another address."""
+        await asyncio.sleep(CATCH_UP_S)
+        replacement = self.site.replace(ip)
         await asyncio.sleep(1.5 * self.rng.random())
-        await self.site.boot(new)
-        await asyncio.sleep(CATCH_UP)
+        await self.site.boot(replacement)
+        await asyncio.sleep(CATCH_UP_S)
 
     async def run(self, names, until):
-        """One trouble after another until a moment."""
-        await asyncio.sleep(FIRST_TROUBLE)
+        """Inject one fault after another until a time."""
+        await asyncio.sleep(FIRST_FAULT_DELAY_S)
         while self.site.loop.time() < until:
             await asyncio.sleep(1.5 * self.rng.random())
-            name, ip = self.rng.choice(names), self._some()
-            self._tell(name, ip)
+            name, ip = self.rng.choice(names), self._pick_host()
+            self._record(name, ip)
             await getattr(self, name)(ip)
 
 
 async def _play(loop, plan, rng, played):
     site = Site(loop, plan.controllers)
-    operators = [Operator(site, played.calls, str(i), random.Random(rng.random())) for i in range(plan.operators)]
+    operators = [
+        Operator(site, played.calls, str(number), random.Random(rng.random())) for number in range(plan.operators)
+    ]
     await site.start()
     until = loop.time() + plan.seconds
-    troubles = Troubles(site, operators, random.Random(rng.random()), played)
-    evacuating = dispatchers(site, rng)
-    played.evacuations = [dispatcher.done for dispatcher in evacuating]
-    work = [asyncio.ensure_future(o.work(until)) for o in (*operators, *evacuating)]
+    injector = FaultInjector(site, operators, random.Random(rng.random()), played)
+    dispatchers_of_zones = dispatchers(site, rng)
+    played.evacuations = [dispatcher.done for dispatcher in dispatchers_of_zones]
+    work = [asyncio.ensure_future(operator.work(until)) for operator in (*operators, *dispatchers_of_zones)]
     if plan.troubles:
-        await troubles.run(plan.troubles, until)
+        await injector.run(plan.troubles, until)
     await asyncio.gather(*work)
-    await asyncio.sleep(plan.settle)
-    for dispatcher in evacuating:
+    await asyncio.sleep(plan.recovery_s)
+    for dispatcher in dispatchers_of_zones:
         await dispatcher.last()
-    return await _last(operators[0])
+    return await _check_recovery(operators[0])
 
 
-async def _last(operator):
-    """After all troubles: a read, a change upon it, and a read back."""
+async def _check_recovery(operator):
+    """Check after all faults that a read, a change based on it, and another read are answered.
+
+    Return a message if one is not, else None.
+    """
     HOST.set(operator.host)
-    read = await operator.ask(None, 3 * MOST_TRIES)
+    read = await operator.send(None, 3 * MAXIMUM_ATTEMPTS)
     if read is None:
-        return "no read was answered after the troubles"
-    operator.known = read.body["revision"] if read.status == 200 else 0
-    body = {"revision": operator.known + 1, "routes": [route("last", 1)], "services": [{"name": SERVICE}]}
-    done = await operator.ask(Sent("last", "PUT", operator.known, body), 3 * MOST_TRIES)
+        return "no read was answered after all faults had ended"
+    operator.known_revision = read.body["revision"] if read.status == 200 else 0
+    body = {"revision": operator.known_revision + 1, "routes": [route("last", 1)], "services": [{"name": SERVICE}]}
+    done = await operator.send(ChangeOrder("last", "PUT", operator.known_revision, body), 3 * MAXIMUM_ATTEMPTS)
     if done is None or done.status not in (200, 412):
-        return "no change was acknowledged after the troubles"
-    again = await operator.ask(None, 3 * MOST_TRIES)
-    return None if again is not None else "no read was answered at the end"
+        return "no change was acknowledged after all faults had ended"
+    second_read = await operator.send(None, 3 * MAXIMUM_ATTEMPTS)
+    return None if second_read is not None else "no read was answered after the last change"
 
 
-def play_history(seed, plan=STORMY):
-    """Plays and checks one history; the same seed plays the same luck.
+def play_history(seed, plan=DEFAULT_PLAN):
+    """Play and check one history; the same seed and plan give the same history.
 
-    >>> play_history(1, Plan(operators=2, seconds=2.0, troubles=(), settle=0.0)).fault
+    >>> play_history(1, Plan(operators=2, seconds=2.0, troubles=(), recovery_s=0.0)).fault
     """
-    rng, played = random.Random(seed), Played()
-    with world(seed, loss=0.01) as loop, storm_disks():
-        ended = loop.run_until_complete(_play(loop, plan, rng, played))
+    rng, played = random.Random(seed), RecordedHistory()
+    with world(seed, loss=0.01) as loop, faulty_disks():
+        recovery_fault = loop.run_until_complete(_play(loop, plan, rng, played))
     evacuation_faults = filter(None, (dispatch.fault() for dispatch in played.evacuations))
-    played.fault = fault_in(played.calls) or next(evacuation_faults, None) or ended
+    played.fault = fault_in(played.calls) or next(evacuation_faults, None) or recovery_fault
     return played
--- a/simulator/virtual.py
+++ b/simulator/virtual.py
@@ -1,9 +1,9 @@
-"""An event loop whose time and sockets are simulated: the real services run in it, unchanged.
+"""An event loop with simulated time and network, in which the real services run unchanged.
 
-Datagrams and connections stay in memory. Time jumps to the next thing to do.
-What the services take from the machine (steady clock, listening sockets,
-luck, disk) is replaced while the loop runs; nothing else of them is. ``HOST``
-names the simulated host that a task runs on; set it before a service starts.
+Datagrams and connections stay in memory, and the time jumps to the next due
+event. While the loop runs, the services' clocks, listening sockets, random
+generators and disks are replaced; everything else of them is real. ``HOST``
+is the simulated host of a task and must be set before a service starts.
 """
 
 import asyncio
@@ -26,31 +26,31 @@
 
 HOST = ContextVar("host", default="127.0.0.1")
 START = 1000.0
-# The wall clock, in nanoseconds since 1970, as the simulated clock begins at 0.
+# Unix time in nanoseconds at which the simulated clock reads 0.
 WALL_CLOCK_NS = 1_700_000_000 * 10**9
-MOST = 65507
-GIVE_UP = 2.0
+MAXIMUM_DATAGRAM_BYTES = 65507
+UNREACHABLE_TIMEOUT_S = 2.0
 
 
 class Stuck(RuntimeError):
-    """Nothing is left to do, and the story has not ended."""
+    """No event is scheduled, but the main task has not finished."""
 
 
-class _Jump:
-    """In place of waiting for sockets, time jumps."""
+class _TimeSelector:
+    """Selector that advances the simulated time instead of waiting for sockets."""
 
     def __init__(self, loop):
         self.loop = loop
 
     def select(self, timeout):
         if timeout is None:
-            raise Stuck("all wait and nothing is due")
+            raise Stuck("all tasks wait, but no event is scheduled")
         self.loop.now += max(timeout, self.loop.turn)
         return ()
 
 
 class _Socket:
-    """What services do with a socket before it is served."""
+    """Replaces a socket between its creation and its use by a server or connection."""
 
     family = socket.AF_INET
     type = socket.SOCK_STREAM
@@ -69,74 +69,74 @@
 
 
 class _Datagrams(asyncio.DatagramTransport):
-    def __init__(self, net, addr, proto):
+    def __init__(self, net, addr, protocol):
         super().__init__()
-        self.net, self.addr, self.proto, self.shut = net, addr, proto, False
+        self.net, self.addr, self.protocol, self.closed = net, addr, protocol, False
         self.context = copy_context()
 
     def sendto(self, data, addr=None):
-        if not self.shut:
+        if not self.closed:
             self.net.datagram(self.addr, addr, data)
 
     def is_closing(self):
-        return self.shut
+        return self.closed
 
     def close(self):
-        self.shut = True
+        self.closed = True
         if self.net.ports.get(self.addr) is self:
             del self.net.ports[self.addr]
 
 
 class _Stream(asyncio.Transport):
-    """One end of a connection; what it writes arrives at the other in order."""
+    """One end of a connection; data arrives at the other end in order."""
 
-    def __init__(self, net, addr, far, proto):
-        super().__init__({"socket": _Socket(*addr), "sockname": addr, "peername": far})
-        self.net, self.addr, self.far, self.proto = net, addr, far, proto
-        self.other, self.shut, self.due, self.held, self.under_way = None, False, 0.0, None, deque()
+    def __init__(self, net, addr, peer, protocol):
+        super().__init__({"socket": _Socket(*addr), "sockname": addr, "peername": peer})
+        self.net, self.addr, self.peer, self.protocol = net, addr, peer, protocol
+        self.other, self.closed, self.next_arrival, self.read_buffer, self.in_flight = None, False, 0.0, None, deque()
 
     def write(self, data):
-        if self.shut or not data:
+        if self.closed or not data:
             return
         self.net.tally.sent(self.addr[0], kind(data, 4), len(data))
-        if not self.net.joined(self.addr[0], self.far[0]):
-            self.net.loop.call_later(GIVE_UP, self._end, ConnectionResetError())
+        if not self.net.reachable(self.addr[0], self.peer[0]):
+            self.net.loop.call_later(UNREACHABLE_TIMEOUT_S, self._end, ConnectionResetError())
             return
-        self._push(lambda o: o.take(bytes(data)))
+        self._push(lambda stream: stream.receive(bytes(data)))
 
-    def _push(self, what):
+    def _push(self, event):
         now = self.net.loop.time()
-        self.due = max(self.due, now + self.net.delay(self.addr[0], self.far[0]))
-        self.under_way.append(what)
-        self.net.loop.call_at(self.due, self._arrive)
+        self.next_arrival = max(self.next_arrival, now + self.net.delay(self.addr[0], self.peer[0]))
+        self.in_flight.append(event)
+        self.net.loop.call_at(self.next_arrival, self._arrive)
 
     def _arrive(self):
-        what = self.under_way.popleft()
-        if self.other is not None and self.net.joined(self.addr[0], self.far[0]):
-            what(self.other)
+        event = self.in_flight.popleft()
+        if self.other is not None and self.net.reachable(self.addr[0], self.peer[0]):
+            event(self.other)
 
-    def take(self, data):
-        if self.shut:
+    def receive(self, data):
+        if self.closed:
             return
-        if self.held is not None:
-            self.held.append(data)
+        if self.read_buffer is not None:
+            self.read_buffer.append(data)
             return
         self.net.tally.received(self.addr[0], len(data))
-        self.proto.data_received(data)
+        self.protocol.data_received(data)
 
     def pause_reading(self):
-        self.held = self.held if self.held is not None else []
+        self.read_buffer = self.read_buffer if self.read_buffer is not None else []
 
     def resume_reading(self):
-        rest, self.held = self.held or [], None
-        for d in rest:
-            self.take(d)
+        buffered, self.read_buffer = self.read_buffer or [], None
+        for data in buffered:
+            self.receive(data)
 
     def is_reading(self):
-        return self.held is None
+        return self.read_buffer is None
 
     def is_closing(self):
-        return self.shut
+        return self.closed
 
     def get_write_buffer_size(self):
         return 0
@@ -147,64 +147,66 @@
     def can_write_eof(self):
         return False
 
-    def set_protocol(self, proto):
-        self.proto = proto
+    def set_protocol(self, protocol):
+        self.protocol = protocol
 
     def get_protocol(self):
-        return self.proto
+        return self.protocol
 
     def close(self):
-        if not self.shut:
-            self._push(lambda o: o._end(None))
+        if not self.closed:
+            self._push(lambda stream: stream._end(None))
             self._end(None)
 
     abort = close
 
-    def _end(self, exc):
-        if not self.shut:
-            self.shut = True
-            self.net.loop.call_soon(self.proto.connection_lost, exc)
+    def _end(self, error):
+        if not self.closed:
+            self.closed = True
+            self.net.loop.call_soon(self.protocol.connection_lost, error)
 
 
 class Network:
-    """The simulated network: who listens where, how far apart, what is cut, what was sent."""
+    """The simulated network: listening sockets, link delays, cut links, and counts of the traffic."""
 
     def __init__(self, loop, rng, delay, loss):
-        self.loop, self.rng, self.far, self.loss = loop, rng, delay, loss
+        self.loop, self.rng, self.link_delay, self.loss = loop, rng, delay, loss
         self.ports, self.servers, self.off, self.cuts = {}, {}, set(), set()
         self.tally = Tally()
 
-    def delay(self, a, b):
-        """The seconds that something takes from one host to another now."""
-        return self.far(a, b) * (0.8 + 0.4 * self.rng.random())
+    def delay(self, source, target):
+        """Return a random delay between two hosts in seconds, within 20% of the link's delay."""
+        return self.link_delay(source, target) * (0.8 + 0.4 * self.rng.random())
 
-    def joined(self, a, b):
-        """Whether what one host sends now reaches the other."""
-        return a not in self.off and b not in self.off and (a, b) not in self.cuts
+    def reachable(self, source, target):
+        """Whether data sent from one host now reaches the other."""
+        return source not in self.off and target not in self.off and (source, target) not in self.cuts
 
-    def cut(self, some, others):
-        """Parts two groups of hosts, both ways."""
-        self.cuts |= {p for a in some for b in others for p in ((a, b), (b, a))}
+    def cut(self, group, others):
+        """Cut the links between two groups of hosts, in both directions."""
+        self.cuts |= {link for source in group for target in others for link in ((source, target), (target, source))}
 
-    def datagram(self, src, dst, data):
-        """Sends a datagram; it may get lost."""
-        if src[0] in self.off:
+    def datagram(self, source, target, data):
+        """Send a datagram; it may be lost."""
+        if source[0] in self.off:
             return
-        if len(data) > MOST:
+        if len(data) > MAXIMUM_DATAGRAM_BYTES:
             self.tally.long += 1
             return
-        self.tally.sent(src[0], kind(data), len(data))
-        if self.rng.random() < self.loss or not self.joined(src[0], dst[0]):
+        self.tally.sent(source[0], kind(data), len(data))
+        if self.rng.random() < self.loss or not self.reachable(source[0], target[0]):
             self.tally.lost += 1
             return
-        to = self.ports.get(dst)
-        if to is not None:
-            self.loop.call_later(self.delay(src[0], dst[0]), self._arrive, src, dst, data, to, context=to.context)
+        receiver = self.ports.get(target)
+        if receiver is not None:
+            self.loop.call_later(
+                self.delay(source[0], target[0]), self._arrive, source, target, data, receiver, context=receiver.context
+            )
 
-    def _arrive(self, src, dst, data, to):
-        if not to.shut and dst[0] not in self.off:
-            self.tally.received(dst[0], len(data))
-            to.proto.datagram_received(data, src)
+    def _arrive(self, source, target, data, receiver):
+        if not receiver.closed and target[0] not in self.off:
+            self.tally.received(target[0], len(data))
+            receiver.protocol.datagram_received(data, source)
 
 
 class _Server(asyncio.AbstractServer):
@@ -222,21 +224,21 @@
 
 
 class Loop(asyncio.BaseEventLoop):
-    """The event loop; ``net`` is its network, ``turn`` the seconds that each of its turns takes at least.
+    """The event loop; ``net`` is its network, and ``turn`` the minimum duration of each iteration in seconds.
 
     >>> loop = Loop(random.Random(1)); loop.run_until_complete(asyncio.sleep(3600)); loop.time() - START
     3600.0
     >>> loop.close()
     """
 
-    def __init__(self, rng, delay=lambda a, b: 0.0005, loss=0.0, turn=0.0):
+    def __init__(self, rng, delay=lambda source, target: 0.0005, loss=0.0, turn=0.0):
         super().__init__()
         self.now, self.turn = START, turn
-        self._selector = _Jump(self)
-        self.net, self.ends = Network(self, rng, delay, loss), 40000
+        self._selector = _TimeSelector(self)
+        self.net, self.last_port = Network(self, rng, delay, loss), 40000
 
     def time(self):
-        """The simulated time, in seconds."""
+        """Return the simulated time in seconds."""
         return self.now
 
     def _process_events(self, events):
@@ -245,134 +247,137 @@
     def _write_to_self(self):
         pass
 
-    def run_in_executor(self, executor, func, *args):
-        """Does the work at once; there are no threads in simulated time."""
+    def run_in_executor(self, executor, function, *args):
+        """Run the function at once, since there are no threads in simulated time."""
         done = self.create_future()
-        done.set_result(func(*args))
+        done.set_result(function(*args))
         return done
 
-    async def create_datagram_endpoint(self, factory, local_addr=None, **kw):
-        """A datagram socket of the simulated network."""
-        proto = factory()
-        tr = self.net.ports[tuple(local_addr)] = _Datagrams(self.net, tuple(local_addr), proto)
-        proto.connection_made(tr)
-        return tr, proto
+    async def create_datagram_endpoint(self, factory, local_addr=None, **options):
+        """Create a datagram socket of the simulated network."""
+        protocol = factory()
+        transport = self.net.ports[tuple(local_addr)] = _Datagrams(self.net, tuple(local_addr), protocol)
+        protocol.connection_made(transport)
+        return transport, protocol
 
-    async def create_server(self, factory, host=None, port=None, *, sock=None, **kw):
-        """A listening socket of the simulated network."""
+    async def create_server(self, factory, host=None, port=None, *, sock=None, **options):
+        """Create a listening socket of the simulated network."""
         host, port = sock.getsockname() if sock is not None else (host, port)
         addr = (host, port or self._free_port())
         self.net.servers[addr] = (factory, copy_context())
         return _Server(self.net, addr)
 
     def _free_port(self):
-        self.ends += 1
-        return self.ends
+        self.last_port += 1
+        return self.last_port
 
     @staticmethod
-    async def start_connection(addr_infos, **kw):
-        """A socket that is to be connected to the first address; stands for the HTTP client's own dialling."""
+    async def start_connection(addr_infos, **options):
+        """Return an unconnected socket for the first address; replaces the HTTP client's own connection set-up."""
         return _Socket(*addr_infos[0][4])
 
-    async def create_connection(self, factory, host=None, port=None, *, sock=None, **kw):
-        """A connection over the simulated network; hangs when the other host is away."""
+    async def create_connection(self, factory, host=None, port=None, *, sock=None, **options):
+        """Create a connection over the simulated network; wait while the other host is unreachable."""
         host, port = sock.getsockname() if sock is not None else (host, port)
-        me, to = HOST.get(), (host, port)
-        while not self.net.joined(me, host):
-            await asyncio.sleep(GIVE_UP)
-        await asyncio.sleep(2 * self.net.delay(me, host))
-        make, context = self.net.servers.get(to, (None, None))
-        if make is None:
-            raise ConnectionRefusedError(f"nobody listens at {host}:{port}")
-        mine = (me, self._free_port())
-        a = _Stream(self.net, mine, to, factory())
-        b = _Stream(self.net, to, mine, make())
-        a.other, b.other = b, a
-        a.proto.connection_made(a)
-        self.call_soon(b.proto.connection_made, b, context=context)
-        return a, a.proto
+        local_host, receiver = HOST.get(), (host, port)
+        while not self.net.reachable(local_host, host):
+            await asyncio.sleep(UNREACHABLE_TIMEOUT_S)
+        await asyncio.sleep(2 * self.net.delay(local_host, host))
+        accept, context = self.net.servers.get(receiver, (None, None))
+        if accept is None:
+            raise ConnectionRefusedError(f"connection refused by {host}:{port}")
+        local_address = (local_host, self._free_port())
+        client = _Stream(self.net, local_address, receiver, factory())
+        server = _Stream(self.net, receiver, local_address, accept())
+        client.other, server.other = server, client
+        client.protocol.connection_made(client)
+        self.call_soon(server.protocol.connection_made, server, context=context)
+        return client, client.protocol
 
 
 class Disk:
-    """A simulated disk: what was put is kept and told 5 ms later."""
+    """A simulated disk: a save is stored and reported 5 ms later."""
 
-    held: ClassVar[dict] = {}
+    contents: ClassVar[dict] = {}
     set_aside = False
 
     def __init__(self, folder, loop, done, failed):
         self.folder, self.loop, self.done = folder, loop, done
 
     async def load(self):
-        """What the disk holds, or None."""
-        return Disk.held.get(self.folder)
+        """Return the content of the disk, or None."""
+        return Disk.contents.get(self.folder)
 
     def start(self):
-        """Nothing to start."""
+        """Do nothing; there is no thread to start."""
 
     def put(self, save):
-        """Keeps a save."""
-        self.loop.call_later(0.005, self._kept, save)
-
-    def _kept(self, save):
-        old = Disk.held.get(self.folder)
-        Disk.held[self.folder] = (save.register, save.data if save.data is not None else old[1] if old else EMPTY)
+        """Schedule a save."""
+        self.loop.call_later(0.005, self._store, save)
+
+    def _store(self, save):
+        previous = Disk.contents.get(self.folder)
+        Disk.contents[self.folder] = (
+            save.register,
+            save.data if save.data is not None else previous[1] if previous else EMPTY,
+        )
         self.done([save])
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing; there is no thread to stop."""
 
 
 @contextmanager
-def swapped(obj, name, val):
-    """Has a value stand for an attribute meanwhile.
+def swapped(owner, name, value):
+    """Replace an attribute within the context.
 
-    >>> with swapped(Disk, "held", {"a": 1}):
-    ...     Disk.held
+    >>> with swapped(Disk, "contents", {"a": 1}):
+    ...     Disk.contents
     {'a': 1}
     """
-    old = getattr(obj, name)
-    setattr(obj, name, val)
+    previous = getattr(owner, name)
+    setattr(owner, name, value)
     try:
         yield
     finally:
-        setattr(obj, name, old)
+        setattr(owner, name, previous)
 
 
 @contextmanager
-def world(seed, delay=lambda a, b: 0.0005, loss=0.0, turn=0.0):
-    """A loop in whose time, network and luck the services run; gives the loop.
+def world(seed, delay=lambda source, target: 0.0005, loss=0.0, turn=0.0):
+    """Yield a loop whose time, network and random numbers the services use.
 
-    ``turn``: the seconds that each turn of the loop takes at least, as on a busy machine.
+    ``turn``: the minimum duration of each iteration of the loop in seconds, as on a busy machine.
 
     >>> from sparloom.transport import monotonic
     >>> with world(1) as loop:
     ...     monotonic().total_seconds()
     1000.0
     """
-    luck = random.Random(seed)
+    rng = random.Random(seed)
 
-    class Seeded(random.Random):
-        """Luck that follows from the seed."""
+    class SeededRandom(random.Random):
+        """A random generator whose default seed follows from the simulation's seed."""
 
-        def __init__(self, x=None):
-            super().__init__(luck.random() if x is None else x)
+        def __init__(self, seed_value=None):
+            super().__init__(rng.random() if seed_value is None else seed_value)
 
-    loop = Loop(random.Random(luck.random()), delay, loss, turn)
-    Disk.held = {}
+    loop = Loop(random.Random(rng.random()), delay, loss, turn)
+    Disk.contents = {}
     with ExitStack() as stack:
-        for obj, name, val in (
+        for owner, name, value in (
             (
                 clock,
                 "time",
                 SimpleNamespace(monotonic=loop.time, time_ns=lambda: WALL_CLOCK_NS + int(loop.time() * 1e9)),
             ),
-            (random, "Random", Seeded),
-            (os, "urandom", luck.randbytes),
+            (random, "Random", SeededRandom),
+            (os, "urandom", rng.randbytes),
             (sockets, "take", _Socket),
             (core, "DurableWriter", Disk),
             (aiohappyeyeballs, "start_connection", loop.start_connection),
         ):
-            stack.enter_context(swapped(obj, name, val))
+            stack.enter_context(swapped(owner, name, value))
         try:
             yield loop
         finally:
@@ -380,14 +385,14 @@
 
 
 def end(loop):
-    """Ends all tasks of a loop, and the loop.
+    """Cancel all tasks of a loop and close it.
 
     >>> end(Loop(random.Random(1)))
     """
-    left = asyncio.all_tasks(loop)
-    for t in left:
-        t.cancel()
+    pending = asyncio.all_tasks(loop)
+    for task in pending:
+        task.cancel()
     loop.set_exception_handler(lambda loop, context: None)
-    if left:
-        loop.run_until_complete(asyncio.wait(left, timeout=5))
+    if pending:
+        loop.run_until_complete(asyncio.wait(pending, timeout=5))
     loop.close()
--- a/tests/simulator/test_history.py
+++ b/tests/simulator/test_history.py
@@ -1,4 +1,4 @@
-"""Recorded histories of operators' calls: the checker finds what is wrong, and the real handler's histories hold."""
+"""Histories of operators' calls: the checker rejects invalid ones, and those of the real handler are valid."""
 
 import asyncio
 import os
@@ -7,7 +7,7 @@
 import unittest
 from unittest import mock
 
-from simulator.history import Call, Outcome, Sent, broken_rule, fault_in, linearize
+from simulator.history import Call, ChangeOrder, Outcome, broken_rule, fault_in, linearize
 from simulator.operators import Plan, play_history
 from sparloom.controller import configuration_writer
 from sparloom.controller.change_requests import Judgement, Verdict, judge
@@ -15,123 +15,143 @@
 from sparloom.controller.control_state import History, State
 from tests.support.paths import ROOT
 
-ACK, STALE, INVALID, READ, UNCLEAR = (
+ACKNOWLEDGED, STALE, INVALID, READ, UNCLEAR = (
     Outcome.ACKNOWLEDGED,
     Outcome.STALE,
     Outcome.INVALID,
     Outcome.READ,
     Outcome.UNCLEAR,
 )
-A = Sent("a", "PUT", 0, {"revision": 2, "routes": [], "services": []})
-B = Sent("b", "PUT", 0, {"revision": 2, "routes": [{"name": "b"}], "services": []})
-C = Sent("c", "PATCH", 2, {"revision": 5, "upsert": {"routes": [{"name": "c"}]}})
-AFTER_C = {"revision": 5, "routes": [{"name": "c"}], "services": []}
+FIRST = ChangeOrder("a", "PUT", 0, {"revision": 2, "routes": [], "services": []})
+CONFLICTING = ChangeOrder("b", "PUT", 0, {"revision": 2, "routes": [{"name": "b"}], "services": []})
+SECOND = ChangeOrder("c", "PATCH", 2, {"revision": 5, "upsert": {"routes": [{"name": "c"}]}})
+AFTER_SECOND = {"revision": 5, "routes": [{"name": "c"}], "services": []}
 
 
-class Checker(unittest.TestCase):
-    def holds(self, *calls):
+class HistoryChecker(unittest.TestCase):
+    def assert_valid(self, *calls):
         self.assertIsNone(fault_in(calls))
 
-    def fails(self, *calls):
+    def assert_invalid(self, *calls):
         self.assertIsNotNone(linearize(calls).fault)
 
-    def test_unclear_changes_may_have_been_taken_at_any_later_time_or_never(self):
-        lost = Call(0, A)
-        self.holds(lost, Call(1, None, 2, Outcome.EMPTY), Call(3, None, 4, READ, A.body))
-        self.holds(lost, Call(1, B, 2, ACK), Call(3, A, 4, STALE), Call(3, None, 4, READ, B.body))
-        self.fails(lost, Call(1, None, 2, READ, A.body), Call(3, None, 4, Outcome.EMPTY))
-        self.fails(Call(5, A), Call(1, None, 2, READ, A.body))
-
-    def test_a_read_gives_exactly_what_was_sent(self):
-        history = Call(0, A, 1, ACK), Call(2, C, 3, ACK)
-        self.holds(*history, Call(4, None, 5, READ, AFTER_C))
-        self.fails(*history, Call(4, None, 5, READ, {**AFTER_C, "routes": []}))
-        self.fails(*history, Call(4, None, 5, READ, A.body))
-
-    def test_of_two_changes_on_one_base_one_wins(self):
-        self.holds(Call(0, A, 9, ACK), Call(0, B, 9, STALE))
-        self.fails(Call(0, A, 9, ACK), Call(0, B, 9, ACK))
-        self.assertIn("two changes of revision 0", broken_rule([Call(0, A, 9, ACK), Call(0, B, 9, ACK)]))
-
-    def test_what_was_taken_is_never_refused(self):
-        self.holds(Call(0, A), Call(1, A, 2, ACK), Call(3, C, 4, ACK), Call(5, A, 6, ACK))
-        self.fails(Call(0, A), Call(1, None, 2, READ, A.body), Call(3, A, 4, STALE))
-        self.assertIn("was refused", broken_rule([Call(0, A, 1, ACK), Call(2, A, 3, INVALID)]))
-
-    def test_a_refusal_needs_its_reason(self):
-        self.fails(Call(0, A, 1, STALE))
-        self.fails(Call(0, A, 1, INVALID))
-        self.holds(Call(0, Sent("x", "PUT", 0, {"revision": 1}, valid=False), 1, INVALID))
-
-    def test_a_read_never_goes_back(self):
-        back = [Call(0, A, 1, ACK), Call(2, C, 9, ACK), Call(3, None, 4, READ, AFTER_C), Call(5, None, 6, READ, A.body)]
-        self.fails(*back)
-        self.holds(*back[:2], Call(3, None, 6, READ, AFTER_C), Call(3, None, 5, READ, A.body))
-
-
-async def _unconfirmed(self, deadline):
+    def test_unanswered_change_may_apply_at_any_later_time_or_never(self):
+        unanswered = Call(0, FIRST)
+        self.assert_valid(unanswered, Call(1, None, 2, Outcome.EMPTY), Call(3, None, 4, READ, FIRST.body))
+        self.assert_valid(
+            unanswered,
+            Call(1, CONFLICTING, 2, ACKNOWLEDGED),
+            Call(3, FIRST, 4, STALE),
+            Call(3, None, 4, READ, CONFLICTING.body),
+        )
+        self.assert_invalid(unanswered, Call(1, None, 2, READ, FIRST.body), Call(3, None, 4, Outcome.EMPTY))
+        self.assert_invalid(Call(5, FIRST), Call(1, None, 2, READ, FIRST.body))
+
+    def test_read_returns_exactly_the_changed_configuration(self):
+        acknowledged = Call(0, FIRST, 1, ACKNOWLEDGED), Call(2, SECOND, 3, ACKNOWLEDGED)
+        self.assert_valid(*acknowledged, Call(4, None, 5, READ, AFTER_SECOND))
+        self.assert_invalid(*acknowledged, Call(4, None, 5, READ, {**AFTER_SECOND, "routes": []}))
+        self.assert_invalid(*acknowledged, Call(4, None, 5, READ, FIRST.body))
+
+    def test_only_one_of_two_changes_on_one_base_is_acknowledged(self):
+        self.assert_valid(Call(0, FIRST, 9, ACKNOWLEDGED), Call(0, CONFLICTING, 9, STALE))
+        self.assert_invalid(Call(0, FIRST, 9, ACKNOWLEDGED), Call(0, CONFLICTING, 9, ACKNOWLEDGED))
+        self.assertIn(
+            "two changes of revision 0",
+            broken_rule([Call(0, FIRST, 9, ACKNOWLEDGED), Call(0, CONFLICTING, 9, ACKNOWLEDGED)]),
+        )
+
+    def test_acknowledged_change_is_never_rejected(self):
+        self.assert_valid(
+            Call(0, FIRST),
+            Call(1, FIRST, 2, ACKNOWLEDGED),
+            Call(3, SECOND, 4, ACKNOWLEDGED),
+            Call(5, FIRST, 6, ACKNOWLEDGED),
+        )
+        self.assert_invalid(Call(0, FIRST), Call(1, None, 2, READ, FIRST.body), Call(3, FIRST, 4, STALE))
+        self.assertIn("was rejected", broken_rule([Call(0, FIRST, 1, ACKNOWLEDGED), Call(2, FIRST, 3, INVALID)]))
+
+    def test_rejection_needs_its_reason(self):
+        self.assert_invalid(Call(0, FIRST, 1, STALE))
+        self.assert_invalid(Call(0, FIRST, 1, INVALID))
+        self.assert_valid(Call(0, ChangeOrder("x", "PUT", 0, {"revision": 1}, valid=False), 1, INVALID))
+
+    def test_read_never_returns_older_configuration(self):
+        calls = [
+            Call(0, FIRST, 1, ACKNOWLEDGED),
+            Call(2, SECOND, 9, ACKNOWLEDGED),
+            Call(3, None, 4, READ, AFTER_SECOND),
+            Call(5, None, 6, READ, FIRST.body),
+        ]
+        self.assert_invalid(*calls)
+        self.assert_valid(*calls[:2], Call(3, None, 6, READ, AFTER_SECOND), Call(3, None, 5, READ, FIRST.body))
+
+
+async def _read_without_confirmation(self, deadline):
     await asyncio.sleep(0.001)
     return self.committed
 
 
-async def _acknowledged_early(write, deadline):
+async def _acknowledge_before_write(write, deadline):
     await asyncio.sleep(0.001)
     return True
 
 
-async def _undecided(self, deadline):
+async def _read_uncommitted(self, deadline):
     data = self.consensus.member.data
     return Snapshot(data.version, data.blob, State.unpack(data.blob)) if self.consensus.member.leading() else None
 
 
-def _number_only(state, change, router_count=0):
-    """A change counts as taken when its number was."""
+def _compare_revision_only(state, change, router_count=0):
+    """Treat a change as committed if any change with its revision was."""
     if state.history.fingerprint_of(change.revision):
         return Judgement(Verdict.ALREADY_COMMITTED)
     return judge(state, change, router_count)
 
 
-class Histories(unittest.TestCase):
-    """The real handler, with real requests, in simulated time."""
+class PlayedHistories(unittest.TestCase):
+    """The real handler with real requests in simulated time."""
 
-    MOST_SEEDS = 12
+    MAXIMUM_SEEDS = 12
 
-    def caught(self, name, mutant, target=ConfigurationWriter):
+    def first_failing_seed(self, name, mutant, target=ConfigurationWriter):
         with mock.patch.object(target, name, mutant):
-            seeds = range(1, self.MOST_SEEDS + 1)
-            return next((s for s in seeds if play_history(s, Plan(seconds=15.0)).fault), None)
+            seeds = range(1, self.MAXIMUM_SEEDS + 1)
+            return next((seed for seed in seeds if play_history(seed, Plan(seconds=15.0)).fault), None)
 
-    def test_histories_hold_under_troubles(self):
-        args = [sys.executable, "-m", "simulator", "history", "--seeds", "4", "--seconds", "15"]
-        env = {**os.environ, "PYTHONHASHSEED": "0"}
-        done = subprocess.run(args, cwd=ROOT, env=env, capture_output=True, text=True, check=False)
-        self.assertEqual(done.returncode, 0, done.stdout + done.stderr)
-        self.assertIn("4 held, 0 did not", done.stdout)
+    def test_histories_are_valid_under_faults(self):
+        command = [sys.executable, "-m", "simulator", "history", "--seeds", "4", "--seconds", "15"]
+        environment = {**os.environ, "PYTHONHASHSEED": "0"}
+        completed = subprocess.run(command, cwd=ROOT, env=environment, capture_output=True, text=True, check=False)
+        self.assertEqual(completed.returncode, 0, completed.stdout + completed.stderr)
+        self.assertIn("4 held, 0 did not", completed.stdout)
 
-    def test_a_handler_that_acknowledges_before_the_write_is_caught(self):
-        self.assertIsNotNone(self.caught("_committed_in_time", staticmethod(_acknowledged_early)))
+    def test_acknowledgement_before_write_is_found(self):
+        self.assertIsNotNone(self.first_failing_seed("_committed_in_time", staticmethod(_acknowledge_before_write)))
 
-    def test_reads_and_refusals_without_confirmation_are_caught(self):
-        self.assertIsNotNone(self.caught("confirmed", _unconfirmed))
+    def test_reads_and_rejections_without_confirmation_are_found(self):
+        self.assertIsNotNone(self.first_failing_seed("confirmed", _read_without_confirmation))
 
-    def test_reads_and_refusals_on_undecided_state_are_caught(self):
-        self.assertIsNotNone(self.caught("confirmed", _undecided))
+    def test_reads_and_rejections_on_uncommitted_state_are_found(self):
+        self.assertIsNotNone(self.first_failing_seed("confirmed", _read_uncommitted))
 
-    def test_a_handler_that_forgets_what_was_taken_is_caught(self):
-        self.assertIsNotNone(self.caught("add", lambda self, revision, mark: self, History))
+    def test_handler_without_change_history_is_found(self):
+        self.assertIsNotNone(self.first_failing_seed("add", lambda self, revision, fingerprint: self, History))
 
-    def test_a_change_of_the_configuration_that_forgets_evacuations_is_caught(self):
+    def test_configuration_change_that_drops_evacuations_is_found(self):
         def then(state, configuration, change_fingerprint, router_count=0):
             history = state.history.add(configuration["revision"], change_fingerprint)
             return State(configuration, history, router_count)
 
-        self.assertIsNotNone(self.caught("then", then, State))
+        self.assertIsNotNone(self.first_failing_seed("then", then, State))
 
-    def test_an_evacuation_that_is_acknowledged_and_not_written_is_caught(self):
-        taken = Judgement(Verdict.ALREADY_COMMITTED)
-        self.assertIsNotNone(self.caught("judge_evacuation", lambda _state, _order: taken, configuration_writer))
+    def test_acknowledged_evacuation_that_is_not_written_is_found(self):
+        already_committed = Judgement(Verdict.ALREADY_COMMITTED)
+        self.assertIsNotNone(
+            self.first_failing_seed("judge_evacuation", lambda _state, _order: already_committed, configuration_writer)
+        )
 
-    def test_a_handler_that_goes_by_the_number_alone_is_caught(self):
-        with mock.patch("sparloom.controller.configuration_writer.judge", _number_only):
-            seeds = range(1, self.MOST_SEEDS + 1)
-            self.assertTrue(any(play_history(s, Plan(seconds=15.0)).fault for s in seeds))
+    def test_handler_that_compares_only_revisions_is_found(self):
+        with mock.patch("sparloom.controller.configuration_writer.judge", _compare_revision_only):
+            seeds = range(1, self.MAXIMUM_SEEDS + 1)
+            self.assertTrue(any(play_history(seed, Plan(seconds=15.0)).fault for seed in seeds))
