--- a/simulator/check/duties.py
+++ b/simulator/check/duties.py
@@ -18,7 +18,7 @@
 from attrs import evolve, frozen
 
 from sparloom.duties import DecidedWindow, DutyState, DutyUpdate, ScaleOrder
-from sparloom.duties.lease import first_act
+from sparloom.duties.lease import earliest_action
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -137,7 +137,7 @@
     node = state.node(name)
     committed = DutyUpdate(name, claim=True, first_window=FIRST_WINDOW).apply(state.committed)
     assert committed is not None, "a claim applies to any state"
-    acts_from = first_act(name, committed.previous_holder, node.acts_from, state.now, WAIT)
+    acts_from = earliest_action(name, committed.previous_holder, node.acts_from, state.now, WAIT)
     claimed = DutyNode(name, committed.usage_fence, acts_from)
     return evolve(state.with_node(claimed), committed=committed, leader=name, elections=state.elections + 1)
 
--- a/simulator/operators.py
+++ b/simulator/operators.py
@@ -8,7 +8,7 @@
 from attrs import define, field
 
 from . import virtual
-from .caller import MOST_REDIRECTS, call, redirected
+from .caller import MAX_REDIRECTS, call, redirected
 from .evacuations import dispatchers
 from .fleet import SERVICE
 from .history import Call, ChangeOrder, Outcome, fault_in
@@ -125,7 +125,7 @@
 
     async def _call_with_redirects(self, address, order, body_after=0.0):
         """Call a node and follow redirects; return the last answer or None."""
-        for _ in range(MOST_REDIRECTS + 1):
+        for _ in range(MAX_REDIRECTS + 1):
             answer = await self._call_once(address, order, body_after)
             if answer is None or redirected(answer) is None:
                 return answer
--- a/tests/simulator/test_duty_model.py
+++ b/tests/simulator/test_duty_model.py
@@ -40,14 +40,14 @@
         self.assertEqual((report.found, report.states), ("", 25_000))
 
     def test_holder_that_does_not_wait_for_lease_is_found(self):
-        with mock.patch.object(duties, "first_act", lambda node, previous, own, now, wait: now):
+        with mock.patch.object(duties, "earliest_action", lambda node, previous, own, now, wait: now):
             self.assertIn("within the lease", self.found())
 
     def test_second_claim_that_drops_wait_of_first_is_found(self):
         def first_act_without_own_wait(node, previous, own, now, wait):
             return now if previous in ("", node) else now + wait
 
-        with mock.patch.object(duties, "first_act", first_act_without_own_wait):
+        with mock.patch.object(duties, "earliest_action", first_act_without_own_wait):
             self.assertIn("within the lease", self.found(100_000))
 
     def test_reused_fences_are_found(self):
--- a/tests/simulator/test_history.py
+++ b/tests/simulator/test_history.py
@@ -127,7 +127,9 @@
         self.assertIn("4 held, 0 did not", completed.stdout)
 
     def test_acknowledgement_before_write_is_found(self):
-        self.assertIsNotNone(self.first_failing_seed("_committed_in_time", staticmethod(_acknowledge_before_write)))
+        self.assertIsNotNone(
+            self.first_failing_seed("_is_committed_by_deadline", staticmethod(_acknowledge_before_write))
+        )
 
     def test_reads_and_rejections_without_confirmation_are_found(self):
         self.assertIsNotNone(self.first_failing_seed("confirmed", _read_without_confirmation))
@@ -148,7 +150,9 @@
     def test_acknowledged_evacuation_that_is_not_written_is_found(self):
         already_committed = Judgement(Verdict.ALREADY_COMMITTED)
         self.assertIsNotNone(
-            self.first_failing_seed("judge_evacuation", lambda _state, _order: already_committed, configuration_writer)
+            self.first_failing_seed(
+                "evaluate_evacuation", lambda _state, _order: already_committed, configuration_writer
+            )
         )
 
     def test_handler_that_compares_only_revisions_is_found(self):
