--- a/simulator/__main__.py
+++ b/simulator/__main__.py
@@ -163,9 +163,9 @@
     :param replace: also have machines lose their disks and be replaced
     :param controllers: number of controllers
     """
-    from .operators import REPLACING, Plan, play_history
+    from .operators import REPLACEMENT_FAULTS, Plan, play_history
 
-    options = {"troubles": REPLACING} if replace else {}
+    options = {"troubles": REPLACEMENT_FAULTS} if replace else {}
     failures = 0
     for run_seed in range(seed, seed + seeds):
         played = play_history(run_seed, Plan(seconds=seconds, controllers=controllers, **options))
--- a/simulator/check/__init__.py
+++ b/simulator/check/__init__.py
@@ -8,8 +8,8 @@
 """
 
 from .history import Violation
-from .model_state import Scope, World
+from .model_state import ModelState, Scope
 from .search import Bounds, Report, search, walk
 from .show import timeline
 
-__all__ = ["Bounds", "Report", "Scope", "Violation", "World", "search", "timeline", "walk"]
+__all__ = ["Bounds", "Report", "Scope", "Violation", "ModelState", "search", "timeline", "walk"]
--- a/simulator/check/model_state.py
+++ b/simulator/check/model_state.py
@@ -117,10 +117,10 @@
 
 
 @define(slots=True)
-class World:
+class ModelState:
     """One state of the whole model.
 
-    >>> sorted(World.begin(Scope()).nodes)
+    >>> sorted(ModelState.begin(Scope()).nodes)
     ['a', 'b', 'c']
     """
 
--- a/simulator/check/search.py
+++ b/simulator/check/search.py
@@ -13,7 +13,7 @@
 
 from .copying import Interner
 from .history import Violation
-from .model_state import World
+from .model_state import ModelState
 from .recovery import settle
 from .transitions import deviations, fair
 
@@ -47,7 +47,7 @@
     complete: bool = True
     found: Violation | None = None
     trace: list = field(factory=list)
-    start: World | None = None
+    start: ModelState | None = None
     kinds: Counter = field(factory=Counter)
 
     @property
--- a/simulator/check/show.py
+++ b/simulator/check/show.py
@@ -9,8 +9,8 @@
     """Return the transitions from a state as text; a transition of time only advances the time of the rows that follow.
 
     >>> from .transitions import At
-    >>> from .model_state import Scope, World
-    >>> print(timeline(World.begin(Scope()), [At("kill", "a"), Pass(), At("boot", "a")]))
+    >>> from .model_state import Scope, ModelState
+    >>> print(timeline(ModelState.begin(Scope()), [At("kill", "a"), Pass(), At("boot", "a")]))
     ms    a     b  c
     0     kill  .  .
     100   boot  .  .
--- a/simulator/check/shrink.py
+++ b/simulator/check/shrink.py
@@ -57,8 +57,8 @@
     """Return the plan of a trace, with None for each fair transition.
 
     >>> from .transitions import At
-    >>> from .model_state import Scope, World
-    >>> as_plan(World.begin(Scope()), [At("saved", "a"), At("kill", "b")])
+    >>> from .model_state import Scope, ModelState
+    >>> as_plan(ModelState.begin(Scope()), [At("saved", "a"), At("kill", "b")])
     [None, At(what='kill', node='b')]
     """
     state, plan = start.copy(), []
--- a/simulator/check/starts.py
+++ b/simulator/check/starts.py
@@ -2,7 +2,7 @@
 
 from . import adapter
 from .history import Violation
-from .model_state import STEP, World
+from .model_state import STEP, ModelState
 from .transitions import At, fair, run_fairly
 
 START_MS = 3000
@@ -20,7 +20,7 @@
 
 def first(scope):
     """All disks are empty, and nothing has been sent."""
-    return World.begin(scope)
+    return ModelState.begin(scope)
 
 
 def ready(scope):
@@ -30,7 +30,7 @@
     >>> len(ready(Scope()).history.acknowledged)
     1
     """
-    state = World.begin(scope)
+    state = ModelState.begin(scope)
     if not run_fairly(state, START_MS, lambda current: current.primary() is not None):
         raise Violation(f"no primary within {START_MS} ms of the first start")
     _acknowledge(state)
--- a/simulator/check/transitions.py
+++ b/simulator/check/transitions.py
@@ -227,8 +227,8 @@
 def run_fairly(state, duration_ms, until=None):
     """Play the fair schedule for some ms of simulated time, or until ``until(state)`` holds; return whether it held.
 
-    >>> from .model_state import Scope, World
-    >>> run_fairly(World.begin(Scope()), 3000, until=lambda state: state.primary() is not None)
+    >>> from .model_state import Scope, ModelState
+    >>> run_fairly(ModelState.begin(Scope()), 3000, until=lambda state: state.primary() is not None)
     True
     """
     elapsed = timedelta(0)
--- a/simulator/operators.py
+++ b/simulator/operators.py
@@ -27,7 +27,7 @@
 
 
 FAULTS = ("kill", "power", "cut", "one_way", "shun", "stall", "all_killed", "all_power")
-REPLACING = (*FAULTS, "wipe", "replace", "wipe", "replace")
+REPLACEMENT_FAULTS = (*FAULTS, "wipe", "replace", "wipe", "replace")
 
 
 @define(frozen=True, slots=True)
--- a/simulator/virtual.py
+++ b/simulator/virtual.py
@@ -32,7 +32,7 @@
 UNREACHABLE_TIMEOUT_S = 2.0
 
 
-class Stuck(RuntimeError):
+class NoPendingEventsError(RuntimeError):
     """No event is scheduled, but the main task has not finished."""
 
 
@@ -44,7 +44,7 @@
 
     def select(self, timeout):
         if timeout is None:
-            raise Stuck("all tasks wait, but no event is scheduled")
+            raise NoPendingEventsError("all tasks wait, but no event is scheduled")
         self.loop.now += max(timeout, self.loop.turn)
         return ()
 
--- a/tests/consensus/test_model_checker_findings.py
+++ b/tests/consensus/test_model_checker_findings.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from simulator.check import Scope, World
+from simulator.check import ModelState, Scope
 from simulator.check.recovery import settle
 from simulator.check.starts import ready
 from simulator.check.transitions import At, Deliver, Power, fair, run_fairly
@@ -45,7 +45,7 @@
             self.assertTrue(core.write(5), f"seed {seed}")
 
     def test_last_holder_may_become_primary_before_it_has_marked_the_view_active(self):
-        state = World.begin(Scope())
+        state = ModelState.begin(Scope())
 
         def is_activation_of_the_backup(message):
             return type(message.record).__name__ == "Activate" and message.record.view.backups[0] == (
@@ -80,7 +80,7 @@
         """)
 
     def test_founder_without_a_view_does_not_leave_at_once(self):
-        state = World.begin(Scope())
+        state = ModelState.begin(Scope())
         run_until(state, lambda current_state: all(node.ledger.known_founders for node in current_state.nodes.values()))
         At("leave", "a").play(state)
         self.assertFalse(state.nodes["a"].left)
--- a/tests/simulator/test_scale.py
+++ b/tests/simulator/test_scale.py
@@ -10,7 +10,7 @@
 from simulator.plan import from_dict
 from simulator.point import point
 from simulator.simulated_router import Load
-from simulator.virtual import HOST, START, Loop, Stuck, end
+from simulator.virtual import HOST, START, Loop, NoPendingEventsError, end
 from tests.support.paths import ROOT
 
 
@@ -143,7 +143,7 @@
         self.assertLess(self.run_on("a", exchange()), 3)
 
     def test_waiting_without_pending_events_raises(self):
-        with self.assertRaises(Stuck):
+        with self.assertRaises(NoPendingEventsError):
             self.loop.run_until_complete(self.loop.create_future())
 
 
