--- a/simulator/check/model_state.py
+++ b/simulator/check/model_state.py
@@ -374,23 +374,23 @@
             self.orders[action.id + 1] = evolve(order, writing=blob)
         return actions
 
-    def _check_on_every_holder(self, view, data, describe_rollout):
+    def _check_on_every_holder(self, view, data, description):
         """Check that a state confirmed to a client is on the disk of every holder that still has its disk."""
         if view is None:
-            raise Violation(f"a state was {describe_rollout} by a member that does not lead")
+            raise Violation(f"a state was {description} by a member that does not lead")
         for identity in view.holders:
             holder = self.holder(identity)
             if holder is None:
                 continue
             if holder.disk is None or holder.disk[1].version < data.version:
                 raise Violation(
-                    f"state {data.blob.decode()!r} was {describe_rollout}, but it is not on the disk of {holder.name}"
+                    f"state {data.blob.decode()!r} was {description}, but it is not on the disk of {holder.name}"
                 )
 
-    def _check_on_majorities(self, view, epoch_of, describe_rollout):
+    def _check_on_majorities(self, view, epoch_of, description):
         """Check that a majority of each roster has an epoch on disk; members lost since then count as having it."""
         for roster in view.rosters:
             voters = [self.holder(identity) for identity in roster]
             stored = sum(node is None or bool(node.disk) and epoch_of(node.disk[0]) >= view.epoch for node in voters)
             if 2 * stored <= len(roster):
-                raise Violation(f"only {stored} of {len(roster)} voters have {describe_rollout}")
+                raise Violation(f"only {stored} of {len(roster)} voters have {description}")
