--- a/sparloom/settings/checks.py
+++ b/sparloom/settings/checks.py
@@ -339,14 +339,14 @@
     return os.environ.get(CONFIG_PATH_VARIABLE, DEFAULT_CONFIG_PATH)
 
 
-def read_toml(path: str, describe_rollout: str) -> Result[dict[str, Any], str]:
+def read_toml(path: str, description: str) -> Result[dict[str, Any], str]:
     """Read a TOML file.
 
     Parameters
     ----------
     path
         The path of the file.
-    describe_rollout
+    description
         How error messages refer to the file.
 
     Examples
@@ -358,11 +358,11 @@
         with open(path, "rb") as file:
             return Success(tomllib.load(file))
     except FileNotFoundError:
-        return Failure(f"{describe_rollout} is missing.")
+        return Failure(f"{description} is missing.")
     except OSError as error:
-        return Failure(f"{describe_rollout} can't be read ({error.strerror}).")
+        return Failure(f"{description} can't be read ({error.strerror}).")
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        return Failure(f"{describe_rollout} is not TOML ({error}).")
+        return Failure(f"{description} is not TOML ({error}).")
 
 
 def read(path: str) -> Result[Settings, str]:
