--- a/sparloom/settings/model.py
+++ b/sparloom/settings/model.py
@@ -17,10 +17,10 @@
 JOB_DEPLOYMENT = "sched"
 # The only supported way to send orders to runners: one call per order.
 ORDERS_BY_CALL = "call"
-# Supported duties, which are calls to the platform that one node at a time makes.
+# Supported duties: calls to the platform, made by one node at a time.
 USAGE_DUTY = "usage_reporting"
 SCALING_DUTY = "scaling"
-# The contract that introduces new versions through roll-outs.
+# Entry of ``contracts`` in the startup file that enables rollouts.
 ROLLOUT_CONTRACT = "rollout"
 
 
@@ -107,7 +107,7 @@
     acknowledge
         Time limit for acknowledging a change.
     drain
-        Time limit for learning that a runner is draining.
+        Time limit for all routers to learn that a runner is draining.
     grace
         Time from SIGTERM until the process must exit.
     config_apply
@@ -117,7 +117,7 @@
     budget_ratio
         Retries allowed per request.
     budget_slack
-        Retries allowed in addition to the ratio, for all nodes together.
+        Retries per window that all nodes together may send beyond the ratio.
     pass_time
         ``passMs`` of the startup file; not used.
     recovery
@@ -143,7 +143,7 @@
     Attributes
     ----------
     hold_limit
-        Longest time for which a runner keeps its tasks running without being called.
+        Longest time for which a runner keeps its tasks running without a hold call.
     gang
         Longest time that the tasks of a gang wait for each other.
     status
@@ -164,7 +164,7 @@
     overage
         Multiple of the runner's cold rate that is allowed.
     slack
-        Number of requests allowed in addition.
+        Requests per second allowed in addition.
     """
 
     overage: float = 1.0
@@ -189,7 +189,7 @@
 
 @define(frozen=True, slots=True)
 class DutySettings:
-    """Settings of duties, which are calls to the platform that one node at a time makes.
+    """Settings of duties: calls to the platform, made by one node at a time.
 
     Attributes
     ----------
@@ -200,15 +200,15 @@
     rate
         Duty calls per second that the platform allows for all nodes together.
     fencing_checked
-        Whether the platform rejects calls whose fencing token is lower than one that it has seen.
+        Whether the platform rejects calls whose fencing token is lower than one that it has seen; not used.
     lease
-        Minimum time between the calls of two different holders of a duty.
+        Minimum time between the calls of two different holders of the duties.
     thaw_slack
         How long after the end of its lease a holder whose process was suspended may still act.
     usage_window
         Length of a usage window.
     usage_error
-        Maximum relative error of a tenant's usage count.
+        Maximum relative error of a tenant's usage count; not used.
     usage_lateness
         Time limit for the report of a usage window, from the end of the window.
     """
@@ -237,18 +237,18 @@
 
 @define(frozen=True, slots=True)
 class RolloutSettings:
-    """Settings of roll-outs of new service versions.
+    """Settings of rollouts of new service versions.
 
     Attributes
     ----------
     enabled
-        Whether the runners of a new version serve only after a roll-out has introduced it.
+        Whether the runners of a new version serve only after a rollout has introduced it.
     exposure_share
         Maximum fraction of a service's requests that an unproven version gets.
     exposure_slack
         Number of requests allowed in addition to that fraction.
     rollback
-        Time limit from the 50th bad response of a version until it gets no more requests.
+        Time limit from the 50th bad response of a version until it gets no more requests; not used.
     """
 
     enabled: bool = False
@@ -259,7 +259,7 @@
 
 @define(frozen=True, slots=True)
 class CloudApi:
-    """The platform's HTTP interface, which lists the runners.
+    """The platform's HTTP interface, which lists the runners and takes the duty calls.
 
     Attributes
     ----------
@@ -297,7 +297,7 @@
     listen
         Addresses on which the process listens for clients, the platform and operators.
     zones
-        Region of each zone; not used.
+        Region of each zone. If any zones are listed, only these can be evacuated; the regions are not used.
     first_start
         Whether the entire system starts for the first time, with empty disks.
     loss_counted
@@ -307,7 +307,7 @@
     limits, tolerated, bounds
         See their classes.
     cloud
-        The platform's runner list; None if there is none.
+        The platform's HTTP interface for the runner list and the duty calls; None if there is none.
     members
         Members declared for admission, each with a reserve of the capacity.
     isolation
