--- a/sparloom/load_balancing/rank.py
+++ b/sparloom/load_balancing/rank.py
@@ -10,7 +10,7 @@
     from collections.abc import Callable, Sequence
 
 MASK_64 = (1 << 64) - 1
-# Odd multipliers and shift that mix all bits, as in splitmix64.
+# Odd multipliers as in splitmix64, and a right shift in bits; together they mix all bits of a number.
 GOLDEN_GAMMA, MIX_MULTIPLIER = 0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9
 MIX_SHIFT = 29
 
@@ -26,8 +26,8 @@
             as much.
         overload_slack: Number of requests; see ``overload_factor``.
         recompute: Extra cost of prefilling a token that another runner has cached, as a factor.
-        home: Bonus of the home runner for a prefix that no runner is known to cache, as a
-            factor of the length that other prompts may share.
+        home: Bonus of the home runner if all runners would have to prefill the same number
+            of tokens, as a factor of the length that other prompts may share.
         same_zone: Bonus of a runner in the router's zone.
         warm: Bonus of a runner with an idle open connection.
 
@@ -93,7 +93,8 @@
     """Returns whether a prompt's prefill exceeds one slot's share of the runner's cache.
 
     Such a prompt misses its latency target at any runner and delays the requests
-    queued behind it. It therefore gets a lower priority.
+    queued behind it. It therefore gets a lower priority. ``prefill_tokens`` and
+    ``capacity``, the size of the cache, are in tokens.
 
     >>> is_heavy_prefill(30000, 378959, 16), is_heavy_prefill(3000, 378959, 16), is_heavy_prefill(3000, 0, 16)
     (True, False, False)
@@ -115,9 +116,10 @@
     Work is estimated in tokens: the request's own prefill, the tokens queued at
     the runner, and a constant for each request in flight. Tokens that another
     runner has cached cost extra, so a request queues at the runner that has its
-    prefix cached unless that runner's backlog costs more than the prefill. A
-    prefix that no runner is known to cache prefers its home: the runner with the
-    highest rendezvous weight, on which all routers agree without communication.
+    prefix cached unless that runner's backlog costs more than the prefill. If all
+    runners would have to prefill the same number of tokens, the home runner gets
+    a bonus: the one with the highest rendezvous weight, on which all routers
+    agree without communication.
 
     Healthy runners come first, then cold, full and suspected ones, in this
     order. Among runners with similar work, those in the router's zone and those
@@ -142,8 +144,8 @@
     overloaded_above = weights.overload_factor * total_calls / len(candidates) + weights.overload_slack
     prefills = [candidate.prefill_tokens for candidate in candidates]
     minimum_prefill = min(prefills)
-    cached_nowhere = minimum_prefill == max(prefills)
-    home = max(candidates, key=lambda candidate: candidate.affinity_weight) if cached_nowhere else None
+    same_prefill = minimum_prefill == max(prefills)
+    home = max(candidates, key=lambda candidate: candidate.affinity_weight) if same_prefill else None
 
     def cost(candidate: Candidate) -> Cost:
         calls = candidate.calls
--- a/sparloom/scheduler/late_orders.py
+++ b/sparloom/scheduler/late_orders.py
@@ -1,13 +1,13 @@
-"""Start requests that timed out: how to make sure that none of them is carried out later.
+"""Tracks start requests that timed out, until none of them can still be carried out.
 
 A runner may carry such a request out seconds later. Its deadline is not a
 sufficient bound: a runner may judge lateness by the request's own deadline or
-by its hold, which later calls extend. Two rules give certainty. First, a
-runner that has accepted the stop of a run rejects every later start of that
-run. So a run never started if a list that was requested after the accepted
-stop contains neither the run nor its end. Second, a start that arrives after
-the hold has lapsed is late by either rule, as long as the hold is not
-extended again.
+by its hold, which later calls extend. Two facts prove that a start will not be
+carried out. First, a runner that has accepted the stop of a run rejects every
+later start of that run. So a run never started if a list that was requested
+after the accepted stop contains neither the run nor its end. Second, a start
+that arrives after the hold has lapsed is late by both criteria, its own
+deadline and the hold, as long as the hold is not extended again.
 """
 
 from __future__ import annotations
@@ -34,18 +34,18 @@
     Parameters
     ----------
     run
-        A run that the list contains neither as running nor as ended.
+        A run that is listed neither as running nor as ended.
     answer
-        The list.
+        The answer to the hold call, with the runner's list of runs.
     list_requested_at
-        When the call that returned the list was sent, in seconds.
+        When the hold call was sent, in monotonic seconds.
     """
     return answer.complete and run.stop_confirmed_at is not None and list_requested_at > run.stop_confirmed_at
 
 
 @define(slots=True)
 class _AbandonedStart:
-    """A start request that may still be carried out although its run was dropped."""
+    """A start request that may still be carried out although its run was dropped; times are in monotonic seconds."""
 
     number: int
     dropped_at: float
@@ -57,7 +57,8 @@
     """Start requests to one runner that may still be carried out although their runs were dropped.
 
     The runs were dropped because the runner's hold had certainly lapsed. The
-    hold must not be extended until the runner has accepted the stop of each.
+    hold must not be extended until, for each of them, the runner has accepted
+    the stop or ``ABANDONED_START_LIFETIME_S`` has passed.
 
     >>> starts = AbandonedStarts(); starts.add("a", 1, now=0.0); list(starts.due(0.0)), bool(starts)
     ([('a', 1)], True)
@@ -71,7 +72,7 @@
         return bool(self._starts)
 
     def add(self, task: str, number: int, now: float) -> None:
-        """Add the start request of a run; run numbers of a task only increase."""
+        """Add the start request of a run; it replaces an earlier one of the same task, whose number is lower."""
         self._starts[task] = _AbandonedStart(number, now, now - STOP_INTERVAL_S)
 
     def due(self, now: float) -> Iterator[tuple[str, int]]:
