--- a/sparloom/controller/duty_service.py
+++ b/sparloom/controller/duty_service.py
@@ -1,12 +1,13 @@
 """``DutyService``: carries out the duties at the platform while this controller is the primary.
 
-The holder is the primary that has committed its claim. It claims again in each
-epoch and thereby gets a new fencing token. All that is sent is committed first.
-A holder that succeeds another node waits until that node's lease has expired,
-so that calls of two nodes never alternate within a lease. Before each call a
-quorum confirms that this controller is still the primary. The process may still
-be paused between that check and the call; the fencing token makes such a late
-call harmless. `docs/notes/duties.md` has the table of cases.
+The holder is the primary whose claim to the duties is committed. It claims again
+in each epoch and thereby gets a new fencing token. Reports and orders are
+committed before they are sent. A holder that succeeds another node waits for the
+lease plus ``thaw_slack`` after its claim is committed, so that calls of two nodes
+never alternate within a lease. Before each call a quorum confirms that this
+controller is still the primary. The process may still be paused between that
+check and the call; the fencing token makes such a late call harmless.
+`docs/notes/duties.md` has the table of cases.
 """
 
 from __future__ import annotations
@@ -45,11 +46,11 @@
     from .consensus_service import ConsensusService
 
 COLLECTOR_ID_BYTES = 7
-# Interval of the checks whether to claim the duties or to decide windows.
+# Interval between checks for a claim to make or windows to decide.
 DECIDE_INTERVAL = timedelta(milliseconds=100)
 # Interval of the scaling decisions.
 SCALE_INTERVAL = timedelta(seconds=1)
-# Polling interval while there is nothing to send.
+# Polling interval while there is nothing to send or no call may be made.
 IDLE_PAUSE = timedelta(milliseconds=100)
 # Delay after a call that was not accepted.
 RETRY_DELAY = timedelta(milliseconds=300)
@@ -57,9 +58,10 @@
 MIN_DECIDE_DELAY = timedelta(milliseconds=300)
 # Fraction of the usage lateness bound after which a window is decided even if the reports of some routers are missing.
 DECIDE_DEADLINE_RATIO = 0.7
-# Minimum time that a new primary gives the routers to find it before it decides windows without some of them.
+# Grace period in which routers can find a new primary; until then it decides no window with missing reports.
 MIN_COLLECT_TIME = timedelta(seconds=2)
-# Maximum age, as a fraction of the lease, of the confirmation with which a primary replies as the primary to reports.
+# Fraction of the lease: with an older confirmation, a primary does not present itself as the primary in replies to
+# usage reports.
 MAX_CONFIRMATION_AGE_RATIO = 0.5
 # Timeout of a call as a fraction of the contact bound.
 CALL_TIMEOUT_RATIO = 0.5
@@ -82,11 +84,12 @@
     active_from
         Earliest monotonic time for calls; None before the claim is committed.
     delivered_through
-        The platform has accepted the windows up to this number.
+        The platform is known to have accepted the windows up to this number; 0 at the start of an epoch.
     fenced
         Whether the platform has seen a higher fencing token; then this epoch makes no more calls.
     accepted
-        The fencing token of the newest order that the platform has accepted, by service and zone.
+        The fencing token of the newest order that the platform is known to have accepted, by service and zone; empty
+        at the start of an epoch.
     policies
         The scaling policy of each scaled service.
     """
@@ -139,7 +142,7 @@
 
     @property
     def enabled(self) -> bool:
-        """Return whether the platform expects any duty."""
+        """Whether a platform is configured and expects any duty."""
         return self.settings.cloud is not None and self.settings.duties.expected
 
     async def on_stop(self) -> None:
@@ -164,15 +167,16 @@
         return committed.state.duties or DutyState()
 
     def receive(self, sender: str, record: Record) -> bool:
-        """Apply a router's usage report and reply to it; return whether the record was such a report."""
+        """Handle a router's usage report and reply to it; return whether the record was such a report."""
         if not isinstance(record, UsageReport):
             return False
         self.consensus.send_datagram(sender, self._reply_to(record))
         return True
 
     def _reply_to(self, report: UsageReport) -> UsageReply:
-        """Return the reply to a report; only the primary sends the true time and the decided windows.
+        """Return the reply to a report.
 
+        Only the primary sends the fleet time and the number of the last decided window.
         A primary without a recent confirmation, for instance after a pause, may
         have been replaced. It must not keep routers from finding the new one.
         """
@@ -208,7 +212,8 @@
         # Requests may begin before the first claim, so the first holder starts one lateness bound earlier.
         first_window = self._window(self.collector.clock.true_us(now - self.settings.duties.usage_lateness))
         if not await self._commit(DutyUpdate(node, claim=True, first_window=first_window)):
-            # The claim may have been committed. Then the next claim hides the earlier holder, so it must wait.
+            # The claim may have been committed. The next claim would then name this node as the previous holder, so it
+            # must wait for the lease plus ``thaw_slack``.
             self._active_from = None
             return
         claimed = self._state()
@@ -228,7 +233,7 @@
         return window_number(true_us, self.settings.duties.usage_window)
 
     async def _decide_windows(self, term: DutyTerm, state: DutyState) -> None:
-        """Commit the windows that are due, together with the windows that the platform has accepted."""
+        """Commit the windows that are due, and the number up to which the platform has accepted windows."""
         windows = self._windows_to_decide(term, state) if self.settings.duties.reports_usage else ()
         if not windows:
             return
@@ -265,7 +270,11 @@
         return {(peer.key, peer.instance_id) for peer in self.consensus.swim.alive() if peer.role == ROUTER}
 
     def _is_due(self, term: DutyTerm, number: int, true_us: int, alive: set[tuple[str, int]], now: timedelta) -> bool:
-        """Return whether a window has ended, and all routers have reported it or the time for that has passed."""
+        """Return whether a window is due.
+
+        It is if ``MIN_DECIDE_DELAY`` has passed since its end, and either all routers have reported it, or the deadline
+        for reports and the grace period of a new primary have passed.
+        """
         duties = self.settings.duties
         end_us = (number + 1) * microseconds(duties.usage_window)
         if true_us < end_us + microseconds(MIN_DECIDE_DELAY):
@@ -277,7 +286,7 @@
         return self.collector.is_complete(end_us, alive)
 
     async def _commit(self, update: DutyUpdate) -> bool:
-        """Commit an update; return whether the commit was acknowledged."""
+        """Commit an update; return whether it is known to be committed."""
         outcome = await self.writer.change(StateUpdate(update, evaluate_duty_update), Deadline.after_body(0))
         return isinstance(outcome, Acknowledged)
 
@@ -293,7 +302,7 @@
                 await asyncio.sleep(RETRY_DELAY.total_seconds())
 
     def _next_window(self) -> DecidedWindow | None:
-        """Return the oldest decided window that the platform has not accepted, if calls may be made now."""
+        """Return the oldest decided window that the platform is not known to have accepted, if calls may be made."""
         active = self._active_term()
         if active is None:
             return None
@@ -360,7 +369,7 @@
                 await asyncio.sleep(RETRY_DELAY.total_seconds())
 
     def _next_order(self) -> ScaleOrder | None:
-        """Return the first order that the platform has not accepted, if calls may be made now."""
+        """Return the first order not known to be accepted by the platform in this epoch, if calls may be made."""
         active = self._active_term()
         if active is None:
             return None
@@ -368,7 +377,7 @@
         return next((order for order in state.orders if term.accepted.get(order.subject) != order.fence), None)
 
     async def _send_order(self, order: ScaleOrder) -> bool:
-        """Send an order; return whether the platform has accepted it."""
+        """Send an order; return whether the platform is known to have accepted it."""
         term = self.term
         if term is None or not await self._is_confirmed(term):
             return False
@@ -381,7 +390,10 @@
         return result is CallResult.ACCEPTED
 
     async def _is_confirmed(self, term: DutyTerm) -> bool:
-        """Wait for the call rate, then return whether a quorum confirms this primary and its term for a call now."""
+        """Wait until the rate limit allows a call, then return whether the call may be made.
+
+        It may if a quorum confirms in time that this controller is still the primary in ``term``.
+        """
         await self.calls.wait_for_rate()
         limit, began = self.settings.duties.lease * CONFIRM_TIMEOUT_RATIO, monotonic()
         if await self.consensus.confirm(limit) is None:
