--- a/sparloom/router/admission_queues.py
+++ b/sparloom/router/admission_queues.py
@@ -1,8 +1,4 @@
-"""Admission control of a router.
-
-``AdmissionQueues`` has one admission controller per service and the requests
-that wait to be admitted by it.
-"""
+"""Admission control of a router: one controller per service, and the requests waiting for admission."""
 
 from __future__ import annotations
 
@@ -26,7 +22,8 @@
     from .request import Request
     from .router_state import RouterState
 
-# The total of the other routers' requests in flight is recomputed at this interval, as often as they report them.
+# Minimum interval between recomputations of the other routers' total; the routers report changed counts at this
+# interval.
 PEER_TOTAL_INTERVAL = timedelta(milliseconds=200)
 # The connection limit per runner for services without a configured limit.
 DEFAULT_CONNECTION_LIMIT = 64
@@ -41,7 +38,7 @@
 
 
 class _MembersCache(NamedTuple):
-    """Reserves of members and owners of routes, with the configuration and declaration they were derived from."""
+    """Reserves of members and owners of routes, with the configuration and the declared members they come from."""
 
     configuration: Configuration
     declared: Sequence[Member]
@@ -71,11 +68,12 @@
 
 
 class AdmissionQueues:
-    """The admission controllers of this router, one per service.
+    """Admission control of this router: one controller per service, and the requests waiting for admission.
 
     Capacity, connection limits and members are recomputed only after a change
-    of their inputs. Inputs are immutable snapshots, so a change is detected by
-    identity.
+    of their inputs. Configuration, declared members, services and backends are
+    immutable snapshots, which are compared by identity; the fleet size is
+    compared by value.
 
     Attributes
     ----------
@@ -98,7 +96,7 @@
     def _configuration(self) -> Configuration:
         """Return the current configuration; requests are admitted only once there is one."""
         configuration = self.state.configuration
-        assert configuration is not None, "a request was admitted without a configuration"
+        assert configuration is not None, "admission control is used before the first configuration"
         return configuration
 
     def _current_members(self) -> _MembersCache:
--- a/sparloom/router/feed_client.py
+++ b/sparloom/router/feed_client.py
@@ -32,7 +32,8 @@
 MS = timedelta(milliseconds=1)
 # The timeout of the first dial is the contact bound divided by this.
 FIRST_DIAL_DIVISOR = 40
-# The wait for a record that arrived during a stall of this process is the contact bound divided by this.
+# Before leaving a source, the client waits the contact bound divided by this for records that arrived while this
+# process was stalled.
 STALL_CHECK_DIVISOR = 100
 # The timeout for the rest of a record whose first bytes have arrived is the contact bound divided by this.
 RECORD_TIMEOUT_DIVISOR = 3
@@ -45,8 +46,8 @@
 class FeedClient(Service):
     """Follows one source, a controller or a relay, at a time; ``Upstream`` selects it and decides when to leave it.
 
-    ``on_endpoints()`` is called after an endpoint list has been applied.
-    ``on_change()`` is called after every change, and after ``on_endpoints()``.
+    ``on_change()`` is called after each applied change; for an endpoint list,
+    after ``on_endpoints()``.
 
     Attributes
     ----------
@@ -116,7 +117,7 @@
             upstream.tracker.start(monotonic())
             logging.info("feed: following source=%s depth=%d", address, upstream.depth)
             while True:
-                # The reason may stem from a stall of this process: records that have already arrived are read first.
+                # This process may have stalled, so records that have arrived are read before the source is left.
                 reason: LeaveReason | None = upstream.leave_reason(monotonic())
                 stall_check = upstream.timing.contact / STALL_CHECK_DIVISOR
                 record = await self._read(frames, stall_check if reason else upstream.next_check_delay(monotonic()))
@@ -129,7 +130,12 @@
             frames.close()
 
     async def _read(self, frames: Frames, wait: timedelta) -> Record | None:
-        """Returns the next record, or None after a timeout; a record that has started to arrive gets more time."""
+        """Returns the next record, or None after a timeout; a record that has started to arrive gets more time.
+
+        Raises
+        ------
+        TimeoutError: a record that has started to arrive is not complete in time.
+        """
         loop = asyncio.get_running_loop()
         record_timeout_s = self.router_state.settings.bounds.contact.total_seconds() / RECORD_TIMEOUT_DIVISOR
         started = False
@@ -158,7 +164,12 @@
         raise DecodeError(f"expected a heartbeat or a change of the feed, found {type(record).__name__}")
 
     def _handle_heartbeat(self, heartbeat: FeedHeartbeat) -> None:
-        """Marks this router's state as confirmed if it has the newest configuration and the confirmation is recent."""
+        """Applies a heartbeat.
+
+        Records the confirmation of the primary, unless the endpoint list needs a full snapshot. If this router has the
+        newest announced configuration and the confirmation is recent, the confirmation of the configuration is also
+        recorded, and this router's state is marked as confirmed once there is an endpoint list.
+        """
         self.upstream.on_heartbeat(monotonic(), heartbeat.confirmation_age_ms, heartbeat.sent_at_ms)
         self.announced_version = max(self.announced_version, heartbeat.configuration_version)
         state = self.router_state
@@ -179,14 +190,17 @@
         return max(self.announced_version, current)
 
     def take_change(self, change: Change) -> bool:
-        """Applies a change; returns False if it can't be applied to this router's state.
+        """Applies a change, or ignores it if it is outdated.
+
+        Returns False if its base version differs or its payload is invalid. After an invalid payload, the next
+        subscription requests a full snapshot of the topic.
 
         Raises
         ------
         DecodeError: the topic is unknown.
         """
         if change.topic not in TOPICS:
-            raise DecodeError(f"expected a topic of {sorted(TOPICS)}, found {change.topic}")
+            raise DecodeError(f"unknown topic {change.topic}, expected one of {sorted(TOPICS)}")
         self.upstream.on_change(monotonic())
         current = self.store.version(change.topic)
         if change.version <= current:
