--- a/sparloom/aggregation/records.py
+++ b/sparloom/aggregation/records.py
@@ -1,8 +1,8 @@
 """The messages of the relay tier and their compact encoding.
 
-A resource is identified by the upper 32 bits of its number. If two runners
-share these bits, a load applies to both, which leads to shorter timeouts rather
-than longer ones. Tokens are encoded in units of 32, rounded up.
+A resource is identified by the upper 32 bits of its 64-bit number. If two
+runners share these bits, a load applies to both, which leads to shorter timeouts
+rather than longer ones. Tokens are encoded in units of 32, rounded up.
 """
 
 from __future__ import annotations
@@ -20,14 +20,16 @@
 
     from .shards import InFlight
 
+# Token counts are encoded in multiples of this many tokens.
 TOKEN_UNIT = 32
 LAST_RESOURCE = 0xFFFFFFFF
-# The target size of a message, so that it fits a datagram on common networks.
+# The target size of a message, so that it fits a datagram on common networks. A message may be larger: a follower's
+# update is not split, the sizes of entries are estimated, and loads always get ``MINIMUM_LOAD_BYTES``.
 MAXIMUM_BYTES = 1000
 _SHORT_ID = struct.Struct("!I")
 # Variable-length integers: seven bits per byte, lowest bits first; the highest bit marks a continuation.
 _VARINT_BITS, _VARINT_MASK, _VARINT_MORE = 7, 0x7F, 0x80
-# Set in the lowest bit of the call count if the four rarer counts follow.
+# Lowest bit of the encoded call count: the four counts from ``unresponsive`` to ``accusers`` of a report follow.
 _HAS_RARE_COUNTS = 1
 
 
@@ -50,7 +52,11 @@
 
 @record(85)
 class MemberUpdate(Record):
-    """A follower's complete load, sent to its relay; ``placements``: long prompts that it placed."""
+    """A follower's complete load, sent to its relay.
+
+    ``fleet_size``: the quota divisor that the follower uses, 0 if unknown.
+    ``placements``: long prompts that it placed.
+    """
 
     key: str
     instance_id: UInt64
@@ -85,6 +91,7 @@
     """The load of all holders that a relay knows, sent to its followers.
 
     ``coverage``: which update of each follower the total contains.
+    ``fleet_size``: the smallest quota divisor of all nodes that the relay knows, 0 if unknown.
     ``isolation_ms``: how long the relay has received nothing from half of the relays.
     """
 
@@ -173,7 +180,7 @@
     try:
         while position < size:
             (resource,) = _SHORT_ID.unpack_from(raw, position)
-            # Fast path: nearly all numbers fit one byte, and a relay spends much of its time here.
+            # Fast path: nearly all numbers fit in one byte, and a relay spends much of its time here.
             calls, tokens = raw[position + 4], raw[position + 5]
             position += 6
             if calls > _VARINT_MASK or tokens > _VARINT_MASK:
@@ -194,7 +201,7 @@
 
 
 def ranges(resources: Iterable[int], count: int) -> list[tuple[int, int]]:
-    """Splits the resource ids into ``count`` ranges with about the same number of resources each.
+    """Splits the resource ids into at most ``count`` ranges with about the same number of resources each.
 
     The first range starts at 0 and the last one ends at ``LAST_RESOURCE``.
 
--- a/sparloom/consensus/store.py
+++ b/sparloom/consensus/store.py
@@ -21,6 +21,7 @@
     # Journal and file are synced before a commit returns.
     "synchronous=EXTRA",
     "temp_store=MEMORY",
+    # The unit is pages.
     "cache_size=200",
     # Without memory mapping, SQLite raises a read error instead of the process ending by a signal.
     "mmap_size=0",
@@ -45,8 +46,8 @@
 class Store:
     """Stores a member's register and its copy of the data.
 
-    Rows are replaced as a whole in one transaction, and a commit returns once it
-    is on disk. The store may be used by one thread at a time.
+    Each save replaces whole rows in one transaction, and a commit returns once
+    it is on disk. The store may be used by one thread at a time.
 
     Attributes
     ----------
@@ -85,8 +86,8 @@
         Raises
         ------
         sqlite3.OperationalError
-            An I/O error, or a full or locked disk. The file may be intact, so
-            it is not renamed.
+            An I/O error, a full disk or a locked database. The file may be
+            intact, so it is not renamed.
         OSError
             The directory can't be created or synced, or the file can't be renamed.
 
@@ -114,7 +115,7 @@
     def load(self) -> tuple[Register, Data] | None:
         """Returns the register and the data on disk.
 
-        Returns None if the disk is empty, a row can't be decoded, or the rows are
+        Returns None if nothing is stored, a row can't be decoded, or the rows are
         inconsistent: a member whose register claims a missing copy must not vote.
 
         Raises
@@ -143,7 +144,7 @@
         Raises
         ------
         sqlite3.Error
-            The write is not known to be on disk; the save may be retried.
+            It is unknown whether the write is on disk; the save may be retried.
         """
         rows = [(REGISTER_KEY, pack(register))]
         if data is not None:
--- a/sparloom/rollouts/plan.py
+++ b/sparloom/rollouts/plan.py
@@ -24,14 +24,13 @@
 PROBE_SHARE_FRACTION = 0.8
 # Fraction of the exposure limit up to which requests may be exposed; the rest covers exposure not yet reported.
 EXPOSURE_SAFETY_FRACTION = 0.9
-# Fraction of the duration before which no version is accepted.
+# Fraction of the duration before which a rollout does not advance past the probe step.
 MINIMUM_WATCH_FRACTION = 0.4
 # Fraction of the duration after which a version that was not accepted is rolled back.
 ROLLBACK_FRACTION = 0.9
-# Time before the end of the duration at which a version that was not accepted is rolled back at the latest, unless
-# less than half of the duration has passed.
+# Such a version is rolled back no later than this before the end, but not in the first half of the duration.
 ROLLBACK_MARGIN = timedelta(milliseconds=1500)
-# Fraction of its slots to which the load step fills one runner.
+# Fraction of one runner's slots that the load step aims to keep busy.
 TARGET_SLOT_UTILIZATION = 0.9
 # Upper limit of the share of all requests that the load step uses.
 MAXIMUM_LOAD_SHARE = 0.7
@@ -66,7 +65,9 @@
         return self.share * PROBE_SHARE_FRACTION
 
     def allows(self, sent: float, exposed: float) -> bool:
-        """Return whether this many requests may be exposed; a margin is left for exposure not yet reported.
+        """Return whether ``exposed`` of ``sent`` requests are within the limit.
+
+        A margin is left for exposure not yet reported.
 
         >>> ExposureLimit(0.1, 50).allows(1000, 135), ExposureLimit(0.1, 50).allows(1000, 140)
         (True, False)
@@ -76,20 +77,20 @@
 
 @define(frozen=True, slots=True)
 class Progress:
-    """The primary's present view of a rollout.
+    """The primary's current view of a rollout.
 
     Attributes
     ----------
     elapsed
-        Time since the order.
+        Time since the rollout was ordered.
     step_age
-        Time since the present step and share were committed, as far as this primary knows.
+        Time since the current step and share were committed, as far as this primary knows.
     runners
         Number of listed runners of the new version that are not draining.
     slots
         Concurrent requests of the largest of these runners; 0 if unknown.
     sent, exposed
-        Requests of the service since the order, and those of them sent to the new version.
+        Requests of the service since the rollout was ordered, and those of them sent to the new version.
     sent_per_s
         Requests of the service per second.
     in_flight
@@ -97,7 +98,7 @@
     has_quorum
         Whether a majority of the watchers has voted recently.
     base_drained
-        Whether all routers have reached the last step and have no request in flight at the old version.
+        Whether all routers apply the full step and have no requests in flight to the old version.
     vote_result
         The result of the watchers' votes.
     """
@@ -157,7 +158,7 @@
 
 
 def _next_step(rollout: Rollout, progress: Progress, exposure_limit: ExposureLimit) -> AdvanceRollout | None:
-    """The update to the next step; None if the present one must go on."""
+    """The update to the next step; None if the current one must go on."""
     if rollout.step is Step.GROW:
         return _advance(rollout, Step.FULL, 1.0) if progress.step_age >= MINIMUM_GROW_DURATION else None
     if progress.elapsed < timedelta(milliseconds=rollout.duration_ms) * MINIMUM_WATCH_FRACTION:
@@ -174,7 +175,8 @@
 def load_share(progress: Progress, exposure_limit: ExposureLimit) -> float:
     """Return the share that loads one runner of the new version; 0 if it would exceed the exposure limit.
 
-    The share is the runner's target load as a fraction of all requests in flight.
+    The share is the runner's target load as a fraction of all requests in flight,
+    but at least the probe share and at most ``MAXIMUM_LOAD_SHARE``.
     """
     target_share = TARGET_SLOT_UTILIZATION * progress.slots / max(1, progress.in_flight)
     share = min(MAXIMUM_LOAD_SHARE, max(exposure_limit.probe_share, target_share))
