--- a/tests/relay/test_upstream.py
+++ b/tests/relay/test_upstream.py
@@ -1,6 +1,6 @@
 """The relay tier: its plan, the choice of the upstream node, and random faults with up to 84 routers in one process.
 
-The timelines are tables with the time in ms since the tier is stable, and a column for each node: ``relay`` and
+The timelines are tables with the time in ms since the tier became stable, and a column for each node: ``relay`` and
 ``second`` are two relays of one zone, ``mate`` is a follower of the first one, ``core`` stands for all controllers
 and ``all`` for all routers.
 """
@@ -120,6 +120,7 @@
         return upstream
 
     def test_at_startup_a_router_follows_a_controller_first_and_a_relay_later(self):
+        """The controller is followed at once."""
         upstream = self.upstream()
         self.assertEqual(upstream.choose(0 * MS, ("c", "d")), "c")
         upstream.on_connecting(0 * MS, "c")
@@ -181,9 +182,26 @@
 class Timelines(unittest.TestCase):
     """Plays faults and checks expectations at fixed times.
 
-    ``moved``: the router follows a source without a fault; ``current``: the column's nodes have the newest version;
-    ``others``: all routers without a fault have it; ``calm``: the number of connections to controllers has not exceeded
-    the number of relays plus one eighth of the routers; ``groups``: it is at most the number of relays plus three.
+    Actions on the column's nodes, except for ``heal`` and ``write``; ``+`` joins several:
+
+    ``cut``: blocks all messages to and from the nodes; ``cut-in``: only those to them; ``cut-out``: only from them.
+    ``off-core``: blocks all messages between the nodes and the controllers.
+    ``kill``: ends the nodes and closes their followers' connections.
+    ``dark``: ends the nodes without closing these connections.
+    ``boot``: starts the nodes with empty state.
+    ``freeze``: suspends the nodes.
+    ``slow``: delays all that the nodes send by 2500 ms.
+    ``heal``: ends all faults and starts the nodes that are not running.
+    ``write``: commits a new version.
+
+    Expectations; a node counts as faulty from its first fault on, also after it is healed:
+
+    ``moved``: the column's first node follows a source that is not faulty.
+    ``current``: the column's nodes have the newest version.
+    ``others``: all routers that are not faulty have the newest version.
+    ``calm``: since the start of the timeline, the number of connections to controllers has not exceeded the initial
+    number of relays plus one eighth of the routers.
+    ``groups``: the current number of these connections is at most the current number of relays plus three.
     """
 
     def play(self, text, seeds=(0,), routers=30):
@@ -210,7 +228,7 @@
             for ms, cells in timeline:
                 while net.now - started_at < ms * MS:
                     net.run(min(50, ms - (net.now - started_at) / MS))
-                    self.assertEqual(net.nested_relays(), [], "no loops")
+                    self.assertEqual(net.nested_relays(), [], "a relay follows another router")
                 for column, cell in zip(columns, cells, strict=False):
                     for action in cell.split("+"):
                         if action not in (".", "|"):
@@ -358,7 +376,10 @@
 
 class RandomFaults(unittest.TestCase):
     def inject_faults(self, net, rng):
-        """Injects twelve random faults, each of which affects at least one relay."""
+        """Performs twelve random actions (faults, restarts, repairs).
+
+        Each but ``heal``, which repairs all nodes, is on at least one node that was a relay at the start.
+        """
         relays = net.relays() or net.routers[:2]
         for _ in range(12):
             kind = rng.choice(
