--- a/sparloom/admission/controller.py
+++ b/sparloom/admission/controller.py
@@ -105,7 +105,7 @@
     Attributes
     ----------
     capacity : capacity of this router.
-    shares : each member's reserve as a fraction of the capacity (0 to 1).
+    reserve_fractions : each member's reserve as a fraction of the capacity (0 to 1).
     queue_limit : maximum number of queued requests per member.
     admitted : admitted requests in progress, by id.
     usage : usage by member; members without admitted requests are absent.
@@ -125,7 +125,7 @@
     """
 
     capacity: Capacity
-    shares: Mapping[str, float]
+    reserve_fractions: Mapping[str, float]
     queue_limit: int = QUEUE_LIMIT
     admitted: dict[int, _Request] = field(factory=dict)
     usage: dict[str, Usage] = field(factory=dict)
@@ -140,8 +140,8 @@
         self._compute_reserves()
 
     def _compute_reserves(self) -> None:
-        """Computes the reserves, the common part and the excess; called when the capacity or the shares change."""
-        self.reserves = Reserves.of(self.capacity.slots, self.capacity.tokens, self.shares)
+        """Computes the reserves, the common part and the excess; called when capacity or reserve fractions change."""
+        self.reserves = Reserves.of(self.capacity.slots, self.capacity.tokens, self.reserve_fractions)
         excesses = [self.reserves.excess(member, usage) for member, usage in self.usage.items()]
         self.excess = Excess(
             sum(excess.slots for excess in excesses),
@@ -215,7 +215,9 @@
         >>> type(AdmissionController(Capacity(0), {}).acquire(timedelta(0), 1, "a", 0, Demand(), timedelta(0))).__name__
         'Rejected'
         """
-        request = _Request(id, member if member in self.shares else UNDECLARED, priority, now, demand, deadline)
+        request = _Request(
+            id, member if member in self.reserve_fractions else UNDECLARED, priority, now, demand, deadline
+        )
         queue = self.queues.setdefault(request.member, [])
         # A new request does not overtake queued requests of its own member.
         fit = None if queue else self._fit(request.member, demand)
@@ -287,16 +289,18 @@
         return admissions
 
     def tick(
-        self, now: timedelta, capacity: Capacity | None = None, shares: Mapping[str, float] | None = None
+        self, now: timedelta, capacity: Capacity | None = None, reserve_fractions: Mapping[str, float] | None = None
     ) -> list[Admitted | Rejected]:
-        """Applies a new capacity or new shares, rejects late requests and admits queued ones.
+        """Applies a new capacity or new reserve fractions, rejects late requests and admits queued ones.
 
         Returns the decisions.
 
         >>> AdmissionController(Capacity(1), {}).tick(timedelta(0))
         []
         """
-        self._reconfigure(capacity or self.capacity, self.shares if shares is None else shares)
+        self._reconfigure(
+            capacity or self.capacity, self.reserve_fractions if reserve_fractions is None else reserve_fractions
+        )
         if not any(self.queues.values()):
             return []
         margin = self.mean_duration / 2
@@ -305,12 +309,12 @@
             self.queues[request.member].remove(request)
         return [*(self._reject(request, self.mean_duration) for request in late), *self._admit_waiting(now)]
 
-    def _reconfigure(self, capacity: Capacity, shares: Mapping[str, float]) -> None:
-        if (capacity, shares) == (self.capacity, self.shares):
+    def _reconfigure(self, capacity: Capacity, reserve_fractions: Mapping[str, float]) -> None:
+        if (capacity, reserve_fractions) == (self.capacity, self.reserve_fractions):
             return
-        self.capacity, self.shares = capacity, shares
+        self.capacity, self.reserve_fractions = capacity, reserve_fractions
         self._compute_reserves()
-        for member in [name for name in self.queues if name not in shares and name != UNDECLARED]:
+        for member in [name for name in self.queues if name not in reserve_fractions and name != UNDECLARED]:
             self._move_to_undeclared(self.queues.pop(member))
 
     def _move_to_undeclared(self, requests: Iterable[_Request]) -> None:
@@ -326,14 +330,15 @@
         4.0
         """
         return {
-            member or UNDECLARED_LABEL: self._member_statistics(now, member) for member in {**self.shares, **self.usage}
+            member or UNDECLARED_LABEL: self._member_statistics(now, member)
+            for member in {**self.reserve_fractions, **self.usage}
         }
 
     def _member_statistics(self, now: timedelta, member: str) -> dict[str, float]:
         queue = self.queues.get(member, ())
         ages = (int((now - request.received_at) / timedelta(milliseconds=1)) for request in queue)
         return {
-            "reserve": round(self.capacity.slots * self.shares.get(member, 0), 2),
+            "reserve": round(self.capacity.slots * self.reserve_fractions.get(member, 0), 2),
             "used": self._usage_of(member).slots,
             "queue": len(queue),
             "oldestMs": max(ages, default=0),
--- a/sparloom/admission/fleet_size.py
+++ b/sparloom/admission/fleet_size.py
@@ -86,14 +86,14 @@
         elif self.admitting_since is None:
             self.admitting = False
 
-    def share(self, total: int) -> int:
+    def quota(self, total: int) -> int:
         """Returns this router's share of the fleet's slots or tokens.
 
         It is 0 while the router may not admit, and otherwise at least one: if there
         were more routers than slots, shares of zero would stop the service. The
         runners' own limits bound the excess.
 
-        >>> FleetSize(timedelta(seconds=3)).share(64), FleetSize(timedelta(seconds=3), divisor=100).share(64)
+        >>> FleetSize(timedelta(seconds=3)).quota(64), FleetSize(timedelta(seconds=3), divisor=100).quota(64)
         (56, 1)
         """
         return max(int(total > 0), int(total * (1 - UNGRANTED_FRACTION) / self.divisor)) if self.admitting else 0
@@ -111,7 +111,7 @@
         """
         return max(0, int((total - reserved - used) / self.divisor)) if self.admitting else 0
 
-    def indivisible_share(self, total: int, salt: int = 0) -> int:
+    def indivisible_quota(self, total: int, salt: int = 0) -> int:
         """Returns this router's share of indivisible units, such as a runner's connections.
 
         All shares add up to the total less an eighth. The remainder of the
@@ -124,7 +124,7 @@
         limits that a runner enforces itself, but not for limits that must never
         be exceeded (see ``configuration/rate_holders.py``).
 
-        >>> [FleetSize(timedelta(seconds=3), divisor=4, index=i).indivisible_share(8, salt=1) for i in range(4)]
+        >>> [FleetSize(timedelta(seconds=3), divisor=4, index=i).indivisible_quota(8, salt=1) for i in range(4)]
         [2, 2, 1, 2]
         """
         granted = int(total * (1 - UNGRANTED_FRACTION))
--- a/sparloom/admission/reserve.py
+++ b/sparloom/admission/reserve.py
@@ -69,22 +69,24 @@
     common: Usage
 
     @staticmethod
-    def of(slots: int, tokens: int, shares: Mapping[str, float]) -> Reserves:
-        """Divides a capacity of slots and tokens according to the members' shares (0 to 1).
+    def of(slots: int, tokens: int, reserve_fractions: Mapping[str, float]) -> Reserves:
+        """Divides a capacity of slots and tokens according to the members' reserve fractions (0 to 1).
 
         >>> reserves = Reserves.of(10, 100, {"a": 0.3})
         >>> reserves.slots["a"], reserves.tokens["a"], reserves.pool, tuple(reserves.common)
         (3, 30, 0, (7, 70))
         """
-        whole_slots = {member: int(slots * share + EPSILON) for member, share in shares.items()}
-        fractions = {member: slots * share - whole_slots[member] for member, share in shares.items()}
+        reserved_slots = {member: int(slots * fraction + EPSILON) for member, fraction in reserve_fractions.items()}
+        fractions = {
+            member: slots * fraction - reserved_slots[member] for member, fraction in reserve_fractions.items()
+        }
         fractional = frozenset(member for member, fraction in fractions.items() if fraction > EPSILON)
-        free = slots - sum(whole_slots.values())
+        free = slots - sum(reserved_slots.values())
         needed = sum(fractions[member] for member in fractional)
         pool = min(ceil(needed - EPSILON), max(int(needed + EPSILON), free - 1), max(0, free))
-        reserved_tokens = {member: int(tokens * share) for member, share in shares.items()}
+        reserved_tokens = {member: int(tokens * fraction) for member, fraction in reserve_fractions.items()}
         common = Usage(free - pool, tokens - sum(reserved_tokens.values()))
-        return Reserves(whole_slots, reserved_tokens, fractional, pool, common)
+        return Reserves(reserved_slots, reserved_tokens, fractional, pool, common)
 
     def excess(self, member: str, usage: Usage) -> Excess:
         """Returns a member's usage beyond its reserve.
--- a/sparloom/configuration/check.py
+++ b/sparloom/configuration/check.py
@@ -232,11 +232,11 @@
 
 def first_duplicate(values: Iterable[Hashable]) -> Any:
     """Return the first value that repeats an earlier one, or None."""
-    seen = set()
+    previous_values = set()
     for value in values:
-        if value in seen:
+        if value in previous_values:
             return value
-        seen.add(value)
+        previous_values.add(value)
     return None
 
 
--- a/sparloom/configuration/rate_holders.py
+++ b/sparloom/configuration/rate_holders.py
@@ -36,7 +36,7 @@
     return blake2b(router.encode(), digest_size=8, salt=salt).digest(), router
 
 
-def _share_of_total(routers: Collection[str], router: str, total: int, salt: int) -> int:
+def _quota_of_total(routers: Collection[str], router: str, total: int, salt: int) -> int:
     if router not in routers:
         return 0
     each, remainder = divmod(int(total * (1 - SPARE)), len(routers))
@@ -63,7 +63,7 @@
     routers: frozenset[str] = frozenset()
     before: frozenset[str] = frozenset()
 
-    def share(self, router: str, total: int, salt: int) -> int:
+    def quota(self, router: str, total: int, salt: int) -> int:
         """Return a router's share of a total, which is split into integers; the shares add up to at most 7/8 of it.
 
         Other routers may still use the previous table, so the share is the smaller one of both tables.
@@ -80,15 +80,15 @@
         Examples
         --------
         >>> four = frozenset("abcd")
-        >>> sum(RateHolders(four, four).share(router, 8, salt=1) for router in "abcd")
+        >>> sum(RateHolders(four, four).quota(router, 8, salt=1) for router in "abcd")
         7
-        >>> RateHolders(four | {"e"}, four).share("e", 8, salt=1)
+        >>> RateHolders(four | {"e"}, four).quota("e", 8, salt=1)
         0
         """
-        share = _share_of_total(self.routers, router, total, salt)
-        if not share or self.before == self.routers:
-            return share
-        return min(share, _share_of_total(self.before, router, total, salt))
+        quota = _quota_of_total(self.routers, router, total, salt)
+        if not quota or self.before == self.routers:
+            return quota
+        return min(quota, _quota_of_total(self.before, router, total, salt))
 
     @staticmethod
     def is_usable(age: timedelta, uptime: timedelta, contact_bound: timedelta) -> bool:
--- a/sparloom/configuration/rollouts.py
+++ b/sparloom/configuration/rollouts.py
@@ -34,7 +34,7 @@
         The pool of the new version's runners.
     step
         The current step, a number of ``sparloom.rollouts.Step``.
-    share
+    traffic_fraction
         The fraction of the requests that may go to the new version.
     collector
         HOST:PORT of the controller that collects votes; "" if there is none.
@@ -43,7 +43,7 @@
     number: int
     pool: str
     step: int
-    share: float
+    traffic_fraction: float
     collector: str
 
 
--- a/sparloom/consensus/leadership.py
+++ b/sparloom/consensus/leadership.py
@@ -88,7 +88,7 @@
     write: int | None = None
     write_started_at: timedelta = timedelta(0)
     # Number of the first heartbeat after each read began, by the read's id as given by the caller.
-    reads: dict[int, int] = field(factory=dict)
+    pending_reads: dict[int, int] = field(factory=dict)
     # The committed data, which every holder has on disk; None before the view is served.
     decided: Data | None = None
     # Number of the first heartbeat after the last release request of each leaving member, by member id.
@@ -310,9 +310,9 @@
         if by_majority > self.confirmed_sequence:
             self.confirmed_sequence = by_majority
             self.confirmed_at = self.heartbeat_times.get(by_majority, self.confirmed_at)
-        confirmed = [read for read, sequence in self.reads.items() if sequence <= self.confirmed_sequence]
+        confirmed = [read for read, sequence in self.pending_reads.items() if sequence <= self.confirmed_sequence]
         for read in confirmed:
-            del self.reads[read]
+            del self.pending_reads[read]
         return [ReadConfirmed(read, self.decided) for read in confirmed]
 
     # -- calls ------------------------------------------------------------------
@@ -329,10 +329,10 @@
         """Starts a confirmed read; returns None before the view is active."""
         if not self.serving:
             return None
-        self.reads[read] = self.heartbeat_sequence + 1
+        self.pending_reads[read] = self.heartbeat_sequence + 1
         return self._heartbeat(at_once=True)
 
     def abort_calls(self) -> list[Action]:
         """Returns the aborts of all pending calls, for when this member stops being primary."""
         writes = [] if self.write is None else [Aborted(self.write)]
-        return [*writes, *(Aborted(read) for read in self.reads)]
+        return [*writes, *(Aborted(read) for read in self.pending_reads)]
--- a/sparloom/controller/rollout_api.py
+++ b/sparloom/controller/rollout_api.py
@@ -90,7 +90,7 @@
         "state": rollout.status.value,
         "targetVersion": rollout.target,
         "step": rollout.step.name.lower(),
-        "share": rollout.share,
+        "share": rollout.traffic_fraction,
     }
     return {**body, "reason": rollout.reason} if rollout.reason else body
 
--- a/sparloom/controller/rollout_service.py
+++ b/sparloom/controller/rollout_service.py
@@ -64,7 +64,7 @@
         Whether it was ordered before this epoch; its age is then known from the wall clock only.
     collector
         Collects the votes.
-    step, share, step_started_at
+    step, traffic_fraction, step_started_at
         The last committed step and share, and when they were first seen.
     sent
         Samples of the total number of requests in the rate window, newest last.
@@ -78,7 +78,7 @@
     inherited: bool
     collector: VoteCollector
     step: Step
-    share: float
+    traffic_fraction: float
     step_started_at: timedelta
     sent: deque[tuple[timedelta, int]] = field(factory=deque)
     missing: str = ""
@@ -86,8 +86,8 @@
 
     def update_step(self, rollout: Rollout, now: timedelta) -> None:
         """Record the committed step and share."""
-        if (rollout.step, rollout.share) != (self.step, self.share):
-            self.step, self.share, self.step_started_at = rollout.step, rollout.share, now
+        if (rollout.step, rollout.traffic_fraction) != (self.step, self.traffic_fraction):
+            self.step, self.traffic_fraction, self.step_started_at = rollout.step, rollout.traffic_fraction, now
 
     def sent_per_s(self, now: timedelta, sent: int) -> float:
         """Return the recent requests of the service per second, given their total number so far."""
@@ -124,7 +124,7 @@
             inherited = rollout.number < self.next_number
             collector = VoteCollector(rollout.number)
             found = self.monitors[rollout.number] = RolloutMonitor(
-                now, inherited, collector, rollout.step, rollout.share, step_started_at=now
+                now, inherited, collector, rollout.step, rollout.traffic_fraction, step_started_at=now
             )
         found.update_step(rollout, now)
         return found
--- a/sparloom/controller/rollout_updates.py
+++ b/sparloom/controller/rollout_updates.py
@@ -123,7 +123,7 @@
         NUMBER: rollout.number,
         TRIAL: pool_of(state, service, rollout.target),
         STEP: int(rollout.step),
-        SHARE: rollout.share,
+        SHARE: rollout.traffic_fraction,
         COLLECTOR: state.collector,
     }
 
--- a/sparloom/dynamic_timeout/buckets.py
+++ b/sparloom/dynamic_timeout/buckets.py
@@ -68,12 +68,12 @@
 
     Attributes:
         timeout: As in ``Bucket``.
-        share: Fraction (0 to 1) of the concurrent requests that all callers can send; 1: unlimited.
+        fraction: Fraction (0 to 1) of the concurrent requests that all callers can send; 1: unlimited.
         minimum: Lower bound of the limit.
     """
 
     timeout: timedelta
-    share: float
+    fraction: float
     minimum: int = 0
 
 
@@ -95,7 +95,7 @@
 
 
 def _limit(capacity: Capacity, total: int) -> int:
-    if capacity.share >= 1:
+    if capacity.fraction >= 1:
         return -1
     # Rounding first prevents a product such as 0.1 * 30 = 3.0000000000000004 from becoming 4.
-    return max(capacity.minimum, ceil(round(capacity.share * total, 9)))
+    return max(capacity.minimum, ceil(round(capacity.fraction * total, 9)))
--- a/sparloom/isolation/settings.py
+++ b/sparloom/isolation/settings.py
@@ -58,8 +58,11 @@
 
 def _member_weights(reserves: Mapping[str, float], path: str) -> tuple[tuple[str, float], ...]:
     """Returns each member's weight: its reserve plus an equal share of the rest; ``UNDECLARED`` has no reserve."""
-    unreserved_share = (1 - sum(reserves.values())) / (len(reserves) + 1)
-    weights = {**{name: reserve + unreserved_share for name, reserve in reserves.items()}, UNDECLARED: unreserved_share}
+    unreserved_fraction = (1 - sum(reserves.values())) / (len(reserves) + 1)
+    weights = {
+        **{name: reserve + unreserved_fraction for name, reserve in reserves.items()},
+        UNDECLARED: unreserved_fraction,
+    }
     without_runners = [name or "undeclared members" for name, weight in weights.items() if weight <= 0]
     if without_runners:
         raise IsolationSettingsError(
--- a/sparloom/launch/build_archive.py
+++ b/sparloom/launch/build_archive.py
@@ -125,7 +125,7 @@
         """Calls ``_sre.compile`` and records its arguments as plain integers and strings, which can be marshalled."""
         self._compile_arguments = (
             int(flags),
-            [int(code_word) for code_word in code],
+            [int(instruction) for instruction in code],
             int(groups),
             {name: int(number) for name, number in group_index.items()},
             tuple(index_group),
--- a/sparloom/retry/budget.py
+++ b/sparloom/retry/budget.py
@@ -90,7 +90,7 @@
             self.requests.append(_Tick(now, count))
         self.total += count
 
-    def _slack_share(self, now: timedelta, nodes: int) -> float:
+    def _slack_per_node(self, now: timedelta, nodes: int) -> float:
         newest = self.fleet_sizes[-1] if self.fleet_sizes else None
         if newest is None or newest[1] != nodes or now - newest[0] > self.window / 10:
             self.fleet_sizes.append((now, nodes))
@@ -109,7 +109,7 @@
         True
         """
         self._expire(now)
-        return len(self.spent) + 1 <= self.margin * (self.ratio * self.total + self._slack_share(now, nodes))
+        return len(self.spent) + 1 <= self.margin * (self.ratio * self.total + self._slack_per_node(now, nodes))
 
     def spend(self, now: timedelta) -> None:
         """Records a retry that is about to be sent.
--- a/sparloom/rollouts/exposure.py
+++ b/sparloom/rollouts/exposure.py
@@ -35,7 +35,7 @@
 # which exposes a larger share of its own requests.
 TARGET_WATCHERS = 100
 # Upper limit of the raised share that a watcher of a large fleet exposes of its own requests.
-MAXIMUM_WATCHER_SHARE = 0.5
+MAXIMUM_WATCHER_FRACTION = 0.5
 # Time for which one runner is loaded before the next one takes its turn.
 LOADED_RUNNER_PERIOD = timedelta(milliseconds=1250)
 
@@ -57,15 +57,15 @@
     return routers <= TARGET_WATCHERS or _hash(number, router) * routers < TARGET_WATCHERS << 64
 
 
-def watcher_share(share: float, routers: int) -> float:
-    """Return the share of its own requests that a watcher exposes, so that the fleet as a whole meets ``share``.
+def watcher_fraction(traffic_fraction: float, routers: int) -> float:
+    """Return the fraction of its own requests that a watcher exposes, so that the fleet meets ``traffic_fraction``.
 
-    >>> watcher_share(0.08, 50), watcher_share(0.08, 200), watcher_share(1.0, 1000)
+    >>> watcher_fraction(0.08, 50), watcher_fraction(0.08, 200), watcher_fraction(1.0, 1000)
     (0.08, 0.16, 1.0)
     """
-    if routers <= TARGET_WATCHERS or share >= MAXIMUM_WATCHER_SHARE:
-        return share
-    return min(MAXIMUM_WATCHER_SHARE, share * routers / TARGET_WATCHERS)
+    if routers <= TARGET_WATCHERS or traffic_fraction >= MAXIMUM_WATCHER_FRACTION:
+        return traffic_fraction
+    return min(MAXIMUM_WATCHER_FRACTION, traffic_fraction * routers / TARGET_WATCHERS)
 
 
 def initial_extra_tokens(slack: float, routers: int) -> float:
@@ -98,23 +98,29 @@
     def __attrs_post_init__(self) -> None:
         self._tokens = self.random.random() + self.initial_extra_tokens
 
-    def on_request(self, route: str, share: float) -> None:
+    def on_request(self, route: str, traffic_fraction: float) -> None:
         """Count a request of a route, and add the step's share to the tokens."""
         self._requests[route] = self._requests.get(route, 0) + 1
-        self._tokens = min(MAXIMUM_TOKENS, self._tokens + share)
+        self._tokens = min(MAXIMUM_TOKENS, self._tokens + traffic_fraction)
 
-    def try_consume(self, route: str, share: float) -> bool:
+    def try_consume(self, route: str, traffic_fraction: float) -> bool:
         """Draw whether a request of a route is exposed; take a token if it is."""
-        if self._tokens < 1.0 or self.random.random() >= self._draw_probability(route, share):
+        if self._tokens < 1.0 or self.random.random() >= self._draw_probability(route, traffic_fraction):
             return False
         self._tokens -= 1.0
         return True
 
-    def _draw_probability(self, route: str, share: float) -> float:
+    def _draw_probability(self, route: str, traffic_fraction: float) -> float:
         """The probability that a request is drawn, raised since draws without a token have no effect."""
         roots = {name: sqrt(count) for name, count in self._requests.items()}
         route_weight = roots.get(route, 1.0) / max(1.0, sum(roots.values()))
-        return OVERSAMPLING_FACTOR * share * route_weight * sum(self._requests.values()) / self._requests.get(route, 1)
+        return (
+            OVERSAMPLING_FACTOR
+            * traffic_fraction
+            * route_weight
+            * sum(self._requests.values())
+            / self._requests.get(route, 1)
+        )
 
     def refund(self) -> None:
         """Return the token of a request that could not be sent to the new version."""
--- a/sparloom/rollouts/plan.py
+++ b/sparloom/rollouts/plan.py
@@ -21,7 +21,7 @@
     from .verdict import VoteResult
 
 # Fraction of the allowed exposure share that the probe step uses.
-PROBE_SHARE_FRACTION = 0.8
+PROBE_EXPOSURE_FRACTION = 0.8
 # Fraction of the exposure limit up to which requests may be exposed; the rest covers exposure not yet reported.
 EXPOSURE_SAFETY_FRACTION = 0.9
 # Fraction of the duration before which no version is accepted.
@@ -34,13 +34,13 @@
 # Fraction of its slots to which the load step fills one runner.
 TARGET_SLOT_UTILIZATION = 0.9
 # Upper limit of the share of all requests that the load step uses.
-MAXIMUM_LOAD_SHARE = 0.7
+MAXIMUM_LOAD_FRACTION = 0.7
 # Minimum duration of the load step.
 MINIMUM_LOAD_DURATION = timedelta(milliseconds=2500)
 # Time after which the load step falls back to the probe share.
 MAXIMUM_LOAD_DURATION = timedelta(milliseconds=3500)
 # Share of the new version in the grow step, the last one before it takes all requests.
-GROW_SHARE = 0.5
+GROW_FRACTION = 0.5
 # Minimum duration of the grow step.
 MINIMUM_GROW_DURATION = timedelta(milliseconds=800)
 
@@ -51,19 +51,19 @@
 
     Attributes
     ----------
-    share
+    traffic_fraction
         Fraction of the service's requests that may be exposed.
     slack
         Number of requests that may be exposed in addition.
     """
 
-    share: float = 0.1
+    traffic_fraction: float = 0.1
     slack: float = 50
 
     @property
-    def probe_share(self) -> float:
+    def probe_fraction(self) -> float:
         """The share of the probe step."""
-        return self.share * PROBE_SHARE_FRACTION
+        return self.traffic_fraction * PROBE_EXPOSURE_FRACTION
 
     def allows(self, sent: float, exposed: float) -> bool:
         """Return whether this many requests may be exposed; a margin is left for exposure not yet reported.
@@ -71,7 +71,7 @@
         >>> ExposureLimit(0.1, 50).allows(1000, 135), ExposureLimit(0.1, 50).allows(1000, 140)
         (True, False)
         """
-        return exposed <= (self.share * sent + self.slack) * EXPOSURE_SAFETY_FRACTION
+        return exposed <= (self.traffic_fraction * sent + self.slack) * EXPOSURE_SAFETY_FRACTION
 
 
 @define(frozen=True, slots=True)
@@ -128,14 +128,14 @@
         return EndRollout(rollout.number, Status.COMPLETED, Ruling.ACCEPTED.value)
     if _past_rollback_deadline(rollout, progress.elapsed):
         return EndRollout(rollout.number, Status.ROLLED_BACK, _timeout_reason(rollout, progress))
-    if rollout.share == 0:
-        return _advance(rollout, Step.PROBE, exposure_limit.probe_share) if progress.runners else None
+    if rollout.traffic_fraction == 0:
+        return _advance(rollout, Step.PROBE, exposure_limit.probe_fraction) if progress.runners else None
     if (
         rollout.step is Step.LOAD
         and progress.step_age >= MAXIMUM_LOAD_DURATION
-        and rollout.share > exposure_limit.probe_share
+        and rollout.traffic_fraction > exposure_limit.probe_fraction
     ):
-        return _advance(rollout, Step.LOAD, exposure_limit.probe_share)
+        return _advance(rollout, Step.LOAD, exposure_limit.probe_fraction)
     if vote_result.ruling is not Ruling.ACCEPTED or not progress.has_quorum:
         return None
     return _next_step(rollout, progress, exposure_limit)
@@ -164,24 +164,24 @@
         return None
     load_accepted = progress.vote_result.accepted_under_load or not progress.slots
     if load_accepted and (rollout.step is Step.PROBE or progress.step_age >= MINIMUM_LOAD_DURATION):
-        return _advance(rollout, Step.GROW, GROW_SHARE)
+        return _advance(rollout, Step.GROW, GROW_FRACTION)
     if rollout.step is Step.PROBE:
-        share = load_share(progress, exposure_limit)
-        return _advance(rollout, Step.LOAD, share) if share else None
+        traffic_fraction = load_fraction(progress, exposure_limit)
+        return _advance(rollout, Step.LOAD, traffic_fraction) if traffic_fraction else None
     return None
 
 
-def load_share(progress: Progress, exposure_limit: ExposureLimit) -> float:
+def load_fraction(progress: Progress, exposure_limit: ExposureLimit) -> float:
     """Return the share that loads one runner of the new version; 0 if it would exceed the exposure limit.
 
     The share is the runner's target load as a fraction of all requests in flight.
     """
-    target_share = TARGET_SLOT_UTILIZATION * progress.slots / max(1, progress.in_flight)
-    share = min(MAXIMUM_LOAD_SHARE, max(exposure_limit.probe_share, target_share))
+    target_fraction = TARGET_SLOT_UTILIZATION * progress.slots / max(1, progress.in_flight)
+    traffic_fraction = min(MAXIMUM_LOAD_FRACTION, max(exposure_limit.probe_fraction, target_fraction))
     requests = progress.sent_per_s * MAXIMUM_LOAD_DURATION.total_seconds()
-    allowed = exposure_limit.allows(progress.sent + requests, progress.exposed + share * requests)
-    return share if allowed else 0.0
+    allowed = exposure_limit.allows(progress.sent + requests, progress.exposed + traffic_fraction * requests)
+    return traffic_fraction if allowed else 0.0
 
 
-def _advance(rollout: Rollout, step: Step, share: float) -> AdvanceRollout:
-    return AdvanceRollout(rollout.number, rollout.step, step, share)
+def _advance(rollout: Rollout, step: Step, traffic_fraction: float) -> AdvanceRollout:
+    return AdvanceRollout(rollout.number, rollout.step, step, traffic_fraction)
--- a/sparloom/rollouts/state.py
+++ b/sparloom/rollouts/state.py
@@ -55,7 +55,7 @@
         The state as reported to operators.
     step
         The present step.
-    share
+    traffic_fraction
         Fraction of the requests sent to the new version.
     reason
         Why it ended, in one sentence; "" while it is in progress.
@@ -69,7 +69,7 @@
     base: tuple[str, ...]
     status: Status = Status.SERVING
     step: Step = Step.PROBE
-    share: float = 0.0
+    traffic_fraction: float = 0.0
     reason: str = ""
 
     @property
@@ -93,14 +93,14 @@
             list(self.base),
             self.status.value,
             int(self.step),
-            self.share,
+            self.traffic_fraction,
             self.reason,
         ]
 
     @classmethod
     def from_json(cls, item: list[Any]) -> Rollout:
         """Return the rollout from a JSON list made by ``to_json``."""
-        number, service, target, duration_ms, ordered_at_ms, base, status, step, share, reason = item
+        number, service, target, duration_ms, ordered_at_ms, base, status, step, traffic_fraction, reason = item
         return cls(
             number,
             service,
@@ -110,7 +110,7 @@
             tuple(base),
             Status(status),
             Step(step),
-            share,
+            traffic_fraction,
             reason,
         )
 
@@ -188,13 +188,13 @@
         """Return the state in which another primary collects the votes."""
         return evolve(self, collector=collector)
 
-    def advance(self, rollout: Rollout, step: Step, share: float) -> RolloutsState:
+    def advance(self, rollout: Rollout, step: Step, traffic_fraction: float) -> RolloutsState:
         """Return the state with a rollout at another step or share."""
-        return self._replace_rollout(evolve(rollout, step=step, share=share))
+        return self._replace_rollout(evolve(rollout, step=step, traffic_fraction=traffic_fraction))
 
     def end(self, rollout: Rollout, status: Status, reason: str) -> RolloutsState:
         """Return the state with a rollout's verdict."""
-        return self._replace_rollout(evolve(rollout, status=status, share=0.0, reason=reason))
+        return self._replace_rollout(evolve(rollout, status=status, traffic_fraction=0.0, reason=reason))
 
     def _replace_rollout(self, rollout: Rollout) -> RolloutsState:
         return evolve(self, newest={**self.newest, rollout.service: rollout})
--- a/sparloom/rollouts/updates.py
+++ b/sparloom/rollouts/updates.py
@@ -154,14 +154,14 @@
         The rollout's number.
     expected_step
         The step in the state that the update was made from.
-    step, share
+    step, traffic_fraction
         The new step and share.
     """
 
     number: int
     expected_step: Step
     step: Step
-    share: float
+    traffic_fraction: float
 
     def apply(self, state: RolloutsState) -> RolloutsState | Refusal:
         """Return the state with the step and share; a step never goes back to an earlier one.
@@ -169,7 +169,7 @@
         >>> from .state import RolloutsState
         >>> ordered = OrderRollout("s", "v2", 9000).apply(RolloutsState())
         >>> grown = AdvanceRollout(1, Step.PROBE, Step.GROW, 0.5).apply(ordered)
-        >>> grown.newest["s"].share, AdvanceRollout(1, Step.PROBE, Step.LOAD, 0.1).apply(grown).text
+        >>> grown.newest["s"].traffic_fraction, AdvanceRollout(1, Step.PROBE, Step.LOAD, 0.1).apply(grown).text
         (0.5, 'rollout 1 is no longer at the expected step')
         """
         rollout = state.find_rollout(self.number)
@@ -177,7 +177,7 @@
             return Refusal(f"rollout {self.number} has ended")
         if rollout.step != self.expected_step or self.step < self.expected_step:
             return Refusal(f"rollout {self.number} is no longer at the expected step")
-        return state.advance(rollout, self.step, self.share)
+        return state.advance(rollout, self.step, self.traffic_fraction)
 
 
 @define(frozen=True, slots=True)
--- a/sparloom/router/admission_queues.py
+++ b/sparloom/router/admission_queues.py
@@ -129,8 +129,8 @@
             return cached
         default_slots = service.slots if service else 0
         total_slots = sum(maximum_in_flight(backend.slots or default_slots) for backend in backends)
-        tokens = fleet_size.share(service.cache_tokens * len(backends)) if service else 0
-        capacity = Capacity(fleet_size.share(total_slots), tokens)
+        tokens = fleet_size.quota(service.cache_tokens * len(backends)) if service else 0
+        capacity = Capacity(fleet_size.quota(total_slots), tokens)
         cache = _CapacityCache(backends, service, fleet_size.divisor, fleet_size.admitting, total_slots, capacity)
         self._capacities[service_name] = cache
         return cache
@@ -153,7 +153,7 @@
         ):
             return cached.limits
         limit = service.connection_limit if service else DEFAULT_CONNECTION_LIMIT
-        limits = {backend.id: fleet_size.indivisible_share(limit, backend.number) for backend in backends}
+        limits = {backend.id: fleet_size.indivisible_quota(limit, backend.number) for backend in backends}
         if not any(limits.values()):
             limits = dict.fromkeys(limits, 1)
         self._connections[service_name] = _ConnectionsCache(
--- a/sparloom/router/backend_choice.py
+++ b/sparloom/router/backend_choice.py
@@ -173,7 +173,7 @@
         limit = fleet_limit(service, state.settings.cold)
         if limit is None:
             return True
-        return backend.cold_sends.allows(now, state.cold_rate_share(limit, backend.number, now))
+        return backend.cold_sends.allows(now, state.cold_rate_quota(limit, backend.number, now))
 
     def _candidate(self, backend: Backend, now: timedelta) -> Candidate:
         in_flight = self._services.in_flight
--- a/sparloom/router/inactivity_timer.py
+++ b/sparloom/router/inactivity_timer.py
@@ -27,7 +27,7 @@
     response with ``zones``, and fires at once when the backend's zone is found
     unreachable.
 
-    ``allowed_silence``: silence of up to this time is not evidence against the zone.
+    ``tolerated_inactivity``: silence of up to this time is not evidence against the zone.
     """
 
     def __init__(
@@ -37,10 +37,10 @@
         suspect: Callable[[], None],
         on_unresponsive: Callable[[], None],
         zones: ZoneReachability,
-        allowed_silence: timedelta,
+        tolerated_inactivity: timedelta,
     ) -> None:
         self._zones = zones
-        self._allowed_silence = allowed_silence
+        self._tolerated_inactivity = tolerated_inactivity
         self._awaited: AwaitedActivity | None = None
         self._backend = backend
         self._slot = slot
@@ -58,7 +58,7 @@
         if self._awaited is None:
             backend = self._backend
             self._awaited = self._zones.await_activity(
-                backend.id, backend.zone, monotonic(), self._allowed_silence, self._on_timeout
+                backend.id, backend.zone, monotonic(), self._tolerated_inactivity, self._on_timeout
             )
 
     def on_connect_timeout(self) -> None:
--- a/sparloom/router/rollout_watcher.py
+++ b/sparloom/router/rollout_watcher.py
@@ -16,7 +16,7 @@
     initial_extra_tokens,
     is_watcher,
     loaded_runner,
-    watcher_share,
+    watcher_fraction,
 )
 from sparloom.rollouts.pace import PaceBaseline, measure_pace
 from sparloom.rollouts.records import RolloutVote
@@ -73,7 +73,7 @@
 
     def update_trial(self, trial: Trial, now: timedelta) -> None:
         """Apply the rollout in a new configuration."""
-        if (trial.step, trial.share) != (self.trial.step, self.trial.share):
+        if (trial.step, trial.traffic_fraction) != (self.trial.step, self.trial.traffic_fraction):
             self.step_started_at = now
         self.trial = trial
 
@@ -126,7 +126,7 @@
             return
         routers = self._state.fleet_size.divisor
         if is_watcher(watch.trial.number, self._state.key, routers):
-            watch.tokens.on_request(route, watcher_share(watch.trial.share, routers))
+            watch.tokens.on_request(route, watcher_fraction(watch.trial.traffic_fraction, routers))
 
     def trial_backends(self, service: str, route: str, now: timedelta) -> tuple[Backend, ...]:
         """Return the backends of the new version for a request; none if it must go to the old version.
@@ -142,8 +142,8 @@
         elif watch.trial.step == Step.PROBE and backends:
             # Affinity could send all requests to one runner, whose faults can't be told from faults of the version.
             backends = (self._state.random.choice(backends),)
-        share = watcher_share(watch.trial.share, self._state.fleet_size.divisor)
-        return backends if backends and watch.tokens.try_consume(route, share) else ()
+        traffic_fraction = watcher_fraction(watch.trial.traffic_fraction, self._state.fleet_size.divisor)
+        return backends if backends and watch.tokens.try_consume(route, traffic_fraction) else ()
 
     def _loaded_backend(self, watch: TrialWatch, backends: tuple[Backend, ...], now: timedelta) -> tuple[Backend, ...]:
         """The runner that the load step fills at present; none while all of its slots are in use."""
--- a/sparloom/router/router_state.py
+++ b/sparloom/router/router_state.py
@@ -93,8 +93,8 @@
         self.instance_id = int.from_bytes(os.urandom(7))
         self._backend_ids_before_isolation: frozenset[str] = frozenset()
         # Cached rate shares by (rate, backend number), and the configuration from which they were computed.
-        self._rate_shares_configuration: Configuration | None = None
-        self._rate_shares: dict[tuple[int, int], int] = {}
+        self._cold_rate_quotas_configuration: Configuration | None = None
+        self._cold_rate_quotas: dict[tuple[int, int], int] = {}
 
     @property
     def seeds(self) -> tuple[str, ...]:
@@ -133,7 +133,7 @@
         bounds, age = self.settings.bounds, now - self.primary_confirmed_at
         return bounds.drain * STALE_ENDPOINTS_DRAIN_FRACTION <= age < bounds.contact * DISCONNECTED_AFTER_MULTIPLE
 
-    def cold_rate_share(self, rate: int, salt: int, now: timedelta) -> int:
+    def cold_rate_quota(self, rate: int, salt: int, now: timedelta) -> int:
         """Returns this router's share of the requests per second that a cold backend accepts.
 
         ``salt`` is the backend's number. The share is 0 if this router isn't in the table of rate holders, or if that
@@ -146,12 +146,12 @@
         age, uptime, contact_bound = self.configuration_age(now), now - self.started_at, self.settings.bounds.contact
         if not configuration.rate_holders.is_usable(age, uptime, contact_bound):
             return 0
-        if configuration is not self._rate_shares_configuration:
-            self._rate_shares_configuration, self._rate_shares = configuration, {}
-        share = self._rate_shares.get((rate, salt))
-        if share is None:
-            share = self._rate_shares[rate, salt] = configuration.rate_holders.share(self.key, rate, salt)
-        return share
+        if configuration is not self._cold_rate_quotas_configuration:
+            self._cold_rate_quotas_configuration, self._cold_rate_quotas = configuration, {}
+        quota = self._cold_rate_quotas.get((rate, salt))
+        if quota is None:
+            quota = self._cold_rate_quotas[rate, salt] = configuration.rate_holders.quota(self.key, rate, salt)
+        return quota
 
     def record_isolation_change(self, isolation: Isolation | None) -> None:
         """Records the backends that exist before new isolation settings take effect, if those settings differ."""
--- a/sparloom/settings/checks.py
+++ b/sparloom/settings/checks.py
@@ -227,12 +227,12 @@
 
 def _parse_rollouts(table: Table) -> RolloutSettings:
     default = RolloutSettings()
-    share = _get_number(table, "bounds.exposureShare", default.exposure_share)
-    if share > 1:
+    exposure_fraction = _get_number(table, "bounds.exposureShare", default.exposure_share)
+    if exposure_fraction > 1:
         raise SettingsError("bounds.exposureShare must be 1 at most.")
     return RolloutSettings(
         enabled=ROLLOUT_CONTRACT in _get(table, "contracts", list, []),
-        exposure_share=share,
+        exposure_share=exposure_fraction,
         exposure_slack=_get_number(table, "bounds.exposureSlack", default.exposure_slack),
         rollback=_get_milliseconds(table, "bounds.rollbackMs", default.rollback),
     )
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -134,7 +134,7 @@
 
     def test_removing_a_member_does_not_change_another_reserve(self):
         controller = self.controller()
-        controller.tick(SECOND, shares={"a": 0.3})
+        controller.tick(SECOND, reserve_fractions={"a": 0.3})
         self.assertEqual(controller.statistics(SECOND)["a"]["reserve"], 3)
 
     def test_reserves_of_less_than_a_slot_are_effective_during_a_flood(self):
@@ -219,11 +219,11 @@
                         peer_divisors,
                         observed.index(router),
                     )
-                granted = sum(fleet_sizes[router].share(total) for router in running)
+                granted = sum(fleet_sizes[router].quota(total) for router in running)
                 self.assertLessEqual(granted, total, (seed, step))
                 for limit in (57, 370):
                     granted = sum(
-                        fleet_sizes[router].indivisible_share(limit, step)
+                        fleet_sizes[router].indivisible_quota(limit, step)
                         for router in running
                         if fleet_sizes[router].admitting
                     )
@@ -233,9 +233,9 @@
         for routers in (63, 73, 1600):
             fleet_sizes = [FleetSize(3 * SECOND, divisor=routers, index=index) for index in range(routers)]
             for salt in (0, 5, 2**63 + 11):
-                self.assertEqual(sum(fleet_size.indivisible_share(510, salt) for fleet_size in fleet_sizes), 446)
+                self.assertEqual(sum(fleet_size.indivisible_quota(510, salt) for fleet_size in fleet_sizes), 446)
             shares = [
-                fleet_size.indivisible_share(510, salt=7 * runner)
+                fleet_size.indivisible_quota(510, salt=7 * runner)
                 for fleet_size in fleet_sizes[:1]
                 for runner in range(routers)
             ]
@@ -245,7 +245,7 @@
         fleet_sizes = [FleetSize(3 * SECOND) for _ in range(8)]
         for fleet_size in fleet_sizes:
             fleet_size.update(0 * SECOND, 1, 8, {})
-        self.assertLessEqual(sum(fleet_size.share(320) for fleet_size in fleet_sizes), 320)
+        self.assertLessEqual(sum(fleet_size.quota(320) for fleet_size in fleet_sizes), 320)
 
     def check_relay_tier(self, seed, steps, maximum, step):
         fleet, rng, total = AggregationFleet(24, seed=seed), random.Random(seed), 960
@@ -253,7 +253,7 @@
 
         def check():
             granted = sum(
-                fleet.fleet_sizes[fleet.nodes[name].instance_id].share(total)
+                fleet.fleet_sizes[fleet.nodes[name].instance_id].quota(total)
                 for name in fleet.names
                 if name not in fleet.off
             )
@@ -298,7 +298,7 @@
     def flood(self, seed, steps=60):
         rng, total, shares = random.Random(seed), self.RUNNERS * maximum_in_flight(self.SLOTS), {"a": 0.2, "b": 0.1}
         fleet_sizes = [FleetSize(3 * SECOND, divisor=self.ROUTERS, index=index) for index in range(self.ROUTERS)]
-        controllers = [AdmissionController(Capacity(fleet_size.share(total)), shares) for fleet_size in fleet_sizes]
+        controllers = [AdmissionController(Capacity(fleet_size.quota(total)), shares) for fleet_size in fleet_sizes]
         route = Route("r", "h", "/", "safe", (), 9 * SECOND, SECOND, SECOND)
         own = [[0] * self.RUNNERS for _ in controllers]
         reported, isolated, ends, throttled, maximum_b, id = (
--- a/tests/controller/test_rate_holders.py
+++ b/tests/controller/test_rate_holders.py
@@ -107,7 +107,7 @@
     def share(self, table, address, salt):
         key = (id(table), address, salt)
         if key not in self.share_cache:
-            self.share_cache[key] = table, table.share(address, LIMIT, salt)
+            self.share_cache[key] = table, table.quota(address, LIMIT, salt)
         return self.share_cache[key][1]
 
     def run(self, steps):
@@ -124,7 +124,7 @@
         for count in (1, 2, 25, 29, 63, 73, 200):
             routers = frozenset(map(str, range(count)))
             for salt in SALTS:
-                total = sum(RateHolders(routers, routers).share(router, LIMIT, salt) for router in routers)
+                total = sum(RateHolders(routers, routers).quota(router, LIMIT, salt) for router in routers)
                 self.assertEqual(total, int(LIMIT * 7 / 8))
 
     def test_shares_of_two_consecutive_tables_do_not_exceed_the_limit(self):
@@ -134,14 +134,14 @@
             names = [frozenset(map(str, routers)) for routers in (before, present, after)]
             older, newer = RateHolders(names[1], names[0]), RateHolders(names[2], names[1])
             for salt in SALTS:
-                total = sum(rng.choice((older, newer)).share(str(router), LIMIT, salt) for router in range(90))
+                total = sum(rng.choice((older, newer)).quota(str(router), LIMIT, salt) for router in range(90))
                 self.assertLessEqual(total, LIMIT)
 
     def test_a_joining_router_hardly_reduces_the_total_while_both_tables_are_in_use(self):
         before = frozenset(map(str, range(73)))
         table = RateHolders(before | {"new"}, before)
         for salt in SALTS:
-            self.assertGreaterEqual(sum(table.share(router, LIMIT, salt) for router in table.routers), 24)
+            self.assertGreaterEqual(sum(table.quota(router, LIMIT, salt) for router in table.routers), 24)
 
 
 class SimulatedFleetTest(unittest.TestCase):
--- a/tests/router/test_cold_runners.py
+++ b/tests/router/test_cold_runners.py
@@ -122,9 +122,9 @@
                 make_only_rate_holder(rig)
                 rig.state.snapshots.configuration_confirmed_at = None
                 rig.state.snapshots.record_configuration_confirmation(monotonic())
-                before = rig.state.snapshots.cold_rate_share(29, 7, monotonic())
+                before = rig.state.snapshots.cold_rate_quota(29, 7, monotonic())
                 change(rig.state.snapshots)
-                return before, rig.state.snapshots.cold_rate_share(29, 7, monotonic())
+                return before, rig.state.snapshots.cold_rate_quota(29, 7, monotonic())
 
         with world(1) as loop:
             return loop.run_until_complete(run())
