--- a/simulator/decisions.py
+++ b/simulator/decisions.py
@@ -67,7 +67,7 @@
             self._end(self.running.pop(self.luck.randrange(len(self.running))))
         changes = self.scheduler.take_changes()
         if changes is not None:
-            self.scheduler.stored(changes)
+            self.scheduler.mark_stored(changes)
 
     def _add_job(self) -> None:
         self.jobs += 1
--- a/sparloom/controller/job_answers.py
+++ b/sparloom/controller/job_answers.py
@@ -87,9 +87,9 @@
     job = term.scheduler.jobs.get(call.job) or term.pending.get(call.job)
     if job is None or job.queue != call.queue:
         return _reply(call, JobOutcome.GONE)
-    return _reply(call, JobOutcome.OK, state=JobState.SERVING if job.begun else JobState.QUEUED)
+    return _reply(call, JobOutcome.OK, state=JobState.SERVING if job.started else JobState.QUEUED)
 
 
 def _count_queued(term: JobTerm, queue: str) -> int:
     """Return the number of accepted jobs of a queue of which no task has started."""
-    return sum(job.queue == queue and not job.begun and job.end is None for job in term.scheduler.jobs.values())
+    return sum(job.queue == queue and not job.started and job.end is None for job in term.scheduler.jobs.values())
--- a/sparloom/controller/job_service.py
+++ b/sparloom/controller/job_service.py
@@ -271,7 +271,7 @@
                 term.scheduler.add(job)
         if changes is not None:
             self._log_failures(term, changes)
-            term.scheduler.stored(changes)
+            term.scheduler.mark_stored(changes)
             for job_id in changes.ended:
                 term.ended[job_id] = term.store.ended[job_id]
         if len(term.ended) > len(term.store.ended):
@@ -318,7 +318,7 @@
                     task.name,
                     task.state,
                     task.runner,
-                    task.for_s * 1000,
+                    task.duration_s * 1000,
                 )
 
     @Service.task
--- a/sparloom/router/job_channel.py
+++ b/sparloom/router/job_channel.py
@@ -15,7 +15,7 @@
 from sparloom.codec import DecodeError
 from sparloom.errors import SparloomError
 from sparloom.membership import CONTROLLER
-from sparloom.scheduler.messages import JobOutcome, JobReply, answers, call_summary
+from sparloom.scheduler.messages import JobOutcome, JobReply, call_summary, reply_matches
 from sparloom.transport import dial, monotonic
 
 if TYPE_CHECKING:
@@ -88,7 +88,7 @@
         pending = self.pending.get(reply.number)
         if pending is None:
             return
-        if not answers(pending.call, reply):
+        if not reply_matches(pending.call, reply):
             raise DecodeError(f"expected a reply to {call_summary(pending.call)}, found {reply.text}")
         if not pending.reply.done():
             pending.reply.set_result(reply)
--- a/sparloom/scheduler/jobs.py
+++ b/sparloom/scheduler/jobs.py
@@ -214,7 +214,7 @@
         When it was accepted, in milliseconds since 1970.
     inherited
         Whether it was accepted by an earlier primary, so that runs of it may be active on any runner.
-    begun
+    started
         Whether any of its tasks has been started.
     end, end_stored
         Its final state, or None; and whether that is stored. Clients see the final state only once it is stored.
@@ -231,7 +231,7 @@
     body: bytes
     accepted_ms: int
     inherited: bool = False
-    begun: bool = False
+    started: bool = False
     end: JobState | None = None
     end_stored: bool = False
     steps: dict[int, list[Step]] = field(factory=dict)
@@ -307,7 +307,7 @@
             stored.body,
             stored.accepted_ms,
             inherited=True,
-            begun=bool(stored.progress),
+            started=bool(stored.progress),
         )
         for progress in stored.progress:
             job.step(progress.repetition, progress.step).restore(progress)
--- a/sparloom/scheduler/messages.py
+++ b/sparloom/scheduler/messages.py
@@ -138,13 +138,13 @@
     return f"{JobAction(call.action).name} {call.job:016x}"
 
 
-def answers(call: JobCall, reply: JobReply) -> bool:
+def reply_matches(call: JobCall, reply: JobReply) -> bool:
     """Return whether a reply matches a call: its number, its outcome and the repeated summary.
 
     >>> call = JobCall(1, JobAction.SHOW, 171, "h /q/", QueuePolicy(1, "s", 0, 3), b"")
-    >>> answers(call, JobReply(1, JobOutcome.OK, 0, 0, "SHOW 00000000000000ab"))
+    >>> reply_matches(call, JobReply(1, JobOutcome.OK, 0, 0, "SHOW 00000000000000ab"))
     True
-    >>> answers(call, JobReply(1, JobOutcome.OK, 0, 0, "SHOW 00000000000000ac"))
+    >>> reply_matches(call, JobReply(1, JobOutcome.OK, 0, 0, "SHOW 00000000000000ac"))
     False
     """
     if reply.number != call.number:
--- a/sparloom/scheduler/scheduler.py
+++ b/sparloom/scheduler/scheduler.py
@@ -10,7 +10,7 @@
   each listed runner has reported its runs, or until all holds of that term
   have lapsed.
 - *No start after the end was acknowledged.* A runner forgets an end only once
-  the effects of that end are stored (``take_changes``, ``stored``).
+  the effects of that end are stored (``take_changes``, ``mark_stored``).
 - *No requests of an earlier primary are carried out.* Every request carries
   the term as its fencing token.
 """
@@ -217,7 +217,7 @@
         self._changed_jobs, self._unstored_ends, self._counted_failures = {}, {}, []
         return changes
 
-    def stored(self, changes: Changes) -> None:
+    def mark_stored(self, changes: Changes) -> None:
         """Record that changes are stored: runners may forget the ends that caused them."""
         for runner_id, end in changes.ends.items():
             runner = self.runners.get(runner_id)
@@ -329,7 +329,7 @@
             self._hold_soon(run.runner)
 
     def _on_started(self, run: Run) -> None:
-        run.has_started = run.step.job.begun = True
+        run.has_started = run.step.job.started = True
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
         if run.step.job.end is not None or run.phase is RunPhase.STOPPING:
@@ -441,7 +441,7 @@
         # The earlier primary may have requested the maximum hold just before.
         runner.hold_until = max(runner.hold_until, self.now + self._maximum_hold_s())
         self._track_run(run)
-        step.job.begun = True
+        step.job.started = True
 
     @staticmethod
     def _may_adopt(step: Step, task: Task) -> bool:
@@ -467,7 +467,7 @@
             return
         self._untrack_run(run)
         job, step, task = run.step.job, run.step, run.task
-        job.begun = self._pass_needed = True
+        job.started = self._pass_needed = True
         if end.checkpoint and step.specification.checkpoints:
             task.checkpoint = end.checkpoint
             # The runner may forget the end and its checkpoint once this is stored.
--- a/sparloom/scheduler/stalled.py
+++ b/sparloom/scheduler/stalled.py
@@ -29,21 +29,21 @@
         ``waiting``, ``starting`` or ``stopping``.
     runner
         The runner that should start or stop it; empty for a waiting task.
-    for_s
+    duration_s
         Time in this state, in seconds.
     """
 
     name: str
     state: str
     runner: str
-    for_s: float
+    duration_s: float
 
 
 def _stalled_runs(step: Step, now: float) -> Iterator[StalledTask]:
     for run in step.runs:
-        for_s = now - run.first_requested_at
-        if run.phase is RunPhase.STARTING and for_s > STALLED_AFTER_S:
-            yield StalledTask(run.name, "starting", run.runner.listing.id, for_s)
+        duration_s = now - run.first_requested_at
+        if run.phase is RunPhase.STARTING and duration_s > STALLED_AFTER_S:
+            yield StalledTask(run.name, "starting", run.runner.listing.id, duration_s)
         stopping_for_s = now - run.requested_at
         if run.phase is RunPhase.STOPPING and stopping_for_s > STALLED_AFTER_S:
             yield StalledTask(run.name, "stopping", run.runner.listing.id, stopping_for_s)
--- a/tests/scheduler/simulated_cluster.py
+++ b/tests/scheduler/simulated_cluster.py
@@ -193,7 +193,7 @@
         if primary != self.primary:
             return
         self.blob, self.writing = blob, False
-        self.scheduler.stored(changes)
+        self.scheduler.mark_stored(changes)
         for job_id in changes.ended:
             self.shown[job_id] = JobState(self.store.ended[job_id].state)
             self.shown_at[job_id] = self.now
--- a/tests/scheduler/test_attempts.py
+++ b/tests/scheduler/test_attempts.py
@@ -50,7 +50,7 @@
         for job in changes.jobs if changes is not None else ():
             self.job_store.put(job, 0)
         if changes is not None:
-            self.scheduler.stored(changes)
+            self.scheduler.mark_stored(changes)
         return changes
 
     def next_primary(self):
--- a/tests/scheduler/test_jobs.py
+++ b/tests/scheduler/test_jobs.py
@@ -31,7 +31,7 @@
         step.tasks[2].failures, step.tasks[2].checkpoint = 2, "saved"
         store = self.store_and_load(job)
         (restored,) = store.jobs()
-        self.assertEqual((store.term, restored.inherited, restored.begun), (4, True, True))
+        self.assertEqual((store.term, restored.inherited, restored.started), (4, True, True))
         step = restored.step(0, 0)
         self.assertEqual([task.done for task in step.tasks], [False, True, False])
         self.assertEqual((step.tasks[2].failures, step.tasks[2].checkpoint), (2, "saved"))
--- a/tests/scheduler/test_scheduler.py
+++ b/tests/scheduler/test_scheduler.py
@@ -67,7 +67,7 @@
     def store_changes(self):
         changes = self.scheduler.take_changes()
         if changes is not None:
-            self.scheduler.stored(changes)
+            self.scheduler.mark_stored(changes)
         return changes
 
     def answer_start(self, runner="i-1", number=1, result=StartResult.STARTED):
@@ -102,7 +102,7 @@
         self.list_end()
         first = self.scheduler.take_changes()
         self.scheduler.cancel(job)
-        self.scheduler.stored(first)
+        self.scheduler.mark_stored(first)
         self.assertFalse(job.end_stored)
         self.assertEqual(self.scheduler.take_changes().ended, frozenset([1]))
 
@@ -179,7 +179,7 @@
         self.assertEqual(self.start_requests(self.handle(HoldAnswered("i-1", 1e5, (), ()))), [])
         instructions = self.handle(HoldAnswered("i-2", 1e5, (RunningTask(TASK, 5),), ()))
         self.assertEqual(self.start_requests(instructions), [])
-        self.assertTrue(self.scheduler.jobs[1].begun)
+        self.assertTrue(self.scheduler.jobs[1].started)
         instructions = self.handle(HoldAnswered("i-2", 1e5, (), (TaskEnd(1, TASK, 5, "lapsed"),)))
         self.assertEqual([number for _, _, number in self.start_requests(instructions)], [6])
 
@@ -251,7 +251,7 @@
 class Stalled(SchedulerCase):
     def stalled(self):
         tasks = stalled_tasks(self.scheduler.jobs.values(), self.now)
-        return [(task.name, task.state, task.runner, round(task.for_s)) for task in tasks]
+        return [(task.name, task.state, task.runner, round(task.duration_s)) for task in tasks]
 
     def test_slow_starts_and_stops_are_reported(self):
         job = self.add_job()
