--- a/simulator/growth.py
+++ b/simulator/growth.py
@@ -96,7 +96,7 @@
 def most_followers(fleet):
     """How many routers follow the busiest controller."""
     keys = {controller.consensus.key for controller in fleet.controllers.values()}
-    parents = (router.relay_server.told()["follows"] for router in fleet.routers.values())
+    parents = (router.relay_server.status()["follows"] for router in fleet.routers.values())
     return max(Counter(key for key in parents if key in keys).values(), default=0)
 
 
--- a/simulator/host.py
+++ b/simulator/host.py
@@ -92,8 +92,8 @@
         ready = [r for r in self.routers.values() if r.ready()]
         return {
             "ready": len(ready),
-            "whole": sum(r.nodes() == nodes for r in ready),
-            "see": sorted({r.nodes() for r in ready}),
+            "whole": sum(r.fleet_size_divisor() == nodes for r in ready),
+            "see": sorted({r.fleet_size_divisor() for r in ready}),
             "list": sorted({len(r.backends.by_id) for r in ready}),
         }
 
--- a/simulator/pieces.py
+++ b/simulator/pieces.py
@@ -60,7 +60,7 @@
     """
     listed = EndpointList(read_page({"instances": entries(n), "nextPageToken": None}).unwrap()[0], 25)
     blob = zlib.compress(pack(listed), 1)
-    fleet = BackendTable().renew(listed.runners, lambda s: 378959)
+    fleet = BackendTable().updated(listed.runners, lambda s: 378959)
     luck, stands = random.Random(1), [Candidate(r.id, 300, 0, 3, 16) for r in listed.runners]
     held = [InFlightReport(luck.getrandbits(64), 3, 2000, 0, 0, 0, 0) for _ in range(min(n, 2900))]
     counts = InFlightCounts(CONTACT)
@@ -72,8 +72,8 @@
         "listBytes": len(pack(listed)),
         "listCompressed": len(blob),
         "takeUs": timed(lambda: unpack(zlib.decompress(blob))),
-        "renewUs": timed(lambda: fleet.renew(listed.runners, lambda s: 378959)),
-        "fleetBytes": memory(lambda: BackendTable().renew(listed.runners, lambda s: 378959)),
+        "renewUs": timed(lambda: fleet.updated(listed.runners, lambda s: 378959)),
+        "fleetBytes": memory(lambda: BackendTable().updated(listed.runners, lambda s: 378959)),
         "chooseUs": timed(lambda: choose(stands)),
         "homeUs": timed(lambda: max(rendezvous_weight(7, p.number) for p in fleet.by_id.values())),
         "countUs": timed(lambda: [counts.count(i, timedelta(0)) for i in range(len(held))]),
--- a/simulator/point.py
+++ b/simulator/point.py
@@ -108,7 +108,7 @@
     async def _settle(self):
         begun, n = monotonic(), self.size.nodes
         while (monotonic() - begun).total_seconds() < 90:
-            if all(r.ready() and r.nodes() == n for r in self.fleet.routers.values()):
+            if all(r.ready() and r.fleet_size_divisor() == n for r in self.fleet.routers.values()):
                 return round((monotonic() - begun).total_seconds() * 1000)
             await asyncio.sleep(0.25)
         return None
@@ -235,7 +235,7 @@
                     else sum(c not in away for c in f.controllers),
                     "changeMs": three([delays[ip] for ip in v]),
                     "ready": sum(f.routers[ip].ready() for ip in v),
-                    "nodesSeen": sorted({f.routers[ip].nodes() for ip in v}),
+                    "nodesSeen": sorted({f.routers[ip].fleet_size_divisor() for ip in v}),
                     "dividedBy": sorted({f.routers[ip].fleet_size.divisor for ip in v}),
                 }
                 for k, v in sides.items()
@@ -244,10 +244,10 @@
         net.cuts.clear()
         begun = monotonic()
         while (monotonic() - begun).total_seconds() < 90 and not all(
-            f._has(r, f.revision) and r.nodes() == s.nodes for r in f.routers.values()
+            f._has(r, f.revision) and r.fleet_size_divisor() == s.nodes for r in f.routers.values()
         ):
             await asyncio.sleep(0.1)
-        whole = all(r.nodes() == s.nodes for r in f.routers.values())
+        whole = all(r.fleet_size_divisor() == s.nodes for r in f.routers.values())
         self.out["parted"]["healedMs"] = round((monotonic() - begun).total_seconds() * 1000) if whole else None
 
     async def _zone(self):
--- a/simulator/simulated_router.py
+++ b/simulator/simulated_router.py
@@ -94,14 +94,14 @@
         service = ask.route.split[0][0]
         self.calls += 1
         self.budget(service).on_request(monotonic())
-        place = await self.queues.enter(service, ask)
+        place = await self.queues.acquire(service, ask)
         if isinstance(place, Rejected):
             self.refused += 1
             return
         try:
             await self._hold(service, ask)
         finally:
-            self.queues.leave(service, place.id)
+            self.queues.release(service, place.id)
 
     async def _hold(self, service, ask):
         posts = self.backends.of(service)
--- a/sparloom/retry/verdict.py
+++ b/sparloom/retry/verdict.py
@@ -39,14 +39,14 @@
     without_attempt_id: bool = False
 
     @property
-    def belongs(self) -> bool:
+    def matches_request(self) -> bool:
         """Whether this is the response to the request, and not to an earlier one on the connection.
 
         Only a 400 that rejects a request without an attempt id may lack the id.
 
-        >>> ResponseHead(503, True, False, False, True).belongs
+        >>> ResponseHead(503, True, False, False, True).matches_request
         False
-        >>> ResponseHead(400, True, False, False, True, without_attempt_id=True).belongs
+        >>> ResponseHead(400, True, False, False, True, without_attempt_id=True).matches_request
         True
         """
         return self.attempt_id_matches or self.without_attempt_id and self.status == 400 and self.not_run
@@ -69,7 +69,7 @@
     >>> judge_head(ResponseHead(421, False, False, False, True))
     (<Verdict.MAY_HAVE_RUN: 1>, False)
     """
-    if not head.belongs:
+    if not head.matches_request:
         return MAY_HAVE_RUN, False
     succeeded = 200 <= head.status < 300
     if head.not_run and not succeeded or head.status == 421:
--- a/sparloom/router/admission_queues.py
+++ b/sparloom/router/admission_queues.py
@@ -174,7 +174,7 @@
         owners = self._current_members().owners
         return owners.get(route.name, "" if self.state.settings.members else route.host)
 
-    async def enter(self, service_name: str, request: Request) -> Admitted | Rejected:
+    async def acquire(self, service_name: str, request: Request) -> Admitted | Rejected:
         """Wait until a request is admitted or rejected."""
         request_id = next(self._ids)
         controller, demand = self.controller(service_name), Demand(sum(tokens for _, tokens in request.parts))
@@ -191,12 +191,12 @@
             return await future
         except asyncio.CancelledError:
             # The client has disconnected; the request may have been admitted just before.
-            self.leave(service_name, request_id)
+            self.release(service_name, request_id)
             raise
         finally:
             self.waiting.pop(request_id, None)
 
-    def leave(self, service_name: str, request_id: int) -> None:
+    def release(self, service_name: str, request_id: int) -> None:
         """Release the capacity of a request that has ended, and admit waiting requests."""
         self._notify(self.controllers[service_name].release(monotonic(), request_id))
 
--- a/sparloom/router/attempt.py
+++ b/sparloom/router/attempt.py
@@ -81,7 +81,7 @@
     in_flight_before: requests of all routers that were in flight at the backend before this one.
     timed_out: whether this router stopped waiting for the backend.
     first_chunk_at, last_chunk_at: when the first and the last chunk of the response arrived.
-    parts: the number of chunks; chunks are recorded only while rollouts are watched.
+    chunks: the number of chunks; chunks are recorded only while rollouts are watched.
     inactivity: the timer that detects an unresponsive backend.
     """
 
@@ -99,10 +99,10 @@
         self.slot = choice.slot
         self.in_flight_before = choice.in_flight
         self._response: aiohttp.ClientResponse | None = None
-        self._asked_at = monotonic()
+        self._sent_at = monotonic()
         self.first_chunk_at: timedelta | None = None
         self.last_chunk_at: timedelta | None = None
-        self.parts = 0
+        self.chunks = 0
         self.timed_out = False
         self.connected = True
         self._misdirected = False
@@ -122,15 +122,15 @@
         return self._response is not None
 
     @property
-    def asked_at(self) -> timedelta:
+    def sent_at(self) -> timedelta:
         """When the request was sent; before that, when the attempt was created."""
-        return self._asked_at
+        return self._sent_at
 
     def record_chunk(self, now: timedelta) -> None:
         """Record the arrival of a chunk of the response."""
         self.first_chunk_at = now if self.first_chunk_at is None else self.first_chunk_at
         self.last_chunk_at = now
-        self.parts += 1
+        self.chunks += 1
 
     @property
     def status(self) -> int | None:
@@ -179,7 +179,7 @@
 
     async def _send(self, last_event_id: str | None) -> aiohttp.ClientResponse:
         request = self._request
-        self._asked_at = monotonic()
+        self._sent_at = monotonic()
         connect_timeout = max(
             MINIMUM_CONNECT_TIMEOUT_S, request.route.target.total_seconds() * CONNECT_TIMEOUT_FRACTION
         )
@@ -202,9 +202,9 @@
         self._state.zones.note_activity(self.backend.zone, monotonic())
         head = response_head(response, self._request.attempt_id)
         verdict, may_relay = judge_head(head)
-        if head.belongs:
-            self.backend.record_response(self._asked_at, "close" in response.headers.get("Connection", "").lower())
-        if "Keep-Alive" in response.headers and head.belongs:
+        if head.matches_request:
+            self.backend.record_response(self._sent_at, "close" in response.headers.get("Connection", "").lower())
+        if "Keep-Alive" in response.headers and head.matches_request:
             self.backend.apply_keep_alive(response.headers["Keep-Alive"])
         if verdict is NOT_RUN:
             self._misdirected = response.status == MISDIRECTED
--- a/sparloom/router/backend_choice.py
+++ b/sparloom/router/backend_choice.py
@@ -139,7 +139,7 @@
             if choice is not None:
                 self.tried.add(backend.id)
                 if candidate.cold:
-                    backend.cold_sends.note(now)
+                    backend.cold_sends.record(now)
                 self._announce_prompt(backend)
                 return choice
         return None
@@ -173,7 +173,7 @@
         limit = fleet_limit(service, state.settings.cold)
         if limit is None:
             return True
-        return backend.cold_sends.allows(now, state.cold_rate_quota(limit, backend.number, now))
+        return backend.cold_sends.is_allowed(now, state.cold_rate_quota(limit, backend.number, now))
 
     def _candidate(self, backend: Backend, now: timedelta) -> Candidate:
         in_flight = self._services.in_flight
--- a/sparloom/router/backends.py
+++ b/sparloom/router/backends.py
@@ -129,9 +129,9 @@
         """
         return self.warming_up or (self.restored_at != NEVER and now < self.restored_at + COLD_AFTER_EVACUATION)
 
-    def record_response(self, asked_at: timedelta, closes: bool) -> None:
-        """Record a response to a request sent at ``asked_at``; ``closes``: it announces a shutdown of the runner."""
-        self.confirmed_active_at = NEVER if closes else max(self.confirmed_active_at, asked_at)
+    def record_response(self, sent_at: timedelta, closes: bool) -> None:
+        """Record a response to a request sent at ``sent_at``; ``closes``: it announces a shutdown of the runner."""
+        self.confirmed_active_at = NEVER if closes else max(self.confirmed_active_at, sent_at)
 
     def is_confirmed_active(self, now: timedelta, within: timedelta) -> bool:
         """Whether a response to a request sent less than ``within`` ago showed that it isn't shutting down.
@@ -296,7 +296,7 @@
         """Return all backends of a service that requests may be sent to, on trial or not."""
         return self.connected.get(service, ())
 
-    def renew(
+    def updated(
         self,
         endpoints: Iterable[Endpoint],
         cache_tokens: Callable[[str], int],
--- a/sparloom/router/cold_rate.py
+++ b/sparloom/router/cold_rate.py
@@ -44,19 +44,19 @@
     """The times of the requests that this router sent to one backend within the last ``WINDOW``.
 
     >>> sends, second = ColdSends(), timedelta(seconds=1)
-    >>> sends.note(second)
-    >>> sends.allows(second, 1), sends.allows(second, 2), sends.allows(3 * second, 1)
+    >>> sends.record(second)
+    >>> sends.is_allowed(second, 1), sends.is_allowed(second, 2), sends.is_allowed(3 * second, 1)
     (False, True, True)
     """
 
     _sent: deque[timedelta] = field(factory=deque)
 
-    def allows(self, now: timedelta, limit: int) -> bool:
+    def is_allowed(self, now: timedelta, limit: int) -> bool:
         """Whether one more request may be sent now, under a limit of ``limit`` requests per second."""
         while self._sent and now - self._sent[0] >= WINDOW:
             self._sent.popleft()
         return len(self._sent) < limit
 
-    def note(self, now: timedelta) -> None:
+    def record(self, now: timedelta) -> None:
         """Counts a request that is sent now."""
         self._sent.append(now)
--- a/sparloom/router/forwarding.py
+++ b/sparloom/router/forwarding.py
@@ -68,7 +68,7 @@
         self._chooser = BackendChooser(services, request)
         self._relay = ResponseRelay(http_request, request, self._on_progress, self._on_prefilled, should_close)
         self._hedging = Hedging(self._is_preferable, self._reschedule_wait, self._uncount_attempt)
-        self._budget = services.budgets.of(self._chooser.service)
+        self._budget = services.budgets.for_service(self._chooser.service)
         self._deadline = request.deadline
         self._attempts = 0
         self._sent_attempts = 0
@@ -107,7 +107,7 @@
         try:
             # Only expire() sets a deadline here: the queue itself rejects requests that wait too long.
             async with asyncio.timeout(None) as self._wait_timeout:
-                admission = await queues.enter(service, self.request)
+                admission = await queues.acquire(service, self.request)
         except TimeoutError:
             return self._give_up(GiveUp(refusal.UNAVAILABLE))
         if isinstance(admission, Rejected):
@@ -116,7 +116,7 @@
         try:
             return await self._attempt_until_done()
         finally:
-            queues.leave(service, admission.id)
+            queues.release(service, admission.id)
 
     async def _attempt_until_done(self) -> web.StreamResponse:
         """Make attempts until one completes or no further attempt is allowed."""
--- a/sparloom/router/frontend.py
+++ b/sparloom/router/frontend.py
@@ -100,7 +100,7 @@
         from .job_channel import JobChannel
         from .job_requests import JobRequests
 
-        return JobRequests(node.snapshots, JobChannel(node.snapshots, node.membership))
+        return JobRequests(node.router_state, JobChannel(node.router_state, node.membership))
 
     @property
     def stopping(self) -> bool:
@@ -183,7 +183,7 @@
 
     async def _respond(self, http_request: web.BaseRequest) -> web.StreamResponse:
         """Read a request, match it to a route, authorize it and forward it."""
-        received_at, state = monotonic(), self.node.snapshots
+        received_at, state = monotonic(), self.node.router_state
         if self.settings.deployment not in (MODEL_DEPLOYMENT, JOB_DEPLOYMENT):
             # Requests of an unknown deployment kind may be ones that must not be forwarded. Nothing has run, so that
             # 503 is valid.
@@ -215,7 +215,7 @@
 
     def _authorize(self, route: Route, http_request: web.BaseRequest) -> Access | web.Response | None:
         """Return the access granted to a request, None if no tenants are configured, or the response that denies it."""
-        state = self.node.snapshots
+        state = self.node.router_state
         if state.configuration is None or state.configuration.tenants is None:
             return None
         # Imported here to save startup time and memory on routers without tenants.
@@ -335,7 +335,7 @@
         },
         "divisor": node.fleet_size.divisor,
         "relays": dict.fromkeys(node.relay_tier.relays, "relay"),
-        "tier": node.relay_server.told(),
+        "tier": node.relay_server.status(),
         "requests": outcomes.figures(),
         "isolation": isolation.fingerprints() if isolation else [],
         "runnersBeforeIsolation": node.backends_before_isolation(),
--- a/sparloom/router/job_requests.py
+++ b/sparloom/router/job_requests.py
@@ -40,10 +40,10 @@
     return web.Response(status=status, body=raw, content_type="application/json", headers=headers)
 
 
-def refuse() -> web.Response:
+def unavailable_response() -> web.Response:
     """Return the response to a request that has not been executed and will not be.
 
-    >>> refuse().status
+    >>> unavailable_response().status
     503
     """
     return _json_response(HTTPStatus.SERVICE_UNAVAILABLE, retry=True)
@@ -81,17 +81,17 @@
             return _json_response(HTTPStatus.NOT_FOUND, {"error": f"a job's id has {JOB_ID_DIGITS} hex digits"})
         configuration = self._state.configuration
         if configuration is None:
-            return refuse()
+            return unavailable_response()
         call = self._call(action, job, route, configuration, body)
         service = configuration.services.get(call.policy.service)
         if action is JobAction.SUBMIT and service is not None and not service.supported:
-            return refuse()
+            return unavailable_response()
         remaining = time_remaining(http_request.headers, DEFAULT_TIMEOUT) - ANSWER_MARGIN
         try:
             reply = await self._channel.call(call, monotonic() + remaining * CALL_TIME_FRACTION)
         except JobChannelError as error:
             uncertain = error.may_have_run and action in (JobAction.SUBMIT, JobAction.CANCEL)
-            return _json_response(HTTPStatus.GATEWAY_TIMEOUT) if uncertain else refuse()
+            return _json_response(HTTPStatus.GATEWAY_TIMEOUT) if uncertain else unavailable_response()
         return self._response(action, reply)
 
     @staticmethod
@@ -109,7 +109,7 @@
         if reply.outcome == JobOutcome.UNKNOWN:
             return _json_response(HTTPStatus.GATEWAY_TIMEOUT)
         if reply.outcome != JobOutcome.OK:
-            return refuse()
+            return unavailable_response()
         if action is JobAction.SHOW:
             return _json_response(HTTPStatus.OK, {"state": JobState(reply.state).name.lower()})
         if action is JobAction.COUNT:
--- a/sparloom/router/program.py
+++ b/sparloom/router/program.py
@@ -38,7 +38,7 @@
 
     def apply_settings(self, settings: Settings) -> None:
         """Applies new, validated settings."""
-        self.node.use(settings)
+        self.node.apply_settings(settings)
         self.settings = self.front.settings = settings
 
     async def graceful_shutdown(self) -> None:
--- a/sparloom/router/relay_server.py
+++ b/sparloom/router/relay_server.py
@@ -118,7 +118,7 @@
     def _accepts_followers(self) -> bool:
         return self.is_open() and len(self.followers) < self.feed_client.upstream.follower_limit()
 
-    def told(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Returns this router's position in the relay tier, for the beliefs endpoint (a JSON object)."""
         upstream = self.feed_client.upstream
         return {
--- a/sparloom/router/rollout_watcher.py
+++ b/sparloom/router/rollout_watcher.py
@@ -189,7 +189,7 @@
         """Whether the load step may have filled the answer's runner, so that its pace must not be compared."""
         if watch is None or not on_trial:
             return False
-        return watch.trial.step == Step.LOAD or attempt.asked_at < watch.step_started_at
+        return watch.trial.step == Step.LOAD or attempt.sent_at < watch.step_started_at
 
     def _is_slow(self, attempt: Attempt, route: Route, on_trial: bool) -> bool | None:
         """Whether an answer is slow compared with the old version; None if they can't be compared.
@@ -200,10 +200,10 @@
         if attempt.in_flight_before > backend.slots * UNLOADED_SLOT_FRACTION or backend.is_cold(monotonic()):
             return None
         pace = measure_pace(
-            attempt.asked_at,
+            attempt.sent_at,
             attempt.first_chunk_at,
             attempt.last_chunk_at,
-            attempt.parts,
+            attempt.chunks,
             is_stream=route.kind == "streaming",
         )
         if pace is None:
--- a/sparloom/router/router_node.py
+++ b/sparloom/router/router_node.py
@@ -55,7 +55,7 @@
 
     Attributes
     ----------
-    snapshots: the current state; most of its attributes are also available on the node.
+    router_state: the current state; most of its attributes are also available on the node.
     budgets: retry budgets by service.
     membership: SWIM, the datagram socket and the tick.
     queues: admission queues by service.
@@ -69,29 +69,29 @@
     serviceability: tracks whether enough runners are reachable.
     """
 
-    settings = _delegated_property("snapshots", "settings")
-    key = _delegated_property("snapshots", "key")
-    seeds = _delegated_property("snapshots", "seeds")
-    configuration = _delegated_property("snapshots", "configuration")
-    endpoint_list = _delegated_property("snapshots", "endpoint_list")
-    backends = _delegated_property("snapshots", "backends")
-    confirmed = _delegated_property("snapshots", "confirmed")
-    started_at = _delegated_property("snapshots", "started_at")
-    in_flight = _delegated_property("snapshots", "in_flight")
-    fleet_size = _delegated_property("snapshots", "fleet_size")
-    relay_tier = _delegated_property("snapshots", "relay_tier")
-    prefixes_known = _delegated_property("snapshots", "prefixes_known")
-    zones = _delegated_property("snapshots", "zones")
-    random = _delegated_property("snapshots", "random")
-    ready = _delegated_property("snapshots", "ready")
-    record_isolation_change = _delegated_property("snapshots", "record_isolation_change")
-    backends_before_isolation = _delegated_property("snapshots", "backends_before_isolation")
+    settings = _delegated_property("router_state", "settings")
+    key = _delegated_property("router_state", "key")
+    seeds = _delegated_property("router_state", "seeds")
+    configuration = _delegated_property("router_state", "configuration")
+    endpoint_list = _delegated_property("router_state", "endpoint_list")
+    backends = _delegated_property("router_state", "backends")
+    confirmed = _delegated_property("router_state", "confirmed")
+    started_at = _delegated_property("router_state", "started_at")
+    in_flight = _delegated_property("router_state", "in_flight")
+    fleet_size = _delegated_property("router_state", "fleet_size")
+    relay_tier = _delegated_property("router_state", "relay_tier")
+    prefixes_known = _delegated_property("router_state", "prefixes_known")
+    zones = _delegated_property("router_state", "zones")
+    random = _delegated_property("router_state", "random")
+    ready = _delegated_property("router_state", "ready")
+    record_isolation_change = _delegated_property("router_state", "record_isolation_change")
+    backends_before_isolation = _delegated_property("router_state", "backends_before_isolation")
     swim = _delegated_property("membership", "swim")
     datagrams = _delegated_property("membership", "datagrams")
 
     def __init__(self, settings: Settings) -> None:
         super().__init__()
-        self.snapshots = state = RouterState(settings)
+        self.router_state = state = RouterState(settings)
         self.budgets = RetryBudgets(state)
         self.queues = AdmissionQueues(state)
         self.membership = MembershipService(
@@ -116,7 +116,7 @@
         # Imported here so that other deployments don't spend startup time and memory on it.
         from .usage_reporter import UsageReporter
 
-        return UsageReporter(self.snapshots, self.membership, self.queues)
+        return UsageReporter(self.router_state, self.membership, self.queues)
 
     def _rollout_watcher(self, settings: Settings) -> RolloutWatcher | None:
         if not settings.rollouts.enabled:
@@ -124,7 +124,7 @@
         # Imported here for the same reason as UsageReporter.
         from .rollout_watcher import RolloutWatcher
 
-        return RolloutWatcher(self.snapshots, self.membership, lambda: self.feed_store.version(CONFIGURATION)[0])
+        return RolloutWatcher(self.router_state, self.membership, lambda: self.feed_store.version(CONFIGURATION)[0])
 
     @property
     def feed_store(self) -> VersionedStore:
@@ -133,7 +133,7 @@
 
     def forwarding_services(self) -> ForwardingServices:
         """Returns the components that the forwarding of requests depends on."""
-        state = self.snapshots
+        state = self.router_state
         return ForwardingServices(
             state,
             state.in_flight,
@@ -146,18 +146,18 @@
             self.rollouts,
         )
 
-    def nodes(self) -> int:
+    def fleet_size_divisor(self) -> int:
         """Returns the number of routers by which budgets are divided; a network partition doesn't lower it to 1."""
-        return self.snapshots.fleet_size.divisor
+        return self.router_state.fleet_size.divisor
 
     def budget(self, service: str) -> RetryBudget:
         """Returns the retry budget of a service."""
-        return self.budgets.of(service)
+        return self.budgets.for_service(service)
 
-    def use(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Applies new, validated settings."""
-        self.snapshots.record_isolation_change(settings.isolation)
-        self.snapshots.settings = settings
+        self.router_state.record_isolation_change(settings.isolation)
+        self.router_state.settings = settings
         self.membership.update_seeds()
 
     async def on_start(self) -> None:
@@ -172,7 +172,7 @@
             self.usage.send(monotonic())
         self.membership.close()
         self.zone_prober.close()
-        for backend in self.snapshots.backends.by_id.values():
+        for backend in self.router_state.backends.by_id.values():
             if backend.client_session:
                 await backend.client_session.close()
 
@@ -206,7 +206,7 @@
 
     def update_fleet_size(self) -> None:
         """Updates the number of routers by which capacity is divided."""
-        state = self.snapshots
+        state = self.router_state
         remembered = self.membership.remembered_routers()
         announced = state.endpoint_list.fleet_size if state.endpoint_list else 0
         state.fleet_size.update(
@@ -220,7 +220,7 @@
 
     def update_relay_tier(self) -> None:
         """Plans the relay tier anew if the membership has changed; suspected routers are still members."""
-        state = self.snapshots
+        state = self.router_state
         routers = self.membership.routers()
         members = frozenset((peer.key, peer.zone) for peer in routers)
         if members != self.tier_members:
@@ -231,20 +231,20 @@
 
     def update_backends(self) -> None:
         """Rebuilds the backend table after a change of the configuration or the endpoint list."""
-        state = self.snapshots
+        state = self.router_state
         versions = state.configuration.versions if state.configuration else {}
         if self.rollouts is not None:
             self.rollouts.on_configuration(versions)
         if state.endpoint_list is not None:
             evacuated = state.configuration.evacuated_zones if state.configuration else ()
             runners = state.endpoint_list.runners
-            state.backends = state.backends.renew(runners, self._cache_tokens, evacuated, monotonic(), versions)
+            state.backends = state.backends.updated(runners, self._cache_tokens, evacuated, monotonic(), versions)
         if state.configuration is not None and state.endpoint_list is not None and not state.prefixes_known.is_set():
             self.prefix_recall.request()
 
     def _cache_tokens(self, service: str) -> int:
         """Returns the prefix cache size, in tokens, of the backends of a service."""
-        configuration = self.snapshots.configuration
+        configuration = self.router_state.configuration
         configured = configuration.services.get(service) if configuration else None
         return configured.cache_tokens if configured and configured.cache_tokens else DEFAULT_CACHE_TOKENS
 
@@ -254,11 +254,11 @@
         It can do so when it has the configuration and the endpoint list, and
         the controllers have answered which prefixes each backend caches.
         """
-        known = self.snapshots.prefixes_known
+        known = self.router_state.prefixes_known
         if known.is_set():
             return
         try:
-            async with asyncio.timeout(min(maximum, self.snapshots.settings.bounds.contact / 3).total_seconds()):
+            async with asyncio.timeout(min(maximum, self.router_state.settings.bounds.contact / 3).total_seconds()):
                 await known.wait()
         except TimeoutError:
             pass
--- a/sparloom/router/router_state.py
+++ b/sparloom/router/router_state.py
@@ -174,7 +174,7 @@
         self._state = state
         self._by_service: dict[str, RetryBudget] = {}
 
-    def of(self, service: str) -> RetryBudget:
+    def for_service(self, service: str) -> RetryBudget:
         """Returns the budget of a service."""
         budget = self._by_service.get(service)
         if budget is None:
--- a/tests/duties/test_duties_on_loopback.py
+++ b/tests/duties/test_duties_on_loopback.py
@@ -57,7 +57,7 @@
         await self.wait_until(self.router.node.ready)
         for _ in range(5):
             await self.retry_while_unavailable(lambda: self.send(KEY), HTTPStatus.OK)
-        await self.wait_until(lambda: self.router.node.snapshots.configuration_confirmed_at is not None)
+        await self.wait_until(lambda: self.router.node.router_state.configuration_confirmed_at is not None)
         for key in ("no-key", None):
             await self.retry_while_unavailable(lambda key=key: self.send(key), HTTPStatus.UNAUTHORIZED)
         self.assertEqual({request.head("X-Sparloom-Tenant") for request in self.runner.got}, {"first"})
--- a/tests/golden_calls.py
+++ b/tests/golden_calls.py
@@ -133,7 +133,7 @@
     shown = [JobReply(3, JobOutcome.OK, state, 0, "") for state in JobState]
     answers += [job_requests.JobRequests._response(JobAction.SHOW, reply) for reply in shown]
     answers.append(job_requests.JobRequests._response(JobAction.COUNT, JobReply(3, JobOutcome.OK, 0, 17, "")))
-    return [answer(one) for one in [*answers, job_requests.refuse()]]
+    return [answer(one) for one in [*answers, job_requests.unavailable_response()]]
 
 
 def rollouts() -> RolloutsState:
--- a/tests/relay/test_relay_loopback.py
+++ b/tests/relay/test_relay_loopback.py
@@ -98,9 +98,9 @@
         await self.write_policy({**ROUTES, "routes": [route(f"r{i}", f"/{i}/") for i in range(200)]})
         await self.wait_until(lambda: all(router.ready() for router in self.routers))
         self.set_tier(relay, first, second)
-        await self.wait_until(lambda: relay.relay_server.told()["followers"] == ["front-1", "front-2"])
-        self.assertEqual([router.relay_server.told()["depth"] for router in self.routers], [1, 2, 2])
-        self.assertLess(first.relay_server.told()["ageMs"], CONTACT_BOUND / 3 / timedelta(milliseconds=1))
+        await self.wait_until(lambda: relay.relay_server.status()["followers"] == ["front-1", "front-2"])
+        self.assertEqual([router.relay_server.status()["depth"] for router in self.routers], [1, 2, 2])
+        self.assertLess(first.relay_server.status()["ageMs"], CONTACT_BOUND / 3 / timedelta(milliseconds=1))
         received, take_change = [], first.feed_client.take_change
         first.feed_client.take_change = lambda change: (received.append(change), take_change(change))[1]
         await self.write_policy({**ROUTES, "revision": 2, "routes": [route(f"r{i}", f"/{i}/") for i in range(1, 201)]})
@@ -120,7 +120,7 @@
             self.assertLess(len(change.payload), 400)
         late_router = await self.start_router(3)
         self.set_tier(relay, late_router)
-        await self.wait_until(lambda: "front-3" in relay.relay_server.told()["followers"] and late_router.ready())
+        await self.wait_until(lambda: "front-3" in relay.relay_server.status()["followers"] and late_router.ready())
         self.assertEqual(late_router.configuration.revision, 2)
         self.assertEqual(
             decode_payload(CONFIGURATION, relay.feed_store.items[CONFIGURATION].payload),
@@ -142,7 +142,7 @@
         await self.write_policy({**ROUTES, "revision": 4})
         await self.wait_until(
             lambda: all(
-                router.configuration.revision == 4 and router.relay_server.told()["depth"] == 1
+                router.configuration.revision == 4 and router.relay_server.status()["depth"] == 1
                 for router in self.routers
             )
         )
@@ -152,21 +152,21 @@
         await self.write_policy(ROUTES)
         await self.wait_until(lambda: all(router.ready() for router in self.routers))
         self.set_tier(relay, healthy)
-        await self.wait_until(lambda: relay.relay_server.told()["followers"] == ["front-1"])
+        await self.wait_until(lambda: relay.relay_server.status()["followers"] == ["front-1"])
         relay.relay_server.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         relay.relay_server.write_timeout = CONTACT_BOUND / 10
         _, blocked_writer = await self.connect_with_small_buffers(relay, "deaf")
         slow_reader, slow_writer = await self.connect_with_small_buffers(relay, "slow")
         received = bytearray()
         reading = asyncio.ensure_future(self.read_slowly(slow_reader, received))
-        await self.wait_until(lambda: {"deaf", "slow"} <= set(relay.relay_server.told()["followers"]))
+        await self.wait_until(lambda: {"deaf", "slow"} <= set(relay.relay_server.status()["followers"]))
         await self.write_policy(
             {**ROUTES, "revision": 2, "routes": [route(f"r{i}", f"/{i}/{os.urandom(800).hex()}") for i in range(400)]}
         )
         await self.wait_until(lambda: healthy.configuration.revision == 2)
-        await self.wait_until(lambda: relay.relay_server.told()["followers"] == ["front-1", "slow"])
+        await self.wait_until(lambda: relay.relay_server.status()["followers"] == ["front-1", "slow"])
         await self.wait_until(lambda: len(received) > 200_000)
-        self.assertIn("slow", relay.relay_server.told()["followers"])
+        self.assertIn("slow", relay.relay_server.status()["followers"])
         reading.cancel()
         for writer in (blocked_writer, slow_writer):
             writer.close()
--- a/tests/rollouts/test_watcher.py
+++ b/tests/rollouts/test_watcher.py
@@ -48,7 +48,7 @@
     def apply(self, configuration):
         versions = build(configuration).versions
         self.watcher.on_configuration(versions)
-        self.backends = self.backends.renew(self.endpoints, lambda service: 1000, versions=versions)
+        self.backends = self.backends.updated(self.endpoints, lambda service: 1000, versions=versions)
 
     def count_exposed(self, count, route="r"):
         """Returns how many of ``count`` requests go to the new version."""
@@ -120,16 +120,16 @@
 
 
 class VoteTests(WatcherCase):
-    def end(self, id, ended=AttemptEnd.COMPLETE, pace=30 * MS, before=0, parts=10, route=STREAM):
+    def end(self, id, ended=AttemptEnd.COMPLETE, pace=30 * MS, before=0, chunks=10, route=STREAM):
         backend = self.backends.by_id[id]
         self.watcher.on_sent(backend)
         attempt = SimpleNamespace(
             backend=backend,
             in_flight_before=before,
-            asked_at=self.now,
+            sent_at=self.now,
             first_chunk_at=self.now + 60 * MS,
-            last_chunk_at=self.now + 60 * MS + pace * (parts - 1),
-            parts=parts,
+            last_chunk_at=self.now + 60 * MS + pace * (chunks - 1),
+            chunks=chunks,
         )
         self.watcher.on_ended(attempt, route, ended)
 
@@ -149,9 +149,9 @@
         self.apply(document())
         for _ in range(12):
             self.end("a")
-        self.end("b", AttemptEnd.FAILED, parts=0)
+        self.end("b", AttemptEnd.FAILED, chunks=0)
         self.end("c", pace=200 * MS)
-        self.end("c", AttemptEnd.NOT_RUN, parts=0)
+        self.end("c", AttemptEnd.NOT_RUN, chunks=0)
         # Only the last four answers of the old version have enough earlier ones to be compared with.
         self.assertEqual(self.tallies(), {(False, False): (12, 0, 4, 0), (True, False): (2, 1, 1, 1)})
         self.assertEqual((self.sent[-1][1].sent, self.sent[-1][1].exposed), (15, 3))
@@ -161,7 +161,7 @@
         for _ in range(8):
             self.end("a")
         self.end("b", AttemptEnd.ABANDONED, pace=200 * MS)
-        self.end("b", AttemptEnd.ABANDONED, parts=0)
+        self.end("b", AttemptEnd.ABANDONED, chunks=0)
         self.assertEqual(self.tallies()[True, False], (0, 0, 1, 1))
 
     def test_the_pace_of_a_loaded_runner_is_not_compared(self):
--- a/tests/router/test_access.py
+++ b/tests/router/test_access.py
@@ -95,7 +95,7 @@
 class OnLoopback(unittest.IsolatedAsyncioTestCase):
     async def test_headers_at_the_runner_and_status_at_the_client(self):
         async with RouterFixture(1, DOCUMENT) as rig:
-            rig.state.snapshots.record_configuration_confirmation(monotonic())
+            rig.state.router_state.record_configuration_confirmation(monotonic())
             answer = await rig.send("/once/x", heads=("Authorization: Token k1", "X-Sparloom-Tenant: second"))
             self.assertEqual(answer.status, 200)
             (request,) = rig.runners[0].got
--- a/tests/router/test_cold_runners.py
+++ b/tests/router/test_cold_runners.py
@@ -29,7 +29,7 @@
     """Make the router the only one that has a share of the rate, and confirm its configuration as the newest."""
     holders = {"rateHolders": RateHolders(frozenset([rig.state.key]), frozenset([rig.state.key])).to_json()}
     rig.state.configuration = build({**COLD_POLICY, **holders})
-    rig.state.snapshots.record_configuration_confirmation(monotonic() + timedelta(seconds=60))
+    rig.state.router_state.record_configuration_confirmation(monotonic() + timedelta(seconds=60))
     rig.state.started_at = monotonic() - timedelta(seconds=9)
 
 
@@ -120,11 +120,11 @@
         async def run():
             async with RouterFixture(1, COLD_POLICY, SETTINGS) as rig:
                 make_only_rate_holder(rig)
-                rig.state.snapshots.configuration_confirmed_at = None
-                rig.state.snapshots.record_configuration_confirmation(monotonic())
-                before = rig.state.snapshots.cold_rate_quota(29, 7, monotonic())
-                change(rig.state.snapshots)
-                return before, rig.state.snapshots.cold_rate_quota(29, 7, monotonic())
+                rig.state.router_state.configuration_confirmed_at = None
+                rig.state.router_state.record_configuration_confirmation(monotonic())
+                before = rig.state.router_state.cold_rate_quota(29, 7, monotonic())
+                change(rig.state.router_state)
+                return before, rig.state.router_state.cold_rate_quota(29, 7, monotonic())
 
         with world(1) as loop:
             return loop.run_until_complete(run())
--- a/tests/router/test_frontend.py
+++ b/tests/router/test_frontend.py
@@ -169,16 +169,16 @@
         self.assertEqual((answer.status, "retry-after" in answer.heads), (503, True))
 
     async def test_request_past_its_deadline_is_not_forwarded(self):
-        with mock.patch.object(AdmissionQueues, "enter", self.admit_after_deadline(AdmissionQueues.enter)):
+        with mock.patch.object(AdmissionQueues, "acquire", self.admit_after_deadline(AdmissionQueues.acquire)):
             answer = await self.rig.send("/once/x", left=50)
         self.assertEqual((answer.status, self.received), (503, []))
 
     @staticmethod
-    def admit_after_deadline(enter):
-        """Return a replacement for ``AdmissionQueues.enter`` that admits requests only after their deadline."""
+    def admit_after_deadline(acquire):
+        """Return a replacement for ``AdmissionQueues.acquire`` that admits requests only after their deadline."""
 
         async def enter_after_deadline(queues, service, request):
-            admission = await enter(queues, service, request)
+            admission = await acquire(queues, service, request)
             while monotonic() < request.deadline:
                 await asyncio.sleep(0.001)
             return admission
--- a/tests/router/test_in_flight_gossip.py
+++ b/tests/router/test_in_flight_gossip.py
@@ -61,7 +61,7 @@
         endpoints = [Endpoint(f"i-{r}", "s", f"10.1.0.{r}:1", "z0", 8, False, 0) for r in range(4)]
         router.endpoint_list = EndpointList(endpoints, size)
         router.gossip.call_later = lambda delay, callback: None
-        router.backends = router.backends.renew(endpoints, lambda service: 10**6)
+        router.backends = router.backends.updated(endpoints, lambda service: 10**6)
         return router
 
     def tick(self, turns):
--- a/tests/router/test_stale_endpoints.py
+++ b/tests/router/test_stale_endpoints.py
@@ -42,7 +42,7 @@
     async def _confirm(self, rig):
         """Confirms the router's state at each heartbeat until the partition."""
         for _ in range(int(PARTITIONED_AT_S / HEARTBEAT_S)):
-            rig.state.snapshots.record_primary_confirmation(monotonic())
+            rig.state.router_state.record_primary_confirmation(monotonic())
             await asyncio.sleep(HEARTBEAT_S)
 
     async def _leave(self, leaves_at):
@@ -87,11 +87,11 @@
 
     async def _check_endpoint_staleness(self):
         async with RouterFixture(2, POLICY, {**STARTUP, "bounds": BOUNDS}) as rig:
-            rig.state.snapshots.record_primary_confirmation(monotonic() - timedelta(seconds=1.5))
-            self.assertFalse(rig.state.snapshots.endpoints_may_be_stale(monotonic()))
-            self.assertTrue(rig.state.snapshots.endpoints_may_be_stale(monotonic() + timedelta(seconds=2)))
+            rig.state.router_state.record_primary_confirmation(monotonic() - timedelta(seconds=1.5))
+            self.assertFalse(rig.state.router_state.endpoints_may_be_stale(monotonic()))
+            self.assertTrue(rig.state.router_state.endpoints_may_be_stale(monotonic() + timedelta(seconds=2)))
             # By then the router is disconnected and uses its last endpoint list.
-            self.assertFalse(rig.state.snapshots.endpoints_may_be_stale(monotonic() + timedelta(seconds=9)))
+            self.assertFalse(rig.state.router_state.endpoints_may_be_stale(monotonic() + timedelta(seconds=9)))
 
 
 if __name__ == "__main__":
--- a/tests/support/rollout_group.py
+++ b/tests/support/rollout_group.py
@@ -135,7 +135,7 @@
 
     def renew(self):
         versions = self.configuration.versions if self.configuration else {}
-        self.backends = self.backends.renew(self.group.endpoints(), lambda service: 1000, versions=versions)
+        self.backends = self.backends.updated(self.group.endpoints(), lambda service: 1000, versions=versions)
 
     async def request(self):
         """Sends one request, with a second attempt on the serving version if the first answer fails."""
@@ -150,7 +150,7 @@
 
     async def attempt(self, route, backend):
         """Makes one attempt; returns whether its answer was complete."""
-        runner, asked_at = self.group.runner(backend.id), monotonic()
+        runner, sent_at = self.group.runner(backend.id), monotonic()
         backend.open_calls += 1
         in_flight_before = runner.in_flight
         runner.in_flight += 1
@@ -166,10 +166,10 @@
         attempt = SimpleNamespace(
             backend=backend,
             in_flight_before=in_flight_before,
-            asked_at=asked_at,
-            first_chunk_at=asked_at + pace,
-            last_chunk_at=asked_at + pace * CHUNKS,
-            parts=0 if failed else CHUNKS,
+            sent_at=sent_at,
+            first_chunk_at=sent_at + pace,
+            last_chunk_at=sent_at + pace * CHUNKS,
+            chunks=0 if failed else CHUNKS,
         )
         route_kind = SimpleNamespace(name=route, kind="streaming")
         self.watcher.on_ended(attempt, route_kind, AttemptEnd.FAILED if failed else AttemptEnd.COMPLETE)
--- a/tests/support/router_fixture.py
+++ b/tests/support/router_fixture.py
@@ -92,7 +92,7 @@
         node.confirmed = True
         endpoints = [Endpoint(runner.id, "s", f"127.0.0.1:{runner.port}", "z1", 8, False, 0) for runner in self.runners]
         node.endpoint_list = EndpointList(endpoints, 1)
-        node.backends = BackendTable().renew(endpoints, lambda service: 10000)
+        node.backends = BackendTable().updated(endpoints, lambda service: 10000)
         node.prefixes_known.set()
         return node
 
