--- a/simulator/check/transitions.py
+++ b/simulator/check/transitions.py
@@ -195,7 +195,7 @@
         return False
     if len(view.holders) < world.scope.replicas + 1 or not adapter.settled(world.nodes[name].ledger):
         return False
-    decided = world.nodes[name].ledger.decided.version
+    decided = world.nodes[name].ledger.committed_data.version
     return all(world.holder(i).disk[1].version >= decided for i in view.holders if world.holder(i).disk)
 
 
--- a/simulator/net.py
+++ b/simulator/net.py
@@ -39,7 +39,7 @@
     def tick(self, n, life):
         """Moves a member on, and again every 50 ms while that life runs."""
         s = self.nodes[n]
-        if n in self.off or s.me.instance_id != life:
+        if n in self.off or s.local_peer.instance_id != life:
             return
         self.send(n, s.tick(self.now))
         self.at(50 * MS, lambda: self.tick(n, life))
--- a/simulator/pieces.py
+++ b/simulator/pieces.py
@@ -112,7 +112,7 @@
     def make():
         s = Swim(Peer("127.2.0.1:7301", ROUTER, "zone-1", "", 1, 0, 0), (), SwimTiming.of(CONTACT), random.Random(1))
         for i in range(1, n):
-            s._learn(Peer(f"127.2.{i // 250}.{i % 250 + 1}:7301", ROUTER, f"zone-{i % 5}", "", i, 0, 0))
+            s._merge(Peer(f"127.2.{i // 250}.{i % 250 + 1}:7301", ROUTER, f"zone-{i % 5}", "", i, 0, 0))
         return s
 
     s, now = make(), [timedelta(seconds=1)]
--- a/simulator/simulated_router.py
+++ b/simulator/simulated_router.py
@@ -91,7 +91,7 @@
 
     async def _call(self):
         ask = self._ask()
-        service = ask.route.split[0][0]
+        service = ask.route.weighted_services[0][0]
         self.calls += 1
         self.budget(service).on_request(monotonic())
         place = await self.queues.acquire(service, ask)
--- a/sparloom/configuration/rate_holders.py
+++ b/sparloom/configuration/rate_holders.py
@@ -21,7 +21,7 @@
     from collections.abc import Collection
 
 # Fraction of the rate that is never granted.
-SPARE = 1 / 8
+UNGRANTED_FRACTION = 1 / 8
 # Lease on the table, in multiples of the contact bound. It starts when the table is known to be the newest.
 LEASE_CONTACT_BOUNDS = 5
 # Window over which sent requests are counted against a rate per second: one second plus the variation of their
@@ -39,7 +39,7 @@
 def _quota_of_total(routers: Collection[str], router: str, total: int, salt: int) -> int:
     if router not in routers:
         return 0
-    each, remainder = divmod(int(total * (1 - SPARE)), len(routers))
+    each, remainder = divmod(int(total * (1 - UNGRANTED_FRACTION)), len(routers))
     if not remainder:
         return each
     salt_bytes = (salt & _SALT_MASK).to_bytes(_SALT_BYTES)
@@ -56,12 +56,12 @@
     routers
         The internal HOST:PORT of each router that has a share. An address belongs to one machine at a time, so a
         router that restarts there may continue to use the share.
-    before
+    previous_routers
         The routers of the previous table, which other routers may still use.
     """
 
     routers: frozenset[str] = frozenset()
-    before: frozenset[str] = frozenset()
+    previous_routers: frozenset[str] = frozenset()
 
     def quota(self, router: str, total: int, salt: int) -> int:
         """Return a router's share of a total, which is split into integers; the shares add up to at most 7/8 of it.
@@ -86,9 +86,9 @@
         0
         """
         quota = _quota_of_total(self.routers, router, total, salt)
-        if not quota or self.before == self.routers:
+        if not quota or self.previous_routers == self.routers:
             return quota
-        return min(quota, _quota_of_total(self.before, router, total, salt))
+        return min(quota, _quota_of_total(self.previous_routers, router, total, salt))
 
     @staticmethod
     def is_usable(age: timedelta, uptime: timedelta, contact_bound: timedelta) -> bool:
@@ -120,7 +120,7 @@
         >>> RateHolders.from_json(table.to_json()) == table
         True
         """
-        joined, left = self.routers - self.before, self.before - self.routers
+        joined, left = self.routers - self.previous_routers, self.previous_routers - self.routers
         return {"routers": sorted(self.routers), "joined": sorted(joined), "left": sorted(left)}
 
     @classmethod
--- a/sparloom/configuration/table.py
+++ b/sparloom/configuration/table.py
@@ -88,7 +88,7 @@
         Path prefix; begins and ends with a slash.
     kind
         ``safe``, ``unsafe`` or ``streaming``.
-    split
+    weighted_services
         (service, weight) of each service that serves the route.
     timeout
         Time limit from the arrival of a request to the end of its response.
@@ -112,7 +112,7 @@
     host: str
     prefix: str
     kind: str
-    split: tuple[tuple[str, float], ...]
+    weighted_services: tuple[tuple[str, float], ...]
     timeout: timedelta
     target: timedelta
     gap_target: timedelta
@@ -230,7 +230,7 @@
         host=item["hostname"].lower(),
         prefix=item["pathPrefix"],
         kind=item["routeKind"],
-        split=_parse_split(item),
+        weighted_services=_parse_split(item),
         timeout=timedelta(milliseconds=timeout),
         target=timedelta(milliseconds=target),
         gap_target=timedelta(milliseconds=item.get("gapTargetMs", target / 2)),
--- a/sparloom/consensus/leadership.py
+++ b/sparloom/consensus/leadership.py
@@ -90,7 +90,7 @@
     # Number of the first heartbeat after each read began, by the read's id as given by the caller.
     pending_reads: dict[int, int] = field(factory=dict)
     # The committed data, which every holder has on disk; None before the view is served.
-    decided: Data | None = None
+    committed_data: Data | None = None
     # Number of the first heartbeat after the last release request of each leaving member, by member id.
     release_requests: dict[int, int] = field(factory=dict)
     # Time since which a change of the roster or the backups is due, or None.
@@ -181,8 +181,8 @@
             return []
         self._shorten_copy_timeout(self.write_started_at)
         write, self.write = self.write, None
-        self.decided = self.consensus.data
-        return [Committed(write, self.decided)]
+        self.committed_data = self.consensus.data
+        return [Committed(write, self.committed_data)]
 
     def _shorten_copy_timeout(self, copied_since: timedelta) -> None:
         """Halves the copy timeout factor after a fast copy to all holders."""
@@ -203,8 +203,8 @@
     def _serve(self) -> list[Action]:
         consensus = self.consensus
         self.phase, self.started_at = Phase.SERVING, consensus.now
-        self.decided = consensus.data
-        actions = [Committed(0, self.decided), *self._heartbeat(at_once=True)]
+        self.committed_data = consensus.data
+        actions = [Committed(0, self.committed_data), *self._heartbeat(at_once=True)]
         if self.view.previous:
             # Earlier rosters are required up to this point: a candidate that did not know this view
             # could have won with a majority of one of them.
@@ -303,7 +303,7 @@
         heartbeat was sent, so no write of a later epoch can have been
         acknowledged before the read.
         """
-        if not self.serving or self.decided is None:
+        if not self.serving or self.committed_data is None:
             return []
         answered = sorted((self.acknowledged.get(member_id, 0) for member_id in self.view.ids), reverse=True)
         by_majority = answered[len(answered) // 2]
@@ -313,7 +313,7 @@
         confirmed = [read for read, sequence in self.pending_reads.items() if sequence <= self.confirmed_sequence]
         for read in confirmed:
             del self.pending_reads[read]
-        return [ReadConfirmed(read, self.decided) for read in confirmed]
+        return [ReadConfirmed(read, self.committed_data) for read in confirmed]
 
     # -- calls ------------------------------------------------------------------
     def begin_write(self, write: int, revision: int, blob: bytes) -> list[Action] | None:
--- a/sparloom/consensus/member_state.py
+++ b/sparloom/consensus/member_state.py
@@ -135,10 +135,10 @@
         return self.serving_leadership is not None
 
     @property
-    def decided(self) -> Data | None:
+    def committed_data(self) -> Data | None:
         """The committed data while this member is primary, else None."""
         leadership = self.serving_leadership
-        return leadership.decided if leadership else None
+        return leadership.committed_data if leadership else None
 
     def confirmation_age(self, now: timedelta) -> timedelta | None:
         """Returns the time since this member was last confirmed as primary, or None."""
--- a/sparloom/controller/change_requests.py
+++ b/sparloom/controller/change_requests.py
@@ -1,7 +1,7 @@
 """Parses the operators' changes and evaluates them against a committed state, without I/O.
 
 ``ChangeRequest`` is a change of the configuration, ``StateUpdate`` one of
-another part of the control state. ``Judgement`` is the result of an evaluation.
+another part of the control state. ``ChangeEvaluation`` is the result of an evaluation.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
         return isinstance(other, ChangeRequest) and self.fingerprint == other.fingerprint
 
 
-class Verdict(Enum):
+class ChangeVerdict(Enum):
     """The result of evaluating a change against one committed state."""
 
     NEW = "the change is valid and not committed yet"
@@ -80,12 +80,12 @@
 
 
 @define(frozen=True, slots=True)
-class Judgement:
+class ChangeEvaluation:
     """The evaluation of a change against a committed state.
 
     Attributes
     ----------
-    verdict : Verdict
+    verdict : ChangeVerdict
         The result.
     state : State or None
         The state to write, for a new change.
@@ -93,7 +93,7 @@
         The error message, for a rejected change.
     """
 
-    verdict: Verdict
+    verdict: ChangeVerdict
     state: State | None = None
     fault: str = ""
 
@@ -118,13 +118,13 @@
     """
 
     content: AnyUpdate
-    evaluate_content: Callable[[State, AnyUpdate], Judgement]
+    evaluate_content: Callable[[State, AnyUpdate], ChangeEvaluation]
 
     def is_retry_of(self, other: object) -> bool:
         """Whether this is a retry of the other update."""
         return isinstance(other, StateUpdate) and self.content.is_retry_of(other.content)
 
-    def judge(self, state: State) -> Judgement:
+    def evaluate(self, state: State) -> ChangeEvaluation:
         """Evaluates the update against a committed state."""
         return self.evaluate_content(state, self.content)
 
@@ -180,7 +180,7 @@
     return edited
 
 
-def judge(state: State, request: ChangeRequest, router_count: int = 0) -> Judgement:
+def evaluate(state: State, request: ChangeRequest, router_count: int = 0) -> ChangeEvaluation:
     """Evaluates a change against a committed state.
 
     Parameters
@@ -189,22 +189,22 @@
         The number of routers known now; it is stored with the configuration.
 
     >>> request = parse_change_request("PUT", "0", b'{"revision": 3}').unwrap()
-    >>> first = judge(State({}), request)
-    >>> first.verdict.name, judge(first.state, request).verdict.name
+    >>> first = evaluate(State({}), request)
+    >>> first.verdict.name, evaluate(first.state, request).verdict.name
     ('NEW', 'ALREADY_COMMITTED')
-    >>> judge(first.state, parse_change_request("PUT", "0", b'{"revision": 4}').unwrap()).verdict.name
+    >>> evaluate(first.state, parse_change_request("PUT", "0", b'{"revision": 4}').unwrap()).verdict.name
     'STALE'
     """
     if _was_committed(state, request):
-        return Judgement(Verdict.ALREADY_COMMITTED)
+        return ChangeEvaluation(ChangeVerdict.ALREADY_COMMITTED)
     if state.history.may_have_dropped(request.revision, request.base):
-        return Judgement(Verdict.POSSIBLY_COMMITTED)
+        return ChangeEvaluation(ChangeVerdict.POSSIBLY_COMMITTED)
     if request.base != state.revision:
-        return Judgement(Verdict.STALE)
+        return ChangeEvaluation(ChangeVerdict.STALE)
     if request.revision <= state.revision:
         fault = f"revision {request.revision} is not above the current {state.revision}"
-        return Judgement(Verdict.INVALID, fault=fault)
+        return ChangeEvaluation(ChangeVerdict.INVALID, fault=fault)
     created = _changed_configuration(state, request)
     if not is_successful(created):
-        return Judgement(Verdict.INVALID, fault=created.failure())
-    return Judgement(Verdict.NEW, state.then(created.unwrap(), request.fingerprint, router_count))
+        return ChangeEvaluation(ChangeVerdict.INVALID, fault=created.failure())
+    return ChangeEvaluation(ChangeVerdict.NEW, state.with_change(created.unwrap(), request.fingerprint, router_count))
--- a/sparloom/controller/configuration_writer.py
+++ b/sparloom/controller/configuration_writer.py
@@ -21,7 +21,7 @@
 from sparloom.membership import ROUTER
 from sparloom.transport import monotonic
 
-from .change_requests import ChangeRequest, StateUpdate, Verdict, judge
+from .change_requests import ChangeRequest, ChangeVerdict, StateUpdate, evaluate
 from .control_state import State
 from .evacuation_orders import EvacuationOrder, evaluate_evacuation
 from .offload import is_large, run_offloaded
@@ -31,7 +31,7 @@
 
     from sparloom.consensus import Data
 
-    from .change_requests import Judgement
+    from .change_requests import ChangeEvaluation
     from .consensus_service import ConsensusService
     from .control_state import ConfigurationDict
     from .feed_server import FeedServer
@@ -227,7 +227,7 @@
         return max(committed, self._visible_routers())
 
     # -- reading --------------------------------------------------------------------
-    async def confirmed(self, deadline: Deadline) -> Snapshot | None:
+    async def read_confirmed(self, deadline: Deadline) -> Snapshot | None:
         """Returns committed state that a majority confirmed during this call, or None."""
         if not self.consensus.member.leading():
             return None
@@ -264,7 +264,7 @@
                 if request.is_retry_of(pending.request):
                     return Acknowledged(pending.state.revision) if committed else OutcomeUnknown()
                 continue
-            snapshot = await self.confirmed(deadline)
+            snapshot = await self.read_confirmed(deadline)
             if snapshot is None:
                 return NotConfirmed()
             # Another write may have started or ended during the confirmation.
@@ -282,38 +282,38 @@
         done, _ = await asyncio.wait({task}, timeout=deadline.remaining().total_seconds())
         return bool(done) and not task.cancelled() and task.result()
 
-    async def _evaluate(self, request: AnyChange, state: State) -> Judgement:
+    async def _evaluate(self, request: AnyChange, state: State) -> ChangeEvaluation:
         if isinstance(request, EvacuationOrder):
             return evaluate_evacuation(state, request)
         if isinstance(request, StateUpdate):
-            return request.judge(state)
+            return request.evaluate(state)
         is_slow = is_large(state.configuration) or is_large(request.change)
-        return await run_offloaded(is_slow, judge, state, request, self._visible_routers())
+        return await run_offloaded(is_slow, evaluate, state, request, self._visible_routers())
 
     async def _resolve_or_write(self, request: AnyChange, snapshot: Snapshot) -> ChangeOutcome | None:
         """Returns the outcome of a change that needs no write; otherwise starts its write and returns None.
 
         Also returns None, without a write, if the state has changed or another write has started meanwhile.
         """
-        judgement = await self._evaluate(request, snapshot.state)
-        if judgement.verdict is Verdict.ALREADY_COMMITTED:
+        evaluation = await self._evaluate(request, snapshot.state)
+        if evaluation.verdict is ChangeVerdict.ALREADY_COMMITTED:
             return Acknowledged(request.revision if isinstance(request, ChangeRequest) else snapshot.state.revision)
-        if judgement.verdict is Verdict.POSSIBLY_COMMITTED:
+        if evaluation.verdict is ChangeVerdict.POSSIBLY_COMMITTED:
             return OutcomeUnknown()
-        if judgement.verdict is Verdict.STALE:
+        if evaluation.verdict is ChangeVerdict.STALE:
             return Stale(snapshot.state.revision)
-        if judgement.verdict is Verdict.CONFLICT:
-            return Conflict(judgement.fault)
-        if judgement.verdict is Verdict.UNKNOWN_NAME:
-            return UnknownName(judgement.fault)
-        if judgement.state is None:
-            return Invalid(judgement.fault)
-        blob = await run_offloaded(is_large(judgement.state.configuration), judgement.state.pack)
+        if evaluation.verdict is ChangeVerdict.CONFLICT:
+            return Conflict(evaluation.fault)
+        if evaluation.verdict is ChangeVerdict.UNKNOWN_NAME:
+            return UnknownName(evaluation.fault)
+        if evaluation.state is None:
+            return Invalid(evaluation.fault)
+        blob = await run_offloaded(is_large(evaluation.state.configuration), evaluation.state.pack)
         # The event loop kept running while worker threads evaluated and packed the change.
         if self.pending is None and self._is_newest(snapshot):
-            write = self._write(request, snapshot, judgement.state, blob)
+            write = self._write(request, snapshot, evaluation.state, blob)
             task = asyncio.get_running_loop().create_task(write)
-            self.pending = PendingWrite(request, blob, judgement.state, task)
+            self.pending = PendingWrite(request, blob, evaluation.state, task)
         return None
 
     async def _write(self, request: AnyChange, snapshot: Snapshot, state: State, blob: bytes) -> bool:
--- a/sparloom/controller/control_api.py
+++ b/sparloom/controller/control_api.py
@@ -264,7 +264,7 @@
     # -- the configuration ------------------------------------------------------
     async def get(self, request: web.BaseRequest) -> web.Response:
         """Handles GET: returns the newest configuration."""
-        snapshot = await self.writer.confirmed(Deadline.after_body(0))
+        snapshot = await self.writer.read_confirmed(Deadline.after_body(0))
         if snapshot is None:
             return self.redirect()
         configuration = snapshot.state.configuration
@@ -289,7 +289,7 @@
     # -- evacuations --------------------------------------------------------------
     async def evacuations(self, request: web.BaseRequest) -> web.Response:
         """Handles GET: lists the evacuated zones."""
-        snapshot = await self.writer.confirmed(Deadline.after_body(0))
+        snapshot = await self.writer.read_confirmed(Deadline.after_body(0))
         if snapshot is None:
             return self.redirect(EVACUATIONS_PATH)
         return reply(HTTPStatus.OK, {"zones": sorted(snapshot.state.evacuated)})
@@ -351,7 +351,7 @@
         """Handles GET: describes the newest roll-out of a service."""
         from .rollout_api import NO_ROLLOUT, ROLLOUT_PREFIX, describe_rollout, newest_rollout
 
-        snapshot = await self.writer.confirmed(Deadline.after_body(0))
+        snapshot = await self.writer.read_confirmed(Deadline.after_body(0))
         if snapshot is None:
             return self.redirect(request.raw_path)
         rollout = newest_rollout(snapshot.state, request.path.removeprefix(ROLLOUT_PREFIX))
--- a/sparloom/controller/control_state.py
+++ b/sparloom/controller/control_state.py
@@ -193,10 +193,10 @@
         revision: int = self.configuration.get("revision", 0)
         return revision
 
-    def then(self, configuration: ConfigurationDict, change_fingerprint: bytes, router_count: int = 0) -> State:
+    def with_change(self, configuration: ConfigurationDict, change_fingerprint: bytes, router_count: int = 0) -> State:
         """The state after a change of the configuration with that fingerprint.
 
-        >>> State({}).then({"revision": 2}, b"m" * 12).history.fingerprint_of(2)
+        >>> State({}).with_change({"revision": 2}, b"m" * 12).history.fingerprint_of(2)
         b'mmmmmmmmmmmm'
         """
         history = self.history.add(configuration["revision"], change_fingerprint)
--- a/sparloom/controller/duty_service.py
+++ b/sparloom/controller/duty_service.py
@@ -140,7 +140,7 @@
     @property
     def enabled(self) -> bool:
         """Return whether the platform expects any duty."""
-        return self.settings.cloud is not None and self.settings.duties.expected
+        return self.settings.cloud_api is not None and self.settings.duties.expected
 
     async def on_stop(self) -> None:
         """Close the connections to the platform."""
--- a/sparloom/controller/duty_updates.py
+++ b/sparloom/controller/duty_updates.py
@@ -6,7 +6,7 @@
 
 from sparloom.duties import DutyState
 
-from .change_requests import Judgement, Verdict
+from .change_requests import ChangeEvaluation, ChangeVerdict
 
 if TYPE_CHECKING:
     from sparloom.duties import DutyUpdate
@@ -14,7 +14,7 @@
     from .control_state import State
 
 
-def evaluate_duty_update(state: State, update: DutyUpdate) -> Judgement:
+def evaluate_duty_update(state: State, update: DutyUpdate) -> ChangeEvaluation:
     """Return the verdict on an update of the duties based on a committed state, and the new state if there is one.
 
     >>> from sparloom.duties import DutyUpdate
@@ -27,7 +27,7 @@
     current = state.duties or DutyState()
     duties = update.apply(current)
     if duties is None:
-        return Judgement(Verdict.STALE)
+        return ChangeEvaluation(ChangeVerdict.STALE)
     if duties == current:
-        return Judgement(Verdict.ALREADY_COMMITTED)
-    return Judgement(Verdict.NEW, state.with_duties(duties))
+        return ChangeEvaluation(ChangeVerdict.ALREADY_COMMITTED)
+    return ChangeEvaluation(ChangeVerdict.NEW, state.with_duties(duties))
--- a/sparloom/controller/endpoint_poller.py
+++ b/sparloom/controller/endpoint_poller.py
@@ -58,7 +58,7 @@
 
     Attributes
     ----------
-    last : EndpointList or None
+    last_published : EndpointList or None
         The last list published in this epoch.
     epoch : int
         The epoch of the current pages.
@@ -89,7 +89,7 @@
         self.assign_pools = assign_pools
         self.versions: dict[str, set[str]] = {}
         self.settings, self.consensus, self.feed_server, self.fleet_size = settings, consensus, feed_server, fleet_size
-        self.last: EndpointList | None = None
+        self.last_published: EndpointList | None = None
         self.epoch, self.number = 0, 0
         self.pages = PageAssembler()
         self.session: aiohttp.ClientSession | None = None
@@ -107,7 +107,7 @@
 
     @Service.task
     async def _poll(self) -> None:
-        platform = self.settings.cloud
+        platform = self.settings.cloud_api
         if platform is None:
             return
         schedule = PollSchedule.of(platform.rate, self.settings.bounds.drain)
@@ -133,9 +133,15 @@
         List numbers continue within an epoch and restart with the next epoch.
         """
         if epoch is None:
-            self.last, self.pages, self.versions = None, PageAssembler(), {}
+            self.last_published, self.pages, self.versions = None, PageAssembler(), {}
         elif epoch != self.epoch:
-            self.epoch, self.number, self.last, self.pages, self.versions = epoch, 0, None, PageAssembler(), {}
+            self.epoch, self.number, self.last_published, self.pages, self.versions = (
+                epoch,
+                0,
+                None,
+                PageAssembler(),
+                {},
+            )
 
     async def poll_page(self, platform: CloudApi, epoch: int) -> PollOutcome:
         """Requests one page and publishes the list after the last page."""
@@ -184,8 +190,8 @@
         if complete is None:
             return True
         endpoint_list = EndpointList(self._prepare_runners(complete.runners), self.fleet_size())
-        if endpoint_list.differs_from(self.last):
-            self.last, self.number = endpoint_list, self.number + 1
+        if endpoint_list.differs_from(self.last_published):
+            self.last_published, self.number = endpoint_list, self.number + 1
             draining = [endpoint.id for endpoint in endpoint_list.runners if endpoint.draining]
             logging.info("platform: list published version=%d.%d draining=%s", *self.last_version, ",".join(draining))
             self.feed_server.publish(ENDPOINTS, self.last_version, endpoint_list)
--- a/sparloom/controller/evacuation_orders.py
+++ b/sparloom/controller/evacuation_orders.py
@@ -11,7 +11,7 @@
 
 from attrs import define
 
-from .change_requests import Judgement, Verdict
+from .change_requests import ChangeEvaluation, ChangeVerdict
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -63,7 +63,7 @@
     return f"the zone {zone} is unknown" if known and zone not in known else None
 
 
-def evaluate_evacuation(state: State, order: EvacuationOrder) -> Judgement:
+def evaluate_evacuation(state: State, order: EvacuationOrder) -> ChangeEvaluation:
     """Evaluates an order against a committed state.
 
     >>> from .control_state import State
@@ -72,5 +72,7 @@
     ('NEW', 'ALREADY_COMMITTED')
     """
     if (order.zone in state.evacuated) is order.evacuate:
-        return Judgement(Verdict.ALREADY_COMMITTED)
-    return Judgement(Verdict.NEW, state.evacuate(order.zone) if order.evacuate else state.restore(order.zone))
+        return ChangeEvaluation(ChangeVerdict.ALREADY_COMMITTED)
+    return ChangeEvaluation(
+        ChangeVerdict.NEW, state.evacuate(order.zone) if order.evacuate else state.restore(order.zone)
+    )
--- a/sparloom/controller/job_service.py
+++ b/sparloom/controller/job_service.py
@@ -324,7 +324,7 @@
     @Service.task
     async def _list_runners(self) -> None:
         """Read the platform's list of runners while this member is the job primary."""
-        platform = self.settings.cloud
+        platform = self.settings.cloud_api
         if platform is None:
             return
         async with open_session(Connector(), timeout=aiohttp.ClientTimeout(total=LIST_TIMEOUT_S)) as session:
--- a/sparloom/controller/platform_calls.py
+++ b/sparloom/controller/platform_calls.py
@@ -89,7 +89,7 @@
         return await self._post(SCALE_PATH, order.fence, body)
 
     async def _post(self, path: str, fence: int, body: dict[str, Any]) -> CallResult:
-        platform = self._settings.cloud
+        platform = self._settings.cloud_api
         if platform is None:
             return CallResult.REFUSED
         if self._session is None:
--- a/sparloom/controller/program.py
+++ b/sparloom/controller/program.py
@@ -107,16 +107,16 @@
 
     def _assign_pools(self, runners: list[Endpoint]) -> list[Endpoint]:
         """Assigns the runners of a list to pools according to the newest committed state."""
-        from .rollout_updates import in_pools
+        from .rollout_updates import assign_pools
 
         committed = self.control_api.writer.committed
-        return in_pools(committed.state.rollouts if committed is not None else None, runners)
+        return assign_pools(committed.state.rollouts if committed is not None else None, runners)
 
     def _scaled_services(self) -> list[ScaledService]:
         """The services that are scaled, according to the newest configuration and endpoint list."""
         from .scaled_services import scaled_services
 
-        committed, listed = self.control_api.writer.committed, self.poller.last
+        committed, listed = self.control_api.writer.committed, self.poller.last_published
         if committed is None or listed is None:
             return []
         services = committed.state.configuration.get("services", [])
--- a/sparloom/controller/rate_planner.py
+++ b/sparloom/controller/rate_planner.py
@@ -21,7 +21,7 @@
 
 from sparloom.configuration.rate_holders import LEASE_CONTACT_BOUNDS, RATE_WINDOW, RateHolders
 
-from .change_requests import Judgement, Verdict
+from .change_requests import ChangeEvaluation, ChangeVerdict
 
 if TYPE_CHECKING:
     from .control_state import State
@@ -48,7 +48,7 @@
         return self == other
 
 
-def evaluate_rate_update(state: State, update: RateUpdate) -> Judgement:
+def evaluate_rate_update(state: State, update: RateUpdate) -> ChangeEvaluation:
     """Evaluates an update against a committed state.
 
     >>> from .control_state import State
@@ -60,10 +60,10 @@
     """
     current = state.rate_holders or RateHolders()
     if current == update.after:
-        return Judgement(Verdict.ALREADY_COMMITTED)
+        return ChangeEvaluation(ChangeVerdict.ALREADY_COMMITTED)
     if current != update.before:
-        return Judgement(Verdict.STALE)
-    return Judgement(Verdict.NEW, state.with_rate_holders(update.after))
+        return ChangeEvaluation(ChangeVerdict.STALE)
+    return ChangeEvaluation(ChangeVerdict.NEW, state.with_rate_holders(update.after))
 
 
 @define(slots=True, eq=False)
--- a/sparloom/controller/rate_service.py
+++ b/sparloom/controller/rate_service.py
@@ -76,4 +76,4 @@
         update = StateUpdate(RateUpdate(table, after), evaluate_rate_update)
         outcome = await self.writer.change(update, Deadline.after_body(0))
         if isinstance(outcome, Acknowledged):
-            logging.info("rates: table committed routers=%d before=%d", len(after.routers), len(after.before))
+            logging.info("rates: table committed routers=%d before=%d", len(after.routers), len(after.previous_routers))
--- a/sparloom/controller/rollout_service.py
+++ b/sparloom/controller/rollout_service.py
@@ -245,7 +245,7 @@
         collector.vote_ttl = max(VOTE_TTL, report_interval(len(routers)) * VOTE_TTL_INTERVALS)
         watchers = {key for key in routers if is_watcher(rollout.number, key[0], len(routers))}
         target = pool_of(state, rollout.service, rollout.target)
-        listed = self.poller.last.runners if self.poller.last is not None else []
+        listed = self.poller.last_published.runners if self.poller.last_published is not None else []
         runners = [runner for runner in listed if runner.service == target and not runner.draining]
         votes = collector.votes()
         sent = sum(vote.sent for vote in votes)
--- a/sparloom/controller/rollout_updates.py
+++ b/sparloom/controller/rollout_updates.py
@@ -9,7 +9,7 @@
 from sparloom.rollouts import RolloutsState
 from sparloom.rollouts.updates import OrderRollout, Refusal
 
-from .change_requests import Judgement, Verdict
+from .change_requests import ChangeEvaluation, ChangeVerdict
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -20,7 +20,7 @@
     from .control_state import State
 
 
-def evaluate_rollout_update(state: State, update: RolloutUpdate) -> Judgement:
+def evaluate_rollout_update(state: State, update: RolloutUpdate) -> ChangeEvaluation:
     """Return the verdict on an update against a committed state.
 
     >>> from .control_state import State
@@ -35,17 +35,17 @@
     """
     if isinstance(update, OrderRollout) and not state.revision:
         # Before the first configuration the set of services is unknown.
-        return Judgement(Verdict.POSSIBLY_COMMITTED)
+        return ChangeEvaluation(ChangeVerdict.POSSIBLY_COMMITTED)
     if isinstance(update, OrderRollout) and not _is_configured(state, update.service):
-        return Judgement(Verdict.UNKNOWN_NAME, fault=f"the configuration has no service {update.service}")
+        return ChangeEvaluation(ChangeVerdict.UNKNOWN_NAME, fault=f"the configuration has no service {update.service}")
     before = state.rollouts or RolloutsState()
     after = update.apply(before)
     if isinstance(after, Refusal):
-        verdict = Verdict.CONFLICT if after.conflicting_rollout else Verdict.STALE
-        return Judgement(verdict, fault=after.text)
+        verdict = ChangeVerdict.CONFLICT if after.conflicting_rollout else ChangeVerdict.STALE
+        return ChangeEvaluation(verdict, fault=after.text)
     if after == before:
-        return Judgement(Verdict.ALREADY_COMMITTED)
-    return Judgement(Verdict.NEW, state.with_rollouts(after))
+        return ChangeEvaluation(ChangeVerdict.ALREADY_COMMITTED)
+    return ChangeEvaluation(ChangeVerdict.NEW, state.with_rollouts(after))
 
 
 def _is_configured(state: State, service: str) -> bool:
@@ -61,7 +61,7 @@
     return service if state.uses_default_pool(service, version) else pool_name(service, version)
 
 
-def in_pools(state: RolloutsState | None, runners: Iterable[Endpoint]) -> list[Endpoint]:
+def assign_pools(state: RolloutsState | None, runners: Iterable[Endpoint]) -> list[Endpoint]:
     """Return runners that are listed by version, each assigned to its pool.
 
     ``state`` is None until the versions are known; each runner is then in the pool of its service's name.
@@ -69,8 +69,8 @@
     >>> from sparloom.discovery import Endpoint
     >>> state = RolloutsState().record_first_versions({"s": ("v1",)})
     >>> listed = [Endpoint(version, pool_name("s", version), "h:1", "z", 8, False, 0) for version in ("v1", "v2")]
-    >>> [runner.service for runner in in_pools(state, listed)], [runner.service for runner in in_pools(None, listed)]
-    (['s', 's\\x1fv2'], ['s', 's'])
+    >>> [[runner.service for runner in assign_pools(rollouts, listed)] for rollouts in (state, None)]
+    [['s', 's\\x1fv2'], ['s', 's']]
     """
     rollouts = state or RolloutsState()
     return [
--- a/sparloom/membership/records.py
+++ b/sparloom/membership/records.py
@@ -66,10 +66,11 @@
         new_incarnation = self.incarnation if incarnation is None else incarnation
         return Peer(self.key, self.role, self.zone, self.control, self.instance_id, new_incarnation, state)
 
-    def mark(self) -> int:
+    def state_hash(self) -> int:
         """A 64-bit hash of this record, 0 for a dead process; the XOR of all hashes is the digest of a table.
 
-        >>> Peer("a:1", ROUTER, "", "", 1, 2, DEAD).mark(), Peer("a:1", ROUTER, "", "", 1, 2, ALIVE).mark() > 0
+        >>> dead, alive = (Peer("a:1", ROUTER, "", "", 1, 2, state) for state in (DEAD, ALIVE))
+        >>> dead.state_hash(), alive.state_hash() > 0
         (0, True)
         """
         if self.state == DEAD:
--- a/sparloom/membership/swim.py
+++ b/sparloom/membership/swim.py
@@ -89,7 +89,7 @@
     """One member's view of the group.
 
     Attributes:
-        me: This process.
+        local_peer: This process.
         seeds: Internal HOST:PORT addresses to join through.
         timing: The protocol's intervals and time-outs.
         rng: The source of every random choice; seeded tests rely on the order of the draws.
@@ -102,7 +102,7 @@
         digest_differs: Whether the digest of the last message differed from this one.
     """
 
-    me: Peer
+    local_peer: Peer
     seeds: tuple[str, ...]
     timing: SwimTiming
     rng: Random
@@ -125,10 +125,10 @@
     _alive_by_role: dict[int, int] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        self.digest = self.me.mark()
+        self.digest = self.local_peer.state_hash()
         # Sequence numbers start at a random value: a late answer to a probe of an earlier instance at this
         # address must not match a probe of this instance.
-        self.sequence = self.me.instance_id % INITIAL_SEQUENCE_LIMIT
+        self.sequence = self.local_peer.instance_id % INITIAL_SEQUENCE_LIMIT
 
     # -- queries --------------------------------------------------------------
     def alive(self) -> tuple[Peer, ...]:
@@ -195,18 +195,18 @@
 
     def _in_partition(self, partition: int, partitions: int) -> list[Peer]:
         """The members considered alive, this process included, whose keys hash to a partition."""
-        return [peer for peer in (self.me, *self.alive()) if crc32(peer.key.encode()) % partitions == partition]
+        return [peer for peer in (self.local_peer, *self.alive()) if crc32(peer.key.encode()) % partitions == partition]
 
     def _comparison(self) -> TableComparison:
         """The state hashes of a random partition, from which a peer finds the entries that this process lacks."""
         partitions = ceil((len(self.table) + 1) / STATE_HASHES_PER_DATAGRAM)
         partition = self.rng.randrange(partitions)
-        state_hashes = [peer.mark() & STATE_HASH_MASK for peer in self._in_partition(partition, partitions)]
-        return TableComparison(self.me, self.digest, partition, partitions, state_hashes)
+        state_hashes = [peer.state_hash() & STATE_HASH_MASK for peer in self._in_partition(partition, partitions)]
+        return TableComparison(self.local_peer, self.digest, partition, partitions, state_hashes)
 
     # -- merging -----------------------------------------------------------------
-    def _learn(self, peer: Peer) -> None:
-        if peer.key == self.me.key:
+    def _merge(self, peer: Peer) -> None:
+        if peer.key == self.local_peer.key:
             self._refute(peer)
             return
         entry = self.table.get(peer.key)
@@ -218,15 +218,15 @@
 
     def _refute(self, peer: Peer) -> None:
         """Increments the incarnation to refute a suspicion of this process or a record of an earlier instance."""
-        is_false = peer.instance_id != self.me.instance_id or peer.state != ALIVE
-        if is_false and peer.incarnation >= self.me.incarnation:
-            self.digest ^= self.me.mark()
-            self.me = self.me.with_state(self.me.state, peer.incarnation + 1)
-            self.digest ^= self.me.mark()
+        is_false = peer.instance_id != self.local_peer.instance_id or peer.state != ALIVE
+        if is_false and peer.incarnation >= self.local_peer.incarnation:
+            self.digest ^= self.local_peer.state_hash()
+            self.local_peer = self.local_peer.with_state(self.local_peer.state, peer.incarnation + 1)
+            self.digest ^= self.local_peer.state_hash()
 
     def _store(self, peer: Peer, old: Peer | None) -> None:
         """Stores a record in place of the old one, if any."""
-        self.digest ^= peer.mark() ^ (old.mark() if old else 0)
+        self.digest ^= peer.state_hash() ^ (old.state_hash() if old else 0)
         entry = self.table[peer.key] = self.outgoing[peer.key] = TableEntry(peer, self.now)
         if peer.state == ALIVE:
             self.pending.pop(peer.key, None)
@@ -271,7 +271,7 @@
                 continue
             if self.now - probe.sent_at >= self.timing.period:
                 if entry.peer.state == ALIVE and probe.indirect:
-                    self._learn(entry.peer.with_state(SUSPECT))
+                    self._merge(entry.peer.with_state(SUSPECT))
                     out.append(self._notify_suspect(self.table[probe.key].peer))
                 continue
             if not probe.indirect and self.now - probe.sent_at >= self.timing.ack_timeout:
@@ -284,11 +284,11 @@
     def _request_probes(self, probe: Probe) -> list[Send]:
         others = [peer.key for peer in self.alive() if peer.key != probe.key]
         helpers = self.rng.sample(others, min(INDIRECT_PROBES, len(others)))
-        return [Send(key, PingRequest(probe.sequence, self.me, probe.key, [])) for key in helpers]
+        return [Send(key, PingRequest(probe.sequence, self.local_peer, probe.key, [])) for key in helpers]
 
     def _notify_suspect(self, peer: Peer) -> Send:
         """A datagram that notifies a member of its suspicion, so that it can refute it at once."""
-        return Send(peer.key, Ping(UNTRACKED, self.me, self.digest, [peer]))
+        return Send(peer.key, Ping(UNTRACKED, self.local_peer, self.digest, [peer]))
 
     def _expire_pending(self) -> list[Send]:
         """Declares overdue suspects dead and removes dead members after the retention time.
@@ -303,7 +303,7 @@
                 if age >= timing.dead_retention:
                     self._remove(entry.peer.key)
             elif age >= timing.suspicion_timeout:
-                self._learn(entry.peer.with_state(DEAD))
+                self._merge(entry.peer.with_state(DEAD))
             elif not entry.notified and age >= timing.suspicion_timeout - timing.ack_timeout:
                 entry.notified = True
                 out.append(self._notify_suspect(entry.peer))
@@ -327,17 +327,17 @@
         if key:
             self.sequence += 1
             self.probes.append(Probe(key, self.sequence, self.now))
-            out.append(Send(key, Ping(self.sequence, self.me, self.digest, self._updates())))
+            out.append(Send(key, Ping(self.sequence, self.local_peer, self.digest, self._updates())))
         if not key or self.periods % RECONNECT_PERIODS == 0:
             unreachable = self._unreachable_keys()
             targets = unreachable if not key else self.rng.sample(unreachable, min(RECONNECT_PROBES, len(unreachable)))
-            out += [Send(target, Ping(UNTRACKED, self.me, self.digest, self._updates())) for target in targets]
+            out += [Send(target, Ping(UNTRACKED, self.local_peer, self.digest, self._updates())) for target in targets]
         return out
 
     def _unreachable_keys(self) -> list[str]:
         """Unknown seeds and dead members; they are probed because a network partition may have ended."""
         known = {peer.key for peer in self.alive()}
-        seeds = [seed for seed in self.seeds if seed != self.me.key and seed not in known]
+        seeds = [seed for seed in self.seeds if seed != self.local_peer.key and seed not in known]
         return seeds + [key for key, entry in self.pending.items() if entry.peer.state == DEAD]
 
     def _next_key(self) -> str | None:
@@ -366,7 +366,7 @@
         joins = entry is None or entry.peer.state != ALIVE or entry.peer.instance_id != message.peer.instance_id
         outdated = [entry.peer] if entry is not None and joins else []
         for peer in (message.peer, *message.updates):
-            self._learn(peer)
+            self._merge(peer)
         self.digest_differs = message.digest not in (0, self.digest)
         return self._handle(message, source, joins, outdated)
 
@@ -385,7 +385,7 @@
     @_handle.register(Ping)
     def _on_ping(self, message: Ping, source: str, joins: bool, outdated: list[Peer]) -> list[Send]:
         updates = outdated + self._table_sample() if joins else self._updates()
-        return [Send(source, Ack(message.sequence, self.me, self.digest, updates))]
+        return [Send(source, Ack(message.sequence, self.local_peer, self.digest, updates))]
 
     @_handle.register(Ack)
     def _on_ack(self, message: Ack, source: str, joins: bool, outdated: list[Peer]) -> list[Send]:
@@ -400,17 +400,17 @@
     def _on_comparison(self, message: TableComparison, source: str, joins: bool, outdated: list[Peer]) -> list[Send]:
         theirs = set(message.state_hashes)
         partition = self._in_partition(message.partition, max(1, message.partitions))
-        missing = [peer for peer in partition if peer.mark() & STATE_HASH_MASK not in theirs]
+        missing = [peer for peer in partition if peer.state_hash() & STATE_HASH_MASK not in theirs]
         if not missing:
             return []
         updates = self.rng.sample(missing, min(UPDATES_PER_DATAGRAM, len(missing)))
-        return [Send(source, Ack(UNTRACKED, self.me, 0, updates))]
+        return [Send(source, Ack(UNTRACKED, self.local_peer, 0, updates))]
 
     @_handle.register(PingRequest)
     def _on_ping_request(self, message: PingRequest, source: str, joins: bool, outdated: list[Peer]) -> list[Send]:
         self.sequence += 1
         self.indirect_probes[message.target, self.sequence] = IndirectProbe(source, message.sequence, self.now)
-        return [Send(message.target, Ping(self.sequence, self.me, self.digest, self._updates()))]
+        return [Send(message.target, Ping(self.sequence, self.local_peer, self.digest, self._updates()))]
 
     def leave(self) -> list[Send]:
         """The datagrams that notify every member that this process leaves (graceful shutdown).
@@ -418,5 +418,5 @@
         >>> Swim(Peer("a:1", 0, "", "", 1, 0, 0), (), SwimTiming.of(timedelta(seconds=3)), None).leave()
         []
         """
-        departed = self.me.with_state(DEAD, self.me.incarnation + 1)
+        departed = self.local_peer.with_state(DEAD, self.local_peer.incarnation + 1)
         return [Send(peer.key, Ack(UNTRACKED, departed, 0, [])) for peer in self.alive()]
--- a/sparloom/router/backend_choice.py
+++ b/sparloom/router/backend_choice.py
@@ -43,7 +43,7 @@
 
 def choose_service(request: Request, random: Random) -> str:
     """Draw one of the route's services by weight; a route with a single service needs no random draw."""
-    split = request.route.split
+    split = request.route.weighted_services
     if len(split) == 1:
         return split[0][0]
     remaining = random.random() * sum(weight for _, weight in split)
--- a/sparloom/router/backends.py
+++ b/sparloom/router/backends.py
@@ -45,10 +45,10 @@
 MINIMUM_IDLE_TIMEOUT_S = 0.05
 
 
-def number(id: str) -> int:
+def backend_number(id: str) -> int:
     """Return the number that identifies a runner in the gossip: a 64-bit hash of its id.
 
-    >>> 0 <= number("i-1") < 1 << 64
+    >>> 0 <= backend_number("i-1") < 1 << 64
     True
     """
     return int.from_bytes(blake2b(id.encode(), digest_size=8).digest())
@@ -256,7 +256,7 @@
         endpoint.slots,
         endpoint.draining,
         bool(endpoint.cold),
-        number(endpoint.id),
+        backend_number(endpoint.id),
         CachedPrefixes(cache_tokens),
     )
 
--- a/sparloom/router/job_requests.py
+++ b/sparloom/router/job_requests.py
@@ -96,7 +96,7 @@
 
     @staticmethod
     def _call(action: JobAction, job: int, route: Route, configuration: Configuration, body: bytes) -> JobCall:
-        service, _ = max(route.split, key=lambda part: part[1])
+        service, _ = max(route.weighted_services, key=lambda part: part[1])
         policy = QueuePolicy(configuration.revision, service, route.priority, route.max_attempts)
         return JobCall(0, action, job, f"{route.host} {route.prefix}", policy, body)
 
--- a/sparloom/settings/checks.py
+++ b/sparloom/settings/checks.py
@@ -284,7 +284,7 @@
 
 def _parse_settings(table: Table) -> Settings:
     ports = _parse_ports(table)
-    cloud = _parse_cloud_api(table)
+    cloud_api = _parse_cloud_api(table)
     members = _parse_members(table)
     return Settings(
         node=_required(table, "nodeName", str),
@@ -301,7 +301,7 @@
         limits=_parse_limits(table),
         tolerated=_parse_tolerated_losses(table),
         bounds=_parse_bounds(table),
-        cloud=cloud,
+        cloud_api=cloud_api,
         members=members,
         isolation=_parse_isolation(table, members),
         deployment=_get(table, "deployment", str, MODEL_DEPLOYMENT),
--- a/sparloom/settings/model.py
+++ b/sparloom/settings/model.py
@@ -306,7 +306,7 @@
         Directory for persistent data.
     limits, tolerated, bounds
         See their classes.
-    cloud
+    cloud_api
         The platform's runner list; None if there is none.
     members
         Members declared for admission, each with a reserve of the capacity.
@@ -336,7 +336,7 @@
     limits: Limits = field(factory=Limits)
     tolerated: ToleratedLosses = field(factory=ToleratedLosses)
     bounds: Bounds = field(factory=Bounds)
-    cloud: CloudApi | None = None
+    cloud_api: CloudApi | None = None
     members: tuple[Member, ...] = ()
     isolation: Isolation | None = None
     deployment: str = MODEL_DEPLOYMENT
--- a/tests/consensus/test_core_sizes.py
+++ b/tests/consensus/test_core_sizes.py
@@ -27,7 +27,7 @@
             getattr(core, fault)(name)
         core.run(3500)
         self.assertIsNotNone(core.leader(), f"without {sorted(failed)}")
-        self.assertGreaterEqual(core.nodes[core.leader()][0].decided.revision, 5)
+        self.assertGreaterEqual(core.nodes[core.leader()][0].committed_data.revision, 5)
         for name in failed:
             core.boot(name)
         core.run(CATCH_UP_MS)
@@ -56,7 +56,7 @@
                         core.boot(name)
                     core.run(3500)
                     self.assertIsNotNone(core.leader())
-                    self.assertEqual(core.nodes[core.leader()][0].decided.revision, 5)
+                    self.assertEqual(core.nodes[core.leader()][0].committed_data.revision, 5)
                     core.run(CATCH_UP_MS)
                     self.assertEqual(core.voters(), set(core.names), "the new members have the seats of the wiped ones")
                     self.assertEqual(
--- a/tests/consensus/test_member.py
+++ b/tests/consensus/test_member.py
@@ -148,7 +148,7 @@
             core.kill(core.leader())
             core.run(15000)
             self.assertIsNotNone(core.leader())
-            self.assertEqual(core.nodes[core.leader()][0].decided.revision, 5)
+            self.assertEqual(core.nodes[core.leader()][0].committed_data.revision, 5)
             core.boot(min(core.off))
             core.run(3000)
             self.assertTrue(core.write(7, wait=9000) or core.write(8, wait=9000) or core.write(9, wait=9000))
--- a/tests/consensus/test_reconfiguration.py
+++ b/tests/consensus/test_reconfiguration.py
@@ -21,7 +21,7 @@
         while core.leader() is None and core.now.total_seconds() * 1000 < deadline_ms:
             core.run(50)
         self.assertIsNotNone(core.leader(), f"seed {seed}: no primary")
-        self.assertGreaterEqual(core.nodes[core.leader()][0].decided.revision, minimum_revision, f"seed {seed}")
+        self.assertGreaterEqual(core.nodes[core.leader()][0].committed_data.revision, minimum_revision, f"seed {seed}")
         # The first write may be aborted while a failed backup is replaced.
         self.assertTrue(core.write(revision) or core.run(1500) or core.write(revision + 1), f"seed {seed}: no write")
 
--- a/tests/controller/test_control_api.py
+++ b/tests/controller/test_control_api.py
@@ -12,7 +12,7 @@
 from sparloom.configuration import check, parse
 from sparloom.consensus.records import Data
 from sparloom.controller import configuration_writer, control_state
-from sparloom.controller.change_requests import Verdict, judge, parse_change_request
+from sparloom.controller.change_requests import ChangeVerdict, evaluate, parse_change_request
 from sparloom.controller.control_api import ControlApi
 from sparloom.controller.control_state import ControlStateError, History, State, fingerprint
 from sparloom.feed import UNCONFIRMED
@@ -234,10 +234,12 @@
         self.assertEqual((state.revision, state.router_count), (5, 7))
         changes = (("0", POLICY | {"revision": 5}), ("0", POLICY | {"revision": 3}), ("5", POLICY | {"revision": 6}))
         verdicts = [
-            judge(state, parse_change_request("PUT", base, json.dumps(change).encode()).unwrap()).verdict
+            evaluate(state, parse_change_request("PUT", base, json.dumps(change).encode()).unwrap()).verdict
             for base, change in changes
         ]
-        self.assertEqual(verdicts, [Verdict.ALREADY_COMMITTED, Verdict.POSSIBLY_COMMITTED, Verdict.NEW])
+        self.assertEqual(
+            verdicts, [ChangeVerdict.ALREADY_COMMITTED, ChangeVerdict.POSSIBLY_COMMITTED, ChangeVerdict.NEW]
+        )
         with self.assertRaises(ControlStateError):
             State.unpack(b"\x09" + bytes(40))
 
--- a/tests/duties/test_state.py
+++ b/tests/duties/test_state.py
@@ -65,5 +65,5 @@
         self.assertEqual(state.with_duties(CLAIMED).pack()[0], VERSION_WITH_DUTIES)
 
     def test_a_configuration_change_preserves_the_duties(self):
-        state = State(CONFIGURATION, duties=CLAIMED).then({**CONFIGURATION, "revision": 4}, b"m" * 12)
+        state = State(CONFIGURATION, duties=CLAIMED).with_change({**CONFIGURATION, "revision": 4}, b"m" * 12)
         self.assertEqual(state.duties, CLAIMED)
--- a/tests/evacuation/test_evacuation_orders.py
+++ b/tests/evacuation/test_evacuation_orders.py
@@ -5,7 +5,7 @@
 import unittest
 
 from sparloom.configuration import build
-from sparloom.controller.change_requests import Verdict
+from sparloom.controller.change_requests import ChangeVerdict
 from sparloom.controller.control_state import VERSION, VERSION_WITH_EVACUATIONS, State
 from sparloom.controller.evacuation_orders import EvacuationOrder, evaluate_evacuation, zone_fault
 from sparloom.feed import CONFIGURATION, NO_VERSION, Change
@@ -23,24 +23,24 @@
 
 class EvacuationStateTest(unittest.TestCase):
     def test_evacuated_zones_survive_packing_and_unpacking(self):
-        state = State({}).then({"revision": 3}, b"m" * 12, 7).evacuate("b").evacuate("a")
+        state = State({}).with_change({"revision": 3}, b"m" * 12, 7).evacuate("b").evacuate("a")
         decoded = State.unpack(state.pack())
         self.assertEqual(decoded, state)
         self.assertEqual(decoded.evacuated, {"a", "b"})
-        self.assertEqual(decoded.then({"revision": 4}, b"n" * 12).evacuated, {"a", "b"})
+        self.assertEqual(decoded.with_change({"revision": 4}, b"n" * 12).evacuated, {"a", "b"})
 
     def test_a_state_without_evacuations_is_stored_in_the_earlier_format(self):
-        state = State({}).then({"revision": 3}, b"m" * 12)
+        state = State({}).with_change({"revision": 3}, b"m" * 12)
         self.assertEqual(state.evacuate("a").restore("a").pack(), state.pack())
         self.assertEqual((state.pack()[0], state.evacuate("a").pack()[0]), (VERSION, VERSION_WITH_EVACUATIONS))
 
     def test_an_order_that_is_already_in_effect_writes_nothing(self):
         initial, evacuated = State({}), State({}).evacuate("z")
         for state, evacuate, verdict in (
-            (initial, True, Verdict.NEW),
-            (initial, False, Verdict.ALREADY_COMMITTED),
-            (evacuated, True, Verdict.ALREADY_COMMITTED),
-            (evacuated, False, Verdict.NEW),
+            (initial, True, ChangeVerdict.NEW),
+            (initial, False, ChangeVerdict.ALREADY_COMMITTED),
+            (evacuated, True, ChangeVerdict.ALREADY_COMMITTED),
+            (evacuated, False, ChangeVerdict.NEW),
         ):
             with self.subTest(evacuate=evacuate, evacuated=state.evacuated):
                 self.assertIs(evaluate_evacuation(state, EvacuationOrder("z", evacuate)).verdict, verdict)
--- a/tests/golden_calls.py
+++ b/tests/golden_calls.py
@@ -116,7 +116,7 @@
 
 
 async def _platform_calls() -> dict[str, Any]:
-    settings = SimpleNamespace(node="core-1", cloud=SimpleNamespace(address="10.0.0.8:90"))
+    settings = SimpleNamespace(node="core-1", cloud_api=SimpleNamespace(address="10.0.0.8:90"))
     calls = platform_calls.PlatformCalls(settings, timedelta(seconds=1))
     results, posted = [], []
     for status in (200, 204, 400, 404, 409, 429, 500, 503):
@@ -151,7 +151,7 @@
     windows = (DecidedWindow(10, {"a": 3}), DecidedWindow(11, {}))
     duties = DutyState("core-1", 9, 8, 12, windows, (ScaleOrder("s", "z", 5, 9),), "core-2")
     holders = RateHolders(frozenset({"r-1"}), frozenset({"r-1", "r-2"}))
-    state = State({}).then({"revision": 1, "routes": []}, b"m" * 12, 5).evacuate("zone-2")
+    state = State({}).with_change({"revision": 1, "routes": []}, b"m" * 12, 5).evacuate("zone-2")
     return state.with_duties(duties).with_rollouts(rollouts()).with_rate_holders(holders)
 
 
--- a/tests/golden_names.py
+++ b/tests/golden_names.py
@@ -27,7 +27,7 @@
 from sparloom.load_balancing import parse_parts
 from sparloom.prefix_cache import PlacementTable
 from sparloom.router import headers
-from sparloom.router.backends import number
+from sparloom.router.backends import backend_number
 from sparloom.router.outcomes import Outcome
 from sparloom.router.program import Router
 from sparloom.router.request import parse_request, upstream_headers
@@ -186,10 +186,10 @@
 def numbers(peers: list[str], counts: str) -> list:
     """Numbers that processes work out on their own and that must be the same in all of them."""
     return [
-        number("runner-1"),
-        words.short_id(number("runner-1")),
+        backend_number("runner-1"),
+        words.short_id(backend_number("runner-1")),
         words.holder_id("10.0.0.1:7301", 99),
-        [unpack(bytes.fromhex(peer)).mark() for peer in peers],
+        [unpack(bytes.fromhex(peer)).state_hash() for peer in peers],
         plain(parse_parts("0A:30, b:40,c:50")),
         plain(parse_parts("0A:30, b:40,c:50", b"k" * 16)),
         plain(part_ids("0A:30, b:40")),
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -50,7 +50,7 @@
         for seed in range(5):
             net = Net("abcdef", seed)
             net.run(4000)
-            old_instance_id = net.nodes["e"].me.instance_id
+            old_instance_id = net.nodes["e"].local_peer.instance_id
             net.off.add("e")
             net.run(400)
             net.boot("e")
@@ -96,7 +96,7 @@
             net.off.add("e")
             net.run(2500)
             net.off.discard("e")
-            net.tick("e", net.nodes["e"].me.instance_id)
+            net.tick("e", net.nodes["e"].local_peer.instance_id)
             for _ in range(60):
                 net.run(50)
                 self.assertEqual(net.sees("e"), set("abcdfgh"), seed)
@@ -106,23 +106,23 @@
         net = Net("abcdef", 3, loss=0)
         net.run(4000)
         net.nodes["a"].take_departed()
-        old_instance_id = net.nodes["e"].me.instance_id
+        old_instance_id = net.nodes["e"].local_peer.instance_id
         net.off.add("e")
         net.run(100)
         net.boot("e")
         net.run(4000)
-        self.assertEqual(net.nodes["a"].take_departed(), [("e:1", net.nodes["e"].me.instance_id)])
+        self.assertEqual(net.nodes["a"].take_departed(), [("e:1", net.nodes["e"].local_peer.instance_id)])
         self.assertEqual(
             [
                 net.nodes["a"].is_current("e:1", instance_id)
-                for instance_id in (old_instance_id, net.nodes["e"].me.instance_id)
+                for instance_id in (old_instance_id, net.nodes["e"].local_peer.instance_id)
             ],
             [False, True],
         )
         net.off.add("e")
         net.run(6000)
         self.assertEqual(net.nodes["a"].take_departed(), [("e:1", None)])
-        self.assertFalse(net.nodes["a"].is_current("e:1", net.nodes["e"].me.instance_id))
+        self.assertFalse(net.nodes["a"].is_current("e:1", net.nodes["e"].local_peer.instance_id))
 
     def test_a_hundred_members_discover_each_other_and_detect_a_failure(self):
         names = [chr(0x100 + i) for i in range(97)]
--- a/tests/relay/test_relay_loopback.py
+++ b/tests/relay/test_relay_loopback.py
@@ -89,7 +89,7 @@
     async def write_policy(self, policy, base=0):
         state = self.controller.consensus.member.data
         written = await self.controller.consensus.write(
-            policy["revision"], State.unpack(state.blob).then(policy, b"m").pack(), CONTACT_BOUND
+            policy["revision"], State.unpack(state.blob).with_change(policy, b"m").pack(), CONTACT_BOUND
         )
         self.assertIsNotNone(written)
 
--- a/tests/rollouts/test_state.py
+++ b/tests/rollouts/test_state.py
@@ -150,7 +150,7 @@
 
     def test_a_configuration_change_keeps_the_rollouts(self):
         state = State({"revision": 1}).with_rollouts(ORDERED)
-        self.assertEqual(state.then({"revision": 2}, b"m" * 12).rollouts, ORDERED)
+        self.assertEqual(state.with_change({"revision": 2}, b"m" * 12).rollouts, ORDERED)
 
 
 if __name__ == "__main__":
--- a/tests/router/test_cold_runners.py
+++ b/tests/router/test_cold_runners.py
@@ -104,7 +104,7 @@
                     swim._alive = None
                     rig.state.update_fleet_size()
                     size = rig.state.fleet_size
-                    positions.append((size.index, size.known, len(rig.state.membership.routers())))
+                    positions.append((size.index, size.known_routers, len(rig.state.membership.routers())))
                 return positions
 
         with world(1) as loop:
--- a/tests/router/test_in_flight_gossip.py
+++ b/tests/router/test_in_flight_gossip.py
@@ -48,7 +48,7 @@
         for router in self.running:
             for other in self.running:
                 if known and other is not router:
-                    router.swim._learn(other.swim.me)
+                    router.swim._merge(other.swim.local_peer)
 
     def make_router(self, number, size):
         node = {"nodeName": f"front-{number}", "ipAddress": f"10.0.0.{number}", "zone": f"z{number % 3}"}
@@ -139,7 +139,7 @@
         rng.shuffle(pairs)
         while pairs:
             for router, other in pairs[:40]:
-                router.swim._learn(other.swim.me)
+                router.swim._merge(other.swim.local_peer)
             del pairs[:40]
             self.fleet.tick(1)
             self.assertLessEqual(max(self.count(router) for router in routers), 30)
@@ -154,7 +154,7 @@
         for stopped in routers[6:]:
             dead_peer = Peer(stopped.key, ROUTER, stopped.settings.zone, "", stopped.gossip.instance_id, 1, 2)
             for router in remaining:
-                router.swim._learn(dead_peer)
+                router.swim._merge(dead_peer)
                 router.membership.report_departed()
         self.fleet.running = remaining
         for _ in range(20):
--- a/tests/simulator/test_history.py
+++ b/tests/simulator/test_history.py
@@ -10,7 +10,7 @@
 from simulator.history import Call, Outcome, Sent, broken_rule, fault_in, linearize
 from simulator.operators import Plan, play_history
 from sparloom.controller import configuration_writer
-from sparloom.controller.change_requests import Judgement, Verdict, judge
+from sparloom.controller.change_requests import ChangeEvaluation, ChangeVerdict, evaluate
 from sparloom.controller.configuration_writer import ConfigurationWriter, Snapshot
 from sparloom.controller.control_state import History, State
 from tests.support.paths import ROOT
@@ -87,8 +87,8 @@
 def _number_only(state, change, router_count=0):
     """A change counts as taken when its number was."""
     if state.history.fingerprint_of(change.revision):
-        return Judgement(Verdict.ALREADY_COMMITTED)
-    return judge(state, change, router_count)
+        return ChangeEvaluation(ChangeVerdict.ALREADY_COMMITTED)
+    return evaluate(state, change, router_count)
 
 
 class Histories(unittest.TestCase):
@@ -112,26 +112,26 @@
         self.assertIsNotNone(self.caught("_is_committed_by_deadline", staticmethod(_acknowledged_early)))
 
     def test_reads_and_refusals_without_confirmation_are_caught(self):
-        self.assertIsNotNone(self.caught("confirmed", _unconfirmed))
+        self.assertIsNotNone(self.caught("read_confirmed", _unconfirmed))
 
     def test_reads_and_refusals_on_undecided_state_are_caught(self):
-        self.assertIsNotNone(self.caught("confirmed", _undecided))
+        self.assertIsNotNone(self.caught("read_confirmed", _undecided))
 
     def test_a_handler_that_forgets_what_was_taken_is_caught(self):
         self.assertIsNotNone(self.caught("add", lambda self, revision, mark: self, History))
 
     def test_a_change_of_the_configuration_that_forgets_evacuations_is_caught(self):
-        def then(state, configuration, change_fingerprint, router_count=0):
+        def with_change(state, configuration, change_fingerprint, router_count=0):
             history = state.history.add(configuration["revision"], change_fingerprint)
             return State(configuration, history, router_count)
 
-        self.assertIsNotNone(self.caught("then", then, State))
+        self.assertIsNotNone(self.caught("with_change", with_change, State))
 
     def test_an_evacuation_that_is_acknowledged_and_not_written_is_caught(self):
-        taken = Judgement(Verdict.ALREADY_COMMITTED)
+        taken = ChangeEvaluation(ChangeVerdict.ALREADY_COMMITTED)
         self.assertIsNotNone(self.caught("evaluate_evacuation", lambda _state, _order: taken, configuration_writer))
 
     def test_a_handler_that_goes_by_the_number_alone_is_caught(self):
-        with mock.patch("sparloom.controller.configuration_writer.judge", _number_only):
+        with mock.patch("sparloom.controller.configuration_writer.evaluate", _number_only):
             seeds = range(1, self.MOST_SEEDS + 1)
             self.assertTrue(any(play_history(s, Plan(seconds=15.0)).fault for s in seeds))
--- a/tests/simulator/test_model_checker.py
+++ b/tests/simulator/test_model_checker.py
@@ -29,7 +29,7 @@
 
 
 def _read_at_once(self, read):
-    return [ReadConfirmed(read, self.decided)] if self.serving else None
+    return [ReadConfirmed(read, self.committed_data)] if self.serving else None
 
 
 def _decide_with_one_copy(self, record):
--- a/tests/support/watched_core.py
+++ b/tests/support/watched_core.py
@@ -155,7 +155,7 @@
         view, names_by_id = self.view(), {self.members[name].id: name for name in self.available_machines()}
         if not set(view.ids) <= set(names_by_id) or len(view.holders) < self.replicas + 1:
             return False
-        decided = self.nodes[leader][0].decided.version
+        decided = self.nodes[leader][0].committed_data.version
         return all(self.disks[names_by_id[i]][1].version >= decided for i in view.holders)
 
     def timeline(self):
