--- a/fakes/duty_log.py
+++ b/fakes/duty_log.py
@@ -58,15 +58,15 @@
         The accepted counts by window number.
     desired
         The latest ordered number of runners, by service and zone.
-    faults
+    violations
         A message for each violation.
 
     >>> log = DutyLog(lambda: 0.0)
     >>> log.take("usage", "a", 2, {"windowNumber": 7, "counts": {"t": 1}})
     200
-    >>> log.take("usage", "b", 1, {"windowNumber": 8, "counts": {}}), log.faults
+    >>> log.take("usage", "b", 1, {"windowNumber": 8, "counts": {}}), log.violations
     (409, [])
-    >>> log.take("usage", "b", 2, {"windowNumber": 7, "counts": {}}), len(log.faults)
+    >>> log.take("usage", "b", 2, {"windowNumber": 7, "counts": {}}), len(log.violations)
     (200, 2)
     """
 
@@ -76,7 +76,7 @@
     accepted: list[DutyCall] = field(factory=list)
     usage: dict[int, dict[str, int]] = field(factory=dict)
     desired: dict[str, int] = field(factory=dict)
-    faults: list[str] = field(factory=list)
+    violations: list[str] = field(factory=list)
     _highest_fences: dict[str, int] = field(factory=dict)
     _holders: dict[tuple[str, str, int], str] = field(factory=dict)
     _orders: dict[tuple[str, int], int] = field(factory=dict)
@@ -87,7 +87,7 @@
         call = DutyCall(self.clock(), duty, subject, holder, fence, body)
         self.calls.append(call)
         if self._holders.setdefault((duty, subject, fence), holder) != holder:
-            self.faults.append(f"ONE fence {fence} of {duty} {subject} was used by two holders")
+            self.violations.append(f"ONE fence {fence} of {duty} {subject} was used by two holders")
         key = f"{duty} {subject}"
         if fence < self._highest_fences.get(key, 0):
             return CONFLICT
@@ -102,13 +102,13 @@
 
     def _record_order(self, subject: str, fence: int, desired: int) -> None:
         if self._orders.setdefault((subject, fence), desired) != desired:
-            self.faults.append(f"ONE fence {fence} of {subject} orders {desired} and a different number")
+            self.violations.append(f"ONE fence {fence} of {subject} orders {desired} and a different number")
         self.desired[subject] = desired
 
     def _record_usage(self, body: dict[str, Any]) -> None:
         window, counts = body["windowNumber"], body["counts"]
         if self.usage.setdefault(window, counts) != counts:
-            self.faults.append(f"ONE window {window} has two different counts")
+            self.violations.append(f"ONE window {window} has two different counts")
 
     def _check_alternation(self) -> None:
         """Record a violation if holders act in the order A, B, A on the latest subject within a lease."""
@@ -121,4 +121,4 @@
         ]
         others = [index for index, call in enumerate(recent) if call.holder != latest.holder]
         if others and any(call.holder == latest.holder for call in recent[: others[0]]):
-            self.faults.append(f"ONE {latest.holder} acted before and after {recent[others[0]].holder}")
+            self.violations.append(f"ONE {latest.holder} acted before and after {recent[others[0]].holder}")
--- a/fakes/runner.py
+++ b/fakes/runner.py
@@ -23,7 +23,7 @@
     ----------
     line
         The request line.
-    heads
+    headers
         (name, value) of each header, in order.
     body
         The complete body.
@@ -32,7 +32,7 @@
     """
 
     line: str
-    heads: list[tuple[str, ...]]
+    headers: list[tuple[str, ...]]
     body: bytes
     word: str = ""
 
@@ -51,7 +51,7 @@
         >>> ReceivedRequest("", [("A", "1")], b"").head("a")
         '1'
         """
-        return next((value for key, value in self.heads if key.lower() == name.lower()), None)
+        return next((value for key, value in self.headers if key.lower() == name.lower()), None)
 
 
 @define(slots=True, eq=False)
@@ -78,8 +78,8 @@
     - endless: a refusal whose body never ends
     - shedshort: a refusal whose body is truncated
     - raw: sends the bytes of ``raw`` and closes the connection
-    - late: waits ``silence`` seconds, then ok
-    - still: ok with a pause of ``silence`` seconds after two events
+    - late: waits ``delay_s`` seconds, then ok
+    - still: ok with a pause of ``delay_s`` seconds after two events
 
     Attributes
     ----------
@@ -87,11 +87,11 @@
         The runner's instance id.
     events, pause
         Number of events in a stream, and the pause after each in seconds.
-    got
+    received
         The received requests.
-    pipes
+    accepted_connections
         Number of accepted connections.
-    leaving
+    is_shutting_down
         Whether responses announce the shutdown with ``Connection: close``.
     arrivals
         Event loop time at the arrival of each request.
@@ -103,11 +103,11 @@
     events: int = 5
     script: list[str] = field(factory=list)
     pause: float = 0.0
-    silence: float = 1.0
+    delay_s: float = 1.0
     raw: bytes = b""
-    got: list[ReceivedRequest] = field(factory=list)
-    pipes: int = 0
-    leaving: bool = False
+    received: list[ReceivedRequest] = field(factory=list)
+    accepted_connections: int = 0
+    is_shutting_down: bool = False
     arrivals: list[float] = field(factory=list)
     dropped: int = 0
     server: asyncio.Server | None = None
@@ -128,7 +128,7 @@
             task.cancel()
 
     async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.pipes += 1
+        self.accepted_connections += 1
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
@@ -146,7 +146,7 @@
         headers = [tuple(line.split(": ", 1)) for line in lines[1:] if line]
         request = ReceivedRequest(lines[0], headers, b"")
         request.body = await reader.readexactly(int(request.head("Content-Length") or 0))
-        self.got.append(request)
+        self.received.append(request)
         self.arrivals.append(asyncio.get_running_loop().time())
         request.word = action = self.script.pop(0) if self.script else "ok"
         if action == "hang":
@@ -167,7 +167,7 @@
         chunked: bool = True,
     ) -> None:
         lines = [f"HTTP/1.1 {status}", f"{ATTEMPT_ID_HEADER}: {id or request.head(ATTEMPT_ID_HEADER)}", *extra_headers]
-        lines += ["Connection: close"] if self.leaving else []
+        lines += ["Connection: close"] if self.is_shutting_down else []
         lines += [f"{SEAL_HEADER}: seal.{self.id}.{request.head(ATTEMPT_ID_HEADER)}"] if seal else []
         lines += ["Content-Type: text/event-stream", "Transfer-Encoding: chunked"] if chunked else []
         writer.write(("\r\n".join(lines) + "\r\n\r\n").encode())
@@ -190,13 +190,13 @@
         return True
 
     async def _late(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
-        await asyncio.sleep(self.silence)
+        await asyncio.sleep(self.delay_s)
         return await self._ok(request, writer)
 
     async def _still(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         self._send_head(request, writer)
         await self._send_events(request, writer, last=2)
-        await asyncio.sleep(self.silence)
+        await asyncio.sleep(self.delay_s)
         await self._send_events(request, writer, after=2)
         writer.write(b"0\r\n\r\n")
         await writer.drain()
--- a/fakes/task_runner.py
+++ b/fakes/task_runner.py
@@ -54,7 +54,7 @@
         Tasks whose end ``done`` was acknowledged by a hold call.
     failed
         Numbers of the failed runs, by task.
-    faults
+    violations
         A message for each violation.
     """
 
@@ -62,7 +62,7 @@
     done: set[str] = field(factory=set)
     acknowledged: set[str] = field(factory=set)
     failed: dict[str, set[int]] = field(factory=dict)
-    faults: list[str] = field(factory=list)
+    violations: list[str] = field(factory=list)
     _running: dict[str, tuple[str, int]] = field(factory=dict)
     # Number of recorded starts at the time a run ended ``done``, by task and run.
     _starts_until_done: dict[tuple[str, int], int] = field(factory=dict)
@@ -70,9 +70,9 @@
     def record_start(self, runner: str, task: str, run: int) -> None:
         """Record a start and any violation."""
         if task in self._running:
-            self.faults.append(f"{task} run {run} started on {runner} while running on {self._running[task]}")
+            self.violations.append(f"{task} run {run} started on {runner} while running on {self._running[task]}")
         if task in self.acknowledged:
-            self.faults.append(f"{task} run {run} started on {runner} after an acknowledged end")
+            self.violations.append(f"{task} run {run} started on {runner} after an acknowledged end")
         self.starts.append((runner, task, run))
         self._running[task] = (runner, run)
 
@@ -91,7 +91,7 @@
         self.acknowledged.add(task)
         for runner, started_task, started_run in self.starts[self._starts_until_done[task, run] :]:
             if started_task == task:
-                self.faults.append(
+                self.violations.append(
                     f"{task} run {started_run} started on {runner} after the end of run {run}, acknowledged since"
                 )
 
--- a/simulator/soak/duties.py
+++ b/simulator/soak/duties.py
@@ -122,7 +122,7 @@
             await self.platform.stop()
             for runner in self.runners:
                 await runner.stop()
-        return [*self.fleet.faults, *self.platform.duties.faults]
+        return [*self.fleet.faults, *self.platform.duties.violations]
 
     def _time_left(self) -> float:
         return self._ends_at - asyncio.get_running_loop().time()
@@ -242,7 +242,7 @@
         windows = sorted(self.platform.duties.usage)
         if windows and windows != list(range(windows[0], windows[-1] + 1)):
             self.fleet.faults.append(f"ONE windows are missing between {windows[0]} and {windows[-1]}")
-        ran = Counter(got.head("X-Sparloom-Tenant") for runner in self.runners for got in runner.got if got.ran)
+        ran = Counter(got.head("X-Sparloom-Tenant") for runner in self.runners for got in runner.received if got.ran)
         for tenant, count in self._reported().items():
             if count > ran[tenant]:
                 self.fleet.faults.append(f"USAGE {tenant}: {count} reported and {ran[tenant]} ran")
--- a/simulator/soak/jobs.py
+++ b/simulator/soak/jobs.py
@@ -116,7 +116,7 @@
             await platform.stop()
             for runner in self.runners:
                 await runner.stop()
-        return [*self.fleet.faults, *self.log.faults]
+        return [*self.fleet.faults, *self.log.violations]
 
     # -- runners ------------------------------------------------------------------
     async def _add_runner(self) -> None:
--- a/simulator/soak/requests.py
+++ b/simulator/soak/requests.py
@@ -100,7 +100,7 @@
         self.runners = [await Runner(id=f"i-{n}").start() for n in range(4)]
         for runner in self.runners:
             runner.script = self.luck.choices(("ok", "late", "still"), self.luck.choice(MIXES), k=20000)
-            runner.silence = self.luck.choice((0.15, 0.3, 1.2)) * self.luck.uniform(0.5, 1.0)
+            runner.delay_s = self.luck.choice((0.15, 0.3, 1.2)) * self.luck.uniform(0.5, 1.0)
         entries = [
             Platform.entry(runner.id, "s", f"127.0.0.1:{runner.port}", slots=64, zone=ZONES[number % len(ZONES)])
             for number, runner in enumerate(self.runners)
@@ -235,9 +235,9 @@
         if await self._order(http, "POST", zone):
             await asyncio.sleep(EVACUATED_S)
             emptied = [runner for number, runner in enumerate(self.runners) if ZONES[number % len(ZONES)] == zone]
-            before = [len(runner.got) for runner in emptied]
+            before = [len(runner.received) for runner in emptied]
             await asyncio.sleep(min(self.luck.uniform(0.5, 2.0), max(0.0, self._time_left())))
-            late = [runner.id for runner, count in zip(emptied, before, strict=True) if len(runner.got) > count]
+            late = [runner.id for runner, count in zip(emptied, before, strict=True) if len(runner.received) > count]
             self.fleet.faults += [f"EVAC a request reached {runner_id} in {zone}" for runner_id in late]
         await self._order(http, "DELETE", zone)
         self._evacuating = False
@@ -269,7 +269,9 @@
             client.close()
 
     def _judge(self, outcome: Outcome, node: Node, terminated_at: float | None) -> None:
-        passed_on = any(got.head("X-Sparloom-Attempt-Id") == outcome.id for r in self.runners for got in r.got[-4000:])
+        passed_on = any(
+            got.head("X-Sparloom-Attempt-Id") == outcome.id for r in self.runners for got in r.received[-4000:]
+        )
         planned = PlannedEnd(terminated_at if terminated_at is not None else 1e12, timedelta(seconds=GRACE_S))
         # A router that stands still may leave a request unread for longer than the slack; then it is reset.
         unread = outcome.reset and not outcome.status and not passed_on
@@ -286,7 +288,7 @@
     def _check_runs(self) -> None:
         runs: dict[str, int] = {}
         for runner in self.runners:
-            for got in runner.got:
+            for got in runner.received:
                 if got.ran and "/once/" in got.line:
                     request_id = got.head("X-Sparloom-Attempt-Id") or ""
                     runs[request_id] = runs.get(request_id, 0) + 1
--- a/simulator/soak/rollouts.py
+++ b/simulator/soak/rollouts.py
@@ -235,8 +235,8 @@
     # -- the end --------------------------------------------------------------------
     def _judge(self) -> None:
         """What must not have happened, as the runners have seen it."""
-        faults, exposed = self.fleet.faults, sum(len(runner.got) for runner in self.new)
-        everything = exposed + sum(len(runner.got) for runner in self.old)
+        faults, exposed = self.fleet.faults, sum(len(runner.received) for runner in self.new)
+        everything = exposed + sum(len(runner.received) for runner in self.old)
         decided = [state for state in self.seen if state != "serving"]
         if len(set(decided)) > 1 or (decided and self.seen[-1] == "serving"):
             faults.append(f"LOST a verdict has turned: {', '.join(self.seen)}")
--- a/tests/controller/test_job_service.py
+++ b/tests/controller/test_job_service.py
@@ -131,7 +131,7 @@
         await self.submit(2)
         await self.wait_for_state(JobState.COMPLETED)
         await self.wait_for_state(JobState.COMPLETED, 2)
-        self.assertEqual((self.runner.fence, self.log.faults), (term.store.term, []))
+        self.assertEqual((self.runner.fence, self.log.violations), (term.store.term, []))
 
     async def test_a_term_ends_if_another_one_was_stored_in_between(self):
         await self.submit()
--- a/tests/duties/test_duties_on_loopback.py
+++ b/tests/duties/test_duties_on_loopback.py
@@ -60,12 +60,12 @@
         await self.wait_until(lambda: self.router.node.router_state.configuration_confirmed_at is not None)
         for key in ("no-key", None):
             await self.retry_while_unavailable(lambda key=key: self.send(key), HTTPStatus.UNAUTHORIZED)
-        self.assertEqual({request.head("X-Sparloom-Tenant") for request in self.runner.got}, {"first"})
-        self.assertEqual({request.head("Authorization") for request in self.runner.got}, {None})
+        self.assertEqual({request.head("X-Sparloom-Tenant") for request in self.runner.received}, {"first"})
+        self.assertEqual({request.head("Authorization") for request in self.runner.received}, {None})
         log = self.platform.duties
         await self.wait_until(lambda: sum(counts.get("first", 0) for counts in log.usage.values()) == 5)
         await self.wait_until(lambda: log.desired == {"s z1": 2})
-        self.assertEqual((log.faults, {call.holder for call in log.accepted}), ([], {"core-1"}))
+        self.assertEqual((log.violations, {call.holder for call in log.accepted}), ([], {"core-1"}))
         async with self.http.get(self.url.replace("configuration", "beliefs")) as response:
             duties = (await response.json())["duties"]
         self.assertEqual((duties["holder"], duties["orders"]), ("core-1", {"s z1": 2}))
--- a/tests/duties/test_duty_storms.py
+++ b/tests/duties/test_duty_storms.py
@@ -26,7 +26,7 @@
 class FaultSchedules(unittest.TestCase):
     def check_invariants(self, group):
         log = group.platform.log
-        self.assertEqual(log.faults, [])
+        self.assertEqual(log.violations, [])
         self.assertEqual(group.unconfirmed_calls, [])
         for window, counts in group.expected_counts.items():
             self.assertEqual(log.usage[window], counts, f"window {window}")
--- a/tests/evacuation/test_evacuation_on_loopback.py
+++ b/tests/evacuation/test_evacuation_on_loopback.py
@@ -55,9 +55,9 @@
         self.assertEqual(await self.order("POST"), (200, ""))
         self.assertEqual(await self.order("POST"), (200, ""))
         await self.until(lambda: [backend.id for backend in self.router.node.backends.of("s")] == ["i-1"])
-        request_count = len(self.runner.got)
+        request_count = len(self.runner.received)
         self.assertEqual([await self.send_request(number) for number in range(20)], [200] * 20)
-        self.assertEqual((len(self.runner.got), len(self.other_runner.got)), (request_count, 20))
+        self.assertEqual((len(self.runner.received), len(self.other_runner.received)), (request_count, 20))
         self.assertEqual(await self.order("DELETE"), (200, ""))
         self.assertEqual(await self.order("DELETE"), (200, ""))
         await self.until(lambda: len(self.router.node.backends.of("s")) == 2)
@@ -96,7 +96,7 @@
             self.assertEqual(await deployment.submit("00000000000000aa", steps), 200)
             self.assertEqual(await deployment.ended("00000000000000aa"), "completed")
             self.assertEqual({runner for runner, _, _ in deployment.log.starts[12:]}, {"i-0", "i-1"})
-            self.assertEqual(deployment.log.faults, [])
+            self.assertEqual(deployment.log.violations, [])
 
 
 if __name__ == "__main__":
--- a/tests/isolation/test_isolation.py
+++ b/tests/isolation/test_isolation.py
@@ -180,7 +180,7 @@
         return {
             (runner.id, request.head("X-Sparloom-Prompt-Prefix"))
             for runner in rig.runners
-            for request in runner.got
+            for request in runner.received
             if request.head("Host") == f"{member}.example"
         }
 
@@ -196,26 +196,26 @@
 
     async def test_a_request_without_an_allowed_runner_is_rejected_with_retry_after(self):
         async with RouterFixture(1, ROUTES, ISOLATED) as rig:
-            owner = rig.up.isolation.newest.owners("5c", ["i-0"])[0]
+            owner = rig.settings.isolation.newest.owners("5c", ["i-0"])[0]
             other = "a" if owner != "a" else "b"
             answer = await self.send(rig, other, "5c:2000")
-            self.assertEqual((answer.status, rig.runners[0].got), (503, []))
-            self.assertGreater(float(answer.heads["retry-after"]), 0)
+            self.assertEqual((answer.status, rig.runners[0].received), (503, []))
+            self.assertGreater(float(answer.headers["retry-after"]), 0)
 
     async def test_retries_use_allowed_runners_only(self):
         async with RouterFixture(8, ROUTES, ISOLATED) as rig:
             for number in range(30):
                 allowed = {
                     runner.id
-                    for runner in rig.up.isolation.allowed(
+                    for runner in rig.settings.isolation.allowed(
                         "a", (f"{number:x}",), list(rig.state.backends.by_id.values())
                     )
                 }
                 for runner in rig.runners:
                     runner.script = ["shed"]
-                    runner.got.clear()
+                    runner.received.clear()
                 await self.send(rig, "a", f"{number:x}:2000", "/resume/x", id=f"r{number}")
-                self.assertLessEqual({runner.id for runner in rig.runners if runner.got}, allowed)
+                self.assertLessEqual({runner.id for runner in rig.runners if runner.received}, allowed)
 
     async def test_part_ids_are_not_sent_unkeyed(self):
         async with RouterFixture(3, ROUTES, ISOLATED) as rig:
--- a/tests/jobs/test_jobs_on_loopback.py
+++ b/tests/jobs/test_jobs_on_loopback.py
@@ -117,7 +117,7 @@
             first, second = tasks[:3], tasks[3:]
             self.assertEqual(sorted(first), [f"00000000000000aa.0.0.{i}" for i in range(3)])
             self.assertEqual(sorted(second), [f"00000000000000aa.0.1.{i}" for i in range(2)])
-            self.assertEqual(deployment.log.faults, [])
+            self.assertEqual(deployment.log.violations, [])
 
 
 if __name__ == "__main__":
--- a/tests/jobs/test_unknown_deployment.py
+++ b/tests/jobs/test_unknown_deployment.py
@@ -17,15 +17,15 @@
             for path in ("/unsafe/x", "/safe/x", "/once/x"):
                 answer = await rig.send(path)
                 self.assertEqual(answer.status, 503, path)
-                self.assertIn("retry-after", answer.heads)
-            self.assertEqual(rig.runners[0].got, [])
+                self.assertIn("retry-after", answer.headers)
+            self.assertEqual(rig.runners[0].received, [])
 
     async def test_a_router_of_a_job_deployment_forwards_no_job_to_a_runner(self):
         async with RouterFixture(1, POLICY, {**STARTUP, "deployment": "sched"}) as rig:
             answer = await rig.send("/unsafe/5c0e7a21d94b36f8", body=b'{"taskSpec":"x","steps":[{"replicaCount":1}]}')
             self.assertEqual(answer.status, 503)
-            self.assertIn("retry-after", answer.heads)
-            self.assertEqual(rig.runners[0].got, [])
+            self.assertIn("retry-after", answer.headers)
+            self.assertEqual(rig.runners[0].received, [])
 
 
 if __name__ == "__main__":
--- a/tests/load_balancing/test_rank.py
+++ b/tests/load_balancing/test_rank.py
@@ -108,8 +108,8 @@
     async def test_heavy_prompts_get_a_lower_priority(self):
         async with RouterFixture(1) as rig:
             for tokens, urgency in ((1200, "0"), (1300, "1")):
-                await rig.send("/once/x", heads=[f"X-Sparloom-Prompt-Prefix: {tokens:x}:{tokens}"])
-                self.assertEqual(rig.runners[0].got[-1].head("X-Sparloom-Request-Urgency"), urgency)
+                await rig.send("/once/x", headers=[f"X-Sparloom-Prompt-Prefix: {tokens:x}:{tokens}"])
+                self.assertEqual(rig.runners[0].received[-1].head("X-Sparloom-Request-Urgency"), urgency)
 
     async def test_a_runner_is_warm_while_a_connection_is_idle(self):
         async with RouterFixture(1) as rig:
--- a/tests/rollouts/test_rollouts_on_loopback.py
+++ b/tests/rollouts/test_rollouts_on_loopback.py
@@ -113,9 +113,9 @@
             await self.until(lambda: writer.committed.state.rollouts.newest["s"].reason)
             self.assertEqual((await self.state())[1]["reason"], "answers fail on route resume")
             await self.until(lambda: self.router.node.configuration.versions["s"].trial is None)
-            exposed, served = sum(len(runner.got) for runner in self.new_runners), len(self.runner.got)
-            await self.until(lambda: len(self.runner.got) > served + 100)
-            self.assertEqual(sum(len(runner.got) for runner in self.new_runners), exposed)
+            exposed, served = sum(len(runner.received) for runner in self.new_runners), len(self.runner.received)
+            await self.until(lambda: len(self.runner.received) > served + 100)
+            self.assertEqual(sum(len(runner.received) for runner in self.new_runners), exposed)
             self.assertLessEqual(exposed, 0.1 * (exposed + served) + 50)
         finally:
             for client in clients:
--- a/tests/router/test_access.py
+++ b/tests/router/test_access.py
@@ -96,25 +96,25 @@
     async def test_headers_at_the_runner_and_status_at_the_client(self):
         async with RouterFixture(1, DOCUMENT) as rig:
             rig.state.router_state.record_configuration_confirmation(monotonic())
-            answer = await rig.send("/once/x", heads=("Authorization: Token k1", "X-Sparloom-Tenant: second"))
+            answer = await rig.send("/once/x", headers=("Authorization: Token k1", "X-Sparloom-Tenant: second"))
             self.assertEqual(answer.status, 200)
-            (request,) = rig.runners[0].got
+            (request,) = rig.runners[0].received
             self.assertEqual(request.head("X-Sparloom-Tenant"), "first")
             self.assertIsNone(request.head("Authorization"))
             self.assertEqual(request.head("X-Sparloom-Request-Urgency")[0], "4")
             for headers in ((), ("Authorization: Token no",)):
-                denied = await rig.send("/once/x", heads=headers, id="a2")
+                denied = await rig.send("/once/x", headers=headers, id="a2")
                 self.assertIn(denied.status, (401, 503))
-            self.assertEqual(len(rig.runners[0].got), 1)
+            self.assertEqual(len(rig.runners[0].received), 1)
 
     async def test_without_tenants_no_key_is_required_and_headers_are_unchanged(self):
         async with RouterFixture(1) as rig:
-            answer = await rig.send("/once/x", heads=("Authorization: Basic x", "X-Sparloom-Tenant: t"))
-            (request,) = rig.runners[0].got
+            answer = await rig.send("/once/x", headers=("Authorization: Basic x", "X-Sparloom-Tenant: t"))
+            (request,) = rig.runners[0].received
             headers = (request.head("Authorization"), request.head("X-Sparloom-Tenant"))
             self.assertEqual((answer.status, headers), (200, ("Basic x", "t")))
 
     async def test_unconfirmed_configuration_gives_503_with_retry_after(self):
         async with RouterFixture(1, DOCUMENT) as rig:
-            denied = await rig.send("/once/x", heads=("Authorization: Token new",))
-            self.assertEqual((denied.status, float(denied.heads["retry-after"]) > 0), (503, True))
+            denied = await rig.send("/once/x", headers=("Authorization: Token new",))
+            self.assertEqual((denied.status, float(denied.headers["retry-after"]) > 0), (503, True))
--- a/tests/router/test_answers.py
+++ b/tests/router/test_answers.py
@@ -37,7 +37,7 @@
         for i in range(8):
             self.set_script("leftover")
             answer = await self.rig.send("/once/x", id=f"s{i}")
-            self.assertEqual((answer.status, answer.whole, len(self.received)), (200, True, i + 1))
+            self.assertEqual((answer.status, answer.is_complete, len(self.received)), (200, True, i + 1))
             async with asyncio.timeout(2):
                 while any(backend.has_idle_connection() for backend in self.rig.state.backends.by_id.values()):
                     await asyncio.sleep(0)
@@ -47,7 +47,7 @@
             sent_before = len(self.received)
             self.set_script(behavior)
             answer = await self.rig.send("/once/x")
-            self.assertEqual((answer.status, answer.whole, len(self.received) - sent_before), (200, True, 2))
+            self.assertEqual((answer.status, answer.is_complete, len(self.received) - sent_before), (200, True, 2))
             for backend in self.rig.state.backends.by_id.values():
                 backend.record_success()
 
@@ -56,7 +56,7 @@
             first = FailsOnce(failure)
             with mock.patch.object(Backend, "session", first.replacement_for(Backend.session)):
                 answer = await self.rig.send("/unsafe/x")
-            self.assertEqual((answer.status, answer.whole, first.failed), (200, True, True))
+            self.assertEqual((answer.status, answer.is_complete, first.failed), (200, True, True))
             for backend in self.rig.state.backends.by_id.values():
                 backend.record_success()
 
@@ -93,7 +93,7 @@
                 with self.subTest(name, path=path):
                     self.set_script("raw")
                     answer = await self.rig.send(path)
-                    relayed = answer.status == 200 and answer.whole or "x-sparloom-runner-seal" in answer.heads
+                    relayed = answer.status == 200 and answer.is_complete or "x-sparloom-runner-seal" in answer.headers
                     self.assertEqual((answer.status == 502, relayed), (True, False))
 
     async def test_surplus_responses_reach_no_client(self):
@@ -103,7 +103,7 @@
             self.assertIn(answer.status, (200, 502))
             if answer.status == 200:
                 self.assertEqual(
-                    (answer.heads["x-sparloom-attempt-id"], answer.body, answer.whole), (f"e{i}", EVENTS, True)
+                    (answer.headers["x-sparloom-attempt-id"], answer.body, answer.is_complete), (f"e{i}", EVENTS, True)
                 )
 
 
@@ -119,14 +119,14 @@
         self.set_script(*["moved"] * 3, *["shed"] * 2)
         answer = await self.rig.send("/once/x")
         self.assertEqual((answer.status, [request.word for request in self.received].count("shed")), (503, 2))
-        self.assertEqual([len(runner.got) for runner in self.rig.runners], [1] * 5)
+        self.assertEqual([len(runner.received) for runner in self.rig.runners], [1] * 5)
 
     async def test_status_when_no_other_runner_has_capacity(self):
         for behavior, path, status in (("shed", "/once/x", 503), ("reset", "/safe/x", 502)):
             self.set_script(behavior)
             with mock.patch.object(InFlightCounts, "acquire", self.acquire_once(InFlightCounts.acquire)):
                 answer = await self.rig.send(path)
-            self.assertEqual((answer.status, "retry-after" in answer.heads), (status, status == 503))
+            self.assertEqual((answer.status, "retry-after" in answer.headers), (status, status == 503))
             for backend in self.rig.state.backends.by_id.values():
                 backend.record_success()
 
@@ -140,7 +140,7 @@
         for runner in self.rig.runners[:4]:
             runner.server.close()
         answer = await self.rig.send("/single/x")
-        self.assertEqual((answer.status, answer.whole, len(self.received)), (200, True, 1))
+        self.assertEqual((answer.status, answer.is_complete, len(self.received)), (200, True, 1))
 
 
 class MixedFaults(FrontendTestCase):
@@ -181,7 +181,7 @@
             for backend in self.rig.state.backends.by_id.values():
                 backend.slots = slots
             for runner in self.rig.runners:
-                runner.got, runner.script = [], rng.choices(self.behaviors, k=400)
+                runner.received, runner.script = [], rng.choices(self.behaviors, k=400)
             await asyncio.gather(*(self.run_client(rng, f"{seed}-{number}", answers) for number in range(clients)))
             attempts = {}
             for request in self.received:
@@ -190,7 +190,7 @@
                 with self.subTest(id=id, path=path, status=answer.status):
                     self.check(id, path, answer, attempts.get(id, []))
             self.assertGreater(
-                sum(answer.status == 200 and answer.whole for _, answer in answers.values()), len(answers) / 3
+                sum(answer.status == 200 and answer.is_complete for _, answer in answers.values()), len(answers) / 3
             )
 
     def check(self, id, path, answer, attempts):
@@ -203,7 +203,7 @@
             self.assertLessEqual(sum(runs), 1)
             self.assertFalse(answer.status in (408, 421, 429, 503) and any(runs))
         if answer.status == 200:
-            self.assertTrue(answer.heads["x-sparloom-runner-seal"].endswith(f".{id}"))
-            self.assertTrue(EVENTS.startswith(answer.body) and answer.whole == (answer.body == EVENTS))
+            self.assertTrue(answer.headers["x-sparloom-runner-seal"].endswith(f".{id}"))
+            self.assertTrue(EVENTS.startswith(answer.body) and answer.is_complete == (answer.body == EVENTS))
         else:
-            self.assertEqual("x-sparloom-runner-seal" in answer.heads, answer.status == 500)
+            self.assertEqual("x-sparloom-runner-seal" in answer.headers, answer.status == 500)
--- a/tests/router/test_cold_runners.py
+++ b/tests/router/test_cold_runners.py
@@ -63,7 +63,7 @@
         async def scenario(rig):
             self.list_runners(rig, cold=3000)
             self.assertEqual(await self.statuses(rig, 20), [200] * 6 + [503] * 14)
-            self.assertEqual(len(rig.runners[0].got), 6)
+            self.assertEqual(len(rig.runners[0].received), 6)
             await asyncio.sleep(1.2)
             self.assertEqual(await self.statuses(rig, 20), [200] * 6 + [503] * 14)
 
--- a/tests/router/test_delisted_sessions.py
+++ b/tests/router/test_delisted_sessions.py
@@ -43,7 +43,7 @@
     def test_session_is_closed_after_its_last_call(self):
         async def scenario(rig):
             for runner in rig.runners:
-                runner.script, runner.silence = ["late"], 0.5
+                runner.script, runner.delay_s = ["late"], 0.5
             request = asyncio.ensure_future(rig.send("/once/x"))
             await asyncio.sleep(0.1)
             used = next(backend for backend in rig.state.backends.by_id.values() if backend.open_calls)
--- a/tests/router/test_frontend.py
+++ b/tests/router/test_frontend.py
@@ -30,7 +30,7 @@
     @property
     def received(self):
         """All requests that the runners have received."""
-        return [request for runner in self.rig.runners for request in runner.got]
+        return [request for runner in self.rig.runners for request in runner.received]
 
     def set_script(self, *behaviors):
         """Give all runners one shared script, so that it doesn't matter which of them is chosen."""
@@ -54,9 +54,9 @@
 class Forwarding(FrontendTestCase):
     async def test_stream_is_relayed_unchanged(self):
         answer = await self.rig.send("/once/x")
-        self.assertEqual((answer.status, answer.body, answer.whole), (200, EVENTS, True))
-        self.assertTrue(answer.heads["x-sparloom-runner-seal"].startswith("seal.i-"))
-        self.assertEqual(answer.heads["x-sparloom-attempt-id"], "a1")
+        self.assertEqual((answer.status, answer.body, answer.is_complete), (200, EVENTS, True))
+        self.assertTrue(answer.headers["x-sparloom-runner-seal"].startswith("seal.i-"))
+        self.assertEqual(answer.headers["x-sparloom-attempt-id"], "a1")
 
     async def test_raw_paths_are_forwarded_as_sent(self):
         for path in (
@@ -90,7 +90,7 @@
     async def test_only_end_to_end_headers_are_forwarded(self):
         await self.rig.send(
             "/once/h",
-            heads=[
+            headers=[
                 "X-Mine: 1",
                 "X-Mine: 2",
                 "Te: trailers",
@@ -101,7 +101,7 @@
             ],
         )
         request = self.received[0]
-        self.assertEqual([value for name, value in request.heads if name == "X-Mine"], ["1", "2"])
+        self.assertEqual([value for name, value in request.headers if name == "X-Mine"], ["1", "2"])
         self.assertEqual(
             (request.head("User-Agent"), request.head("Accept-Encoding"), request.head("Host")),
             ("me", "identity", "h.example"),
@@ -111,7 +111,7 @@
 
     async def test_only_headers_of_the_protocol_are_added(self):
         await self.rig.send("/once/h")
-        names = {name.lower() for name, _ in self.received[0].heads}
+        names = {name.lower() for name, _ in self.received[0].headers}
         self.assertEqual(
             names,
             {
@@ -133,12 +133,12 @@
     async def test_encoded_responses_are_not_decoded(self):
         self.set_script("gzip")
         answer = await self.rig.send("/once/z")
-        self.assertEqual((answer.heads.get("content-encoding"), answer.body[:2]), ("gzip", b"\x1f\x8b"))
+        self.assertEqual((answer.headers.get("content-encoding"), answer.body[:2]), ("gzip", b"\x1f\x8b"))
 
     async def test_redirects_are_relayed_and_not_followed(self):
         self.set_script("redirect")
         answer = await self.rig.send("/once/z")
-        self.assertEqual((answer.status, answer.heads["location"], len(self.received)), (302, "/elsewhere", 1))
+        self.assertEqual((answer.status, answer.headers["location"], len(self.received)), (302, "/elsewhere", 1))
 
     async def test_error_response_of_a_runner_is_relayed(self):
         self.set_script("error")
@@ -156,7 +156,7 @@
     async def test_connections_are_reused(self):
         for i in range(6):
             await self.rig.send("/once/z", id=f"k{i}")
-        self.assertLessEqual(sum(runner.pipes for runner in self.rig.runners), 2)
+        self.assertLessEqual(sum(runner.accepted_connections for runner in self.rig.runners), 2)
 
 
 class Refusals(FrontendTestCase):
@@ -166,7 +166,7 @@
         state.prefixes_known.clear()
         async with asyncio.timeout(state.settings.bounds.contact.total_seconds() / 4):
             answer = await self.rig.send("/once/x", left=20)
-        self.assertEqual((answer.status, "retry-after" in answer.heads), (503, True))
+        self.assertEqual((answer.status, "retry-after" in answer.headers), (503, True))
 
     async def test_request_past_its_deadline_is_not_forwarded(self):
         with mock.patch.object(AdmissionQueues, "acquire", self.admit_after_deadline(AdmissionQueues.acquire)):
@@ -190,7 +190,7 @@
 
     async def test_oversized_body_is_413_and_oversized_header_is_431(self):
         self.assertEqual((await self.rig.send("/once/x", body=b"x" * 20000)).status, 413)
-        self.assertEqual((await self.rig.send("/once/x", heads=["X-Big: " + "y" * 5000])).status, 431)
+        self.assertEqual((await self.rig.send("/once/x", headers=["X-Big: " + "y" * 5000])).status, 431)
 
     async def test_malformed_http_is_400(self):
         answer = await self.rig.send("", raw=b"NONSENSE\r\n\r\n")
@@ -200,7 +200,7 @@
         self.rig.state.backends = type(self.rig.state.backends)()
         answer = await self.rig.send("/once/x")
         self.assertEqual(answer.status, 503)
-        self.assertGreater(float(answer.heads["retry-after"]), 0)
+        self.assertGreater(float(answer.headers["retry-after"]), 0)
 
     async def test_no_request_is_sent_past_the_last_bucket(self):
         state = self.rig.state
@@ -208,14 +208,14 @@
             state.in_flight.own[backend.id] = 10**4
         answer = await self.rig.send("/once/x")
         self.assertEqual((answer.status, self.received), (503, []))
-        self.assertIn("retry-after", answer.heads)
+        self.assertIn("retry-after", answer.headers)
 
 
 class Retries(FrontendTestCase):
     async def test_rejected_request_is_sent_to_another_runner(self):
         self.set_script("shed")
         answer = await self.rig.send("/once/x")
-        self.assertEqual((answer.status, answer.whole, len(self.received)), (200, True, 2))
+        self.assertEqual((answer.status, answer.is_complete, len(self.received)), (200, True, 2))
 
     async def test_rejected_request_with_one_attempt_is_503(self):
         self.set_script("shed")
@@ -237,18 +237,18 @@
     async def test_resumable_stream_continues_within_one_response(self):
         self.set_script("cut")
         answer = await self.rig.send("/resume/x")
-        self.assertEqual((answer.status, answer.body, answer.whole), (200, EVENTS, True))
+        self.assertEqual((answer.status, answer.body, answer.is_complete), (200, EVENTS, True))
         self.assertEqual(
             [request.head("Last-Event-Id") for request in self.received if request.head("Last-Event-Id")], ["2"]
         )
-        first = next(runner for runner in self.rig.runners if not runner.got[0].head("Last-Event-Id"))
-        self.assertIn(first.id, answer.heads["x-sparloom-runner-seal"])
+        first = next(runner for runner in self.rig.runners if not runner.received[0].head("Last-Event-Id"))
+        self.assertIn(first.id, answer.headers["x-sparloom-runner-seal"])
 
     async def test_interrupted_stream_is_visibly_incomplete(self):
         for behavior in ("cut", "short"):
             self.set_script(behavior)
             answer = await self.rig.send("/once/x")
-            self.assertFalse(answer.whole)
+            self.assertFalse(answer.is_complete)
 
     async def test_retry_budget_limits_retries(self):
         budget = self.rig.state.budget("s")
@@ -262,7 +262,7 @@
     async def test_idempotent_request_is_hedged_when_its_backend_is_unresponsive(self):
         self.set_script("hang")
         answer = await self.rig.send("/quick/x")
-        self.assertEqual((answer.status, answer.whole, len(self.received)), (200, True, 2))
+        self.assertEqual((answer.status, answer.is_complete, len(self.received)), (200, True, 2))
 
     async def test_non_idempotent_request_stays_at_an_unresponsive_backend(self):
         self.set_script("hang")
--- a/tests/router/test_graceful_shutdown.py
+++ b/tests/router/test_graceful_shutdown.py
@@ -50,14 +50,14 @@
         """Send one request and count it in the tally."""
         outcome = await client.send(path, id, **options)
         forwarded = any(
-            request.head("X-Sparloom-Attempt-Id") == id for runner in self.rig.runners for request in runner.got
+            request.head("X-Sparloom-Attempt-Id") == id for runner in self.rig.runners for request in runner.received
         )
         self.tally.add(outcome, forwarded, self.planned_end)
         return outcome
 
     def set_behavior(self, behavior, silence=1.0):
         for runner in self.rig.runners:
-            runner.script, runner.silence = [behavior] * 99, silence
+            runner.script, runner.delay_s = [behavior] * 99, silence
 
     # -- requests at any time of the shutdown --------------------------------
     def send_at(self, time, behavior="late", silence=1.5, reuse=True, turn=0.0, **options):
@@ -218,7 +218,7 @@
     async def _run_random_clients(self, rng):
         for runner in self.rig.runners:
             runner.script = rng.choices(("late", "still", "ok", "shed"), k=2000)
-            runner.silence = rng.uniform(0.2, 2.5)
+            runner.delay_s = rng.uniform(0.2, 2.5)
         await asyncio.gather(*(self._run_random_client(rng, number) for number in range(14)))
 
     async def _run_random_client(self, rng, number):
--- a/tests/router/test_hedging.py
+++ b/tests/router/test_hedging.py
@@ -25,19 +25,19 @@
             async with RouterFixture(runners, {**POLICY, "routes": ROUTES}) as self.rig:
                 script = list(behaviors)
                 for runner in self.rig.runners:
-                    runner.script, runner.silence = script, silence
+                    runner.script, runner.delay_s = script, silence
                 if prepare:
                     prepare(self.rig)
                 answer = await self.rig.send(path, left=8000)
                 self.assertEqual(self.rig.state.in_flight.own, {})
-                self.sent = [request.word for runner in self.rig.runners for request in runner.got]
+                self.sent = [request.word for runner in self.rig.runners for request in runner.received]
                 return answer
 
         with world(1) as loop:
             return loop.run_until_complete(asyncio.wait_for(run(), 60))
 
     def assert_complete(self, answer):
-        self.assertEqual((answer.status, answer.body, answer.whole), (200, EVENTS, True))
+        self.assertEqual((answer.status, answer.body, answer.is_complete), (200, EVENTS, True))
 
 
 class UnresponsiveBackends(HedgingTestCase):
@@ -65,7 +65,7 @@
                 async def run(behavior=behavior):
                     async with RouterFixture(2, {**POLICY, "routes": ROUTES}) as rig:
                         for runner in rig.runners:
-                            runner.script, runner.silence = [behavior], 2.0
+                            runner.script, runner.delay_s = [behavior], 2.0
                         fill(rig)
                         return await rig.send("/resume/x", left=8000)
 
@@ -89,7 +89,7 @@
 
         async def disconnect():
             await asyncio.sleep(1.2)
-            first = next(runner for runner in rig.runners if runner.got and runner.got[0].word == "still")
+            first = next(runner for runner in rig.runners if runner.received and runner.received[0].word == "still")
             for task in list(first.tasks):
                 task.cancel()
 
--- a/tests/router/test_misdirected.py
+++ b/tests/router/test_misdirected.py
@@ -25,7 +25,7 @@
                 for runner in rig.runners:
                     runner.script = script
                 answer = await rig.send(path)
-                self.sent = [request.word for runner in rig.runners for request in runner.got]
+                self.sent = [request.word for runner in rig.runners for request in runner.received]
                 return answer.status
 
         with world(1) as loop:
--- a/tests/router/test_reconfigured.py
+++ b/tests/router/test_reconfigured.py
@@ -48,7 +48,7 @@
             async with RouterFixture(2, BASE) as rig:
                 self.rig = rig
                 for runner in rig.runners:
-                    runner.script, runner.silence = [behavior] * 12, 1.0
+                    runner.script, runner.delay_s = [behavior] * 12, 1.0
                 clients = [await Client.connect("127.0.0.1", rig.port) for _ in range(CLIENTS)]
                 sends = [asyncio.ensure_future(client.send(path, f"r{i}")) for i, client in enumerate(clients)]
                 await asyncio.sleep(delay_s)
--- a/tests/router/test_serviceability.py
+++ b/tests/router/test_serviceability.py
@@ -125,7 +125,7 @@
                 node._on_tick(turn)
             self.assertTrue(node.serviceability.partitioned)
             self.assertFalse(await self.ready())
-            self.assertGreater(sum(runner.pipes for runner in self.rig.runners), 0)
+            self.assertGreater(sum(runner.accepted_connections for runner in self.rig.runners), 0)
 
         self.run_scenario(scenario)
 
--- a/tests/router/test_stale_endpoints.py
+++ b/tests/router/test_stale_endpoints.py
@@ -34,7 +34,7 @@
             start, self.responses = loop.time(), []
             self.draining_runner = rig.runners[0]
             for runner in rig.runners:
-                runner.script, runner.silence = [behaviour] * 2000, 0.5
+                runner.script, runner.delay_s = [behaviour] * 2000, 0.5
             clients = [self._run_client(rig, loop, start, seconds, rng) for _ in range(4)]
             await asyncio.gather(self._confirm(rig), self._leave(leaves_at), *clients)
             return [at - start - leaves_at for at in self.draining_runner.arrivals]
@@ -47,7 +47,7 @@
 
     async def _leave(self, leaves_at):
         await asyncio.sleep(leaves_at)
-        self.draining_runner.leaving = True
+        self.draining_runner.is_shutting_down = True
 
     async def _run_client(self, rig, loop, start, seconds, rng):
         count = 0
--- a/tests/router/test_unreachable_zone.py
+++ b/tests/router/test_unreachable_zone.py
@@ -65,11 +65,11 @@
     def send(self, path, number):
         """Sends a request with a unique long prompt, so that requests are spread over all runners."""
         prefix = f"X-Sparloom-Prompt-Prefix: {self.rng.getrandbits(60):x}:2000,{self.rng.getrandbits(60):x}:10"
-        return self.rig.send(path, id=f"a{number}", left=7000, heads=[prefix])
+        return self.rig.send(path, id=f"a{number}", left=7000, headers=[prefix])
 
     def make_dark_zone_unresponsive(self):
         for runner in self.dark:
-            runner.script, runner.silence = ["late"] * 100, 20.0
+            runner.script, runner.delay_s = ["late"] * 100, 20.0
 
     async def send_until_unreachable(self, path):
         """Sends requests one after another until the router finds the zone unreachable; returns their tasks."""
@@ -98,10 +98,10 @@
         async def scenario():
             self.make_dark_zone_unresponsive()
             tasks = await self.send_until_unreachable("/once/x")
-            sent = sum(len(runner.got) for runner in self.dark)
+            sent = sum(len(runner.received) for runner in self.dark)
             responses = await asyncio.gather(*(self.send("/once/x", number) for number in range(100, 120)))
             self.assertEqual({response.status for response in responses}, {200})
-            self.assertEqual(sum(len(runner.got) for runner in self.dark), sent)
+            self.assertEqual(sum(len(runner.received) for runner in self.dark), sent)
             responses = await asyncio.gather(*tasks)
             self.assertEqual(sorted({response.status for response in responses}), [200, 504])
             self.assertEqual(sum(response.status == 504 for response in responses), sent)
@@ -113,7 +113,7 @@
             self.make_dark_zone_unresponsive()
             tasks = await self.send_until_unreachable("/resume/x")
             await asyncio.gather(*tasks)
-            sent = sum(len(runner.got) for runner in self.dark)
+            sent = sum(len(runner.received) for runner in self.dark)
             with self.assertLogs(absl_logger()) as log:
                 await self.tick_for(1.0)
                 self.assertTrue(self.rig.state.zones.is_unreachable("dark"))
@@ -126,7 +126,7 @@
             }
             self.assertEqual(absent_zones, {"light"})
             self.assertFalse(self.rig.state.zones.is_unreachable("dark"))
-            self.assertEqual(sum(len(runner.got) for runner in self.dark), sent)
+            self.assertEqual(sum(len(runner.received) for runner in self.dark), sent)
             self.assertEqual([record.getMessage() for record in log.records], ["zones: reachable again zone=dark"])
 
         self.run_scenario(scenario)
@@ -149,7 +149,7 @@
         async def scenario():
             self.partitioned = False
             for runner in self.rig.runners:
-                runner.script, runner.silence = ["late", "still", "ok", "reset", "shed", "moved", "cut"] * 20, 1.5
+                runner.script, runner.delay_s = ["late", "still", "ok", "reset", "shed", "moved", "cut"] * 20, 1.5
             requests = [self.send(path, number) for number, path in enumerate(["/resume/x", "/once/x"] * 20)]
             await asyncio.gather(*requests)
             zones = self.rig.state.zones
--- a/tests/router/test_unsupported_services.py
+++ b/tests/router/test_unsupported_services.py
@@ -16,7 +16,7 @@
         policy = {**POLICY, "services": [{**POLICY["services"][0], **options}]}
         async with RouterFixture(1, policy) as rig:
             answer = await rig.send("/unsafe/x")
-            return answer.status, "retry-after" in answer.heads, len(rig.runners[0].got)
+            return answer.status, "retry-after" in answer.headers, len(rig.runners[0].received)
 
     async def test_a_service_with_an_unsupported_protocol_gets_no_requests(self):
         for options in ({"protocol": "h9"}, {"tls": True}, {"protocol": "h1", "tls": True}):
--- a/tests/support/duty_group.py
+++ b/tests/support/duty_group.py
@@ -184,7 +184,7 @@
         holders = [holder for _, holder in self.recent_calls]
         others = [number for number, holder in enumerate(holders) if holder != name]
         if others and name in holders[: others[0]]:
-            self.platform.log.faults.append(f"ONE {name} sends before and after {holders[others[0]]}")
+            self.platform.log.violations.append(f"ONE {name} sends before and after {holders[others[0]]}")
 
     def true_us(self):
         return START_US + microseconds(monotonic())
--- a/tests/support/router_fixture.py
+++ b/tests/support/router_fixture.py
@@ -70,19 +70,19 @@
     """A front end with fake runners, and a raw HTTP client (``send``)."""
 
     def __init__(self, runners=1, policy=POLICY, startup=STARTUP):
-        self.runner_count, self.policy, self.up = runners, policy, from_dict(startup).unwrap()
+        self.runner_count, self.policy, self.settings = runners, policy, from_dict(startup).unwrap()
 
     async def __aenter__(self):
         self.runners = [await Runner(id=f"i-{i}").start() for i in range(self.runner_count)]
         self.state = self._make_node()
-        self.front = Frontend(self.up, self.state)
+        self.front = Frontend(self.settings, self.state)
         await self.front.serve_clients(bind(Address("127.0.0.1", 0)))
         self.port = self.front.client_runner.addresses[0][1]
         return self
 
     def _make_node(self):
         """Returns a node that isn't started but can forward requests."""
-        node = RouterNode(self.up)
+        node = RouterNode(self.settings)
         node.started_at = monotonic() - timedelta(minutes=1)
         node.random = random.Random(1)
         own_peer = Peer("me:1", ROUTER, "z1", "", 1, 0, 0)
@@ -104,7 +104,7 @@
             if backend.client_session:
                 await backend.client_session.close()
 
-    async def send(self, path, body=b"hello", heads=(), method="POST", id="a1", left=2000, raw=None):
+    async def send(self, path, body=b"hello", headers=(), method="POST", id="a1", left=2000, raw=None):
         """Sends a request on a new connection; returns the response, which is read until the connection closes."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         request_lines = [
@@ -114,7 +114,7 @@
             f"X-Sparloom-Deadline-Remaining: {left}",
             f"Content-Length: {len(body)}",
             "Connection: close",
-            *heads,
+            *headers,
         ]
         writer.write(raw if raw is not None else ("\r\n".join(request_lines) + "\r\n\r\n").encode() + body)
         response = await reader.read(-1)
@@ -130,19 +130,19 @@
         header_lines = head.decode("latin-1").split("\r\n")
         self.raw = raw
         self.status = int(header_lines[0].split()[1]) if raw else 0
-        self.heads = {name.lower(): value for name, _, value in (line.partition(": ") for line in header_lines[1:])}
+        self.headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in header_lines[1:])}
 
     @property
-    def whole(self):
+    def is_complete(self):
         """Whether the response is complete, by its content length or its last chunk."""
-        if "content-length" in self.heads:
-            return len(self.rest) == int(self.heads["content-length"])
+        if "content-length" in self.headers:
+            return len(self.rest) == int(self.headers["content-length"])
         return self.rest.endswith(b"0\r\n\r\n")
 
     @property
     def body(self):
         """The body without chunk framing."""
-        if "content-length" in self.heads:
+        if "content-length" in self.headers:
             return self.rest
         decoded, rest = b"", self.rest
         while rest:
