--- a/sparloom/configuration/check.py
+++ b/sparloom/configuration/check.py
@@ -246,7 +246,7 @@
         return "the policy must be an object"
     revision = document.get("revision")
     if type(revision) is not int or not 0 < revision <= MAXIMUM_REVISION:
-        return f"revision must be a whole number from 1 to {MAXIMUM_REVISION}"
+        return f"revision must be an integer from 1 to {MAXIMUM_REVISION}"
     for key in NAMED_LISTS:
         if not isinstance(document.get(key, []), list):
             return f"{key} must be a list"
--- a/sparloom/controller/change_requests.py
+++ b/sparloom/controller/change_requests.py
@@ -156,7 +156,7 @@
     revision = change.get("revision")
     # The exact type is compared because bool is a subclass of int.
     if type(revision) is not int or not 0 < revision <= MAXIMUM_REVISION:
-        return Failure(f"revision must be a whole number from 1 to {MAXIMUM_REVISION}")
+        return Failure(f"revision must be an integer from 1 to {MAXIMUM_REVISION}")
     if method == "PUT":
         checked = check(change)
         if not is_successful(checked):
