--- a/tests/support/rollout_group.py
+++ b/tests/support/rollout_group.py
@@ -96,7 +96,7 @@
         return {SERVICE: {runner.version for runner in self.group.runners if runner.listed}}
 
     @property
-    def last(self):
+    def last_published(self):
         return EndpointList(self.group.endpoints(), 1)
 
 
