--- a/simulator/check/transitions.py
+++ b/simulator/check/transitions.py
@@ -195,7 +195,7 @@
         return False
     if len(view.holders) < state.scope.replicas + 1 or not adapter.settled(state.nodes[name].ledger):
         return False
-    decided = state.nodes[name].ledger.decided.version
+    decided = state.nodes[name].ledger.committed_data.version
     return all(
         state.holder(identity).disk[1].version >= decided for identity in view.holders if state.holder(identity).disk
     )
--- a/simulator/decisions.py
+++ b/simulator/decisions.py
@@ -69,7 +69,7 @@
             self._end(self.running.pop(self.rng.randrange(len(self.running))))
         changes = self.scheduler.take_changes()
         if changes is not None:
-            self.scheduler.stored(changes)
+            self.scheduler.mark_stored(changes)
 
     def _add_job(self) -> None:
         self.jobs += 1
--- a/simulator/growth.py
+++ b/simulator/growth.py
@@ -99,7 +99,7 @@
 def max_followers(fleet):
     """The number of routers that follow the controller with the most followers."""
     keys = {controller.consensus.key for controller in fleet.controllers.values()}
-    parents = (router.relay_server.told()["follows"] for router in fleet.routers.values())
+    parents = (router.relay_server.status()["follows"] for router in fleet.routers.values())
     return max(Counter(key for key in parents if key in keys).values(), default=0)
 
 
--- a/simulator/host.py
+++ b/simulator/host.py
@@ -92,8 +92,8 @@
         ready = [router for router in self.routers.values() if router.ready()]
         return {
             "ready": len(ready),
-            "whole": sum(router.nodes() == nodes for router in ready),
-            "see": sorted({router.nodes() for router in ready}),
+            "whole": sum(router.fleet_size_divisor() == nodes for router in ready),
+            "see": sorted({router.fleet_size_divisor() for router in ready}),
             "list": sorted({len(router.backends.by_id) for router in ready}),
         }
 
--- a/simulator/net.py
+++ b/simulator/net.py
@@ -39,7 +39,7 @@
     def tick(self, name, incarnation):
         """Advances a member every 50 ms until it stops or a new incarnation starts."""
         member = self.nodes[name]
-        if name in self.off or member.me.instance_id != incarnation:
+        if name in self.off or member.local_peer.instance_id != incarnation:
             return
         self.send(name, member.tick(self.now))
         self.at(50 * MS, lambda: self.tick(name, incarnation))
--- a/simulator/pieces.py
+++ b/simulator/pieces.py
@@ -63,7 +63,7 @@
     """
     endpoints = EndpointList(read_page({"instances": entries(count), "nextPageToken": None}).unwrap()[0], 25)
     compressed = zlib.compress(pack(endpoints), 1)
-    backends = BackendTable().renew(endpoints.runners, lambda service: 378959)
+    backends = BackendTable().updated(endpoints.runners, lambda service: 378959)
     rng, candidates = random.Random(1), [Candidate(runner.id, 300, 0, 3, 16) for runner in endpoints.runners]
     reports = [InFlightReport(rng.getrandbits(64), 3, 2000, 0, 0, 0, 0) for _ in range(min(count, 2900))]
     counts = InFlightCounts(CONTACT_BOUND)
@@ -77,8 +77,8 @@
         "listBytes": len(pack(endpoints)),
         "listCompressed": len(compressed),
         "takeUs": timed(lambda: unpack(zlib.decompress(compressed))),
-        "renewUs": timed(lambda: backends.renew(endpoints.runners, lambda service: 378959)),
-        "fleetBytes": memory(lambda: BackendTable().renew(endpoints.runners, lambda service: 378959)),
+        "renewUs": timed(lambda: backends.updated(endpoints.runners, lambda service: 378959)),
+        "fleetBytes": memory(lambda: BackendTable().updated(endpoints.runners, lambda service: 378959)),
         "chooseUs": timed(lambda: choose(candidates)),
         "homeUs": timed(lambda: max(rendezvous_weight(7, backend.number) for backend in backends.by_id.values())),
         "countUs": timed(lambda: [counts.count(i, timedelta(0)) for i in range(len(reports))]),
@@ -119,7 +119,7 @@
             Peer("127.2.0.1:7301", ROUTER, "zone-1", "", 1, 0, 0), (), SwimTiming.of(CONTACT_BOUND), random.Random(1)
         )
         for i in range(1, count):
-            swim._learn(Peer(f"127.2.{i // 250}.{i % 250 + 1}:7301", ROUTER, f"zone-{i % 5}", "", i, 0, 0))
+            swim._merge(Peer(f"127.2.{i // 250}.{i % 250 + 1}:7301", ROUTER, f"zone-{i % 5}", "", i, 0, 0))
         return swim
 
     swim, now = create(), [timedelta(seconds=1)]
--- a/simulator/point.py
+++ b/simulator/point.py
@@ -134,7 +134,7 @@
     async def _wait_until_converged(self):
         started, nodes = monotonic(), self.size.nodes
         while (monotonic() - started).total_seconds() < 90:
-            if all(router.ready() and router.nodes() == nodes for router in self.fleet.routers.values()):
+            if all(router.ready() and router.fleet_size_divisor() == nodes for router in self.fleet.routers.values()):
                 return round((monotonic() - started).total_seconds() * 1000)
             await asyncio.sleep(0.25)
         return None
@@ -264,7 +264,7 @@
                     else sum(ip not in isolated for ip in fleet.controllers),
                     "changeMs": delay_summary([delays[ip] for ip in ips]),
                     "ready": sum(fleet.routers[ip].ready() for ip in ips),
-                    "nodesSeen": sorted({fleet.routers[ip].nodes() for ip in ips}),
+                    "nodesSeen": sorted({fleet.routers[ip].fleet_size_divisor() for ip in ips}),
                     "dividedBy": sorted({fleet.routers[ip].fleet_size.divisor for ip in ips}),
                 }
                 for side, ips in sides.items()
@@ -273,11 +273,11 @@
         net.cuts.clear()
         started = monotonic()
         while (monotonic() - started).total_seconds() < 90 and not all(
-            fleet._has_revision(router, fleet.revision) and router.nodes() == size.nodes
+            fleet._has_revision(router, fleet.revision) and router.fleet_size_divisor() == size.nodes
             for router in fleet.routers.values()
         ):
             await asyncio.sleep(0.1)
-        healed = all(router.nodes() == size.nodes for router in fleet.routers.values())
+        healed = all(router.fleet_size_divisor() == size.nodes for router in fleet.routers.values())
         self.figures["parted"]["healedMs"] = round((monotonic() - started).total_seconds() * 1000) if healed else None
 
     async def _lose_zone(self):
--- a/simulator/simulated_router.py
+++ b/simulator/simulated_router.py
@@ -93,17 +93,17 @@
 
     async def _run_call(self):
         call = self._make_call()
-        service = call.route.split[0][0]
+        service = call.route.weighted_services[0][0]
         self.calls += 1
         self.budget(service).on_request(monotonic())
-        admitted = await self.queues.enter(service, call)
+        admitted = await self.queues.acquire(service, call)
         if isinstance(admitted, Rejected):
             self.rejected += 1
             return
         try:
             await self._run_on_backend(service, call)
         finally:
-            self.queues.leave(service, admitted.id)
+            self.queues.release(service, admitted.id)
 
     async def _run_on_backend(self, service, call):
         backends = self.backends.of(service)
--- a/simulator/soak/duties.py
+++ b/simulator/soak/duties.py
@@ -122,7 +122,7 @@
             await self.platform.stop()
             for runner in self.runners:
                 await runner.stop()
-        return [*self.fleet.faults, *self.platform.duties.faults]
+        return [*self.fleet.faults, *self.platform.duties.violations]
 
     def _time_left(self) -> float:
         return self._ends_at - asyncio.get_running_loop().time()
@@ -243,7 +243,7 @@
         if windows and windows != list(range(windows[0], windows[-1] + 1)):
             self.fleet.faults.append(f"ONE windows are missing between {windows[0]} and {windows[-1]}")
         ran = Counter(
-            request.head("X-Sparloom-Tenant") for runner in self.runners for request in runner.got if request.ran
+            request.head("X-Sparloom-Tenant") for runner in self.runners for request in runner.received if request.ran
         )
         for tenant, count in self._reported_usage().items():
             if count > ran[tenant]:
--- a/simulator/soak/requests.py
+++ b/simulator/soak/requests.py
@@ -101,7 +101,7 @@
         self.runners = [await Runner(id=f"i-{number}").start() for number in range(4)]
         for runner in self.runners:
             runner.script = self.rng.choices(("ok", "late", "still"), self.rng.choice(RESPONSE_WEIGHTS), k=20000)
-            runner.silence = self.rng.choice((0.15, 0.3, 1.2)) * self.rng.uniform(0.5, 1.0)
+            runner.delay_s = self.rng.choice((0.15, 0.3, 1.2)) * self.rng.uniform(0.5, 1.0)
         entries = [
             Platform.entry(runner.id, "s", f"127.0.0.1:{runner.port}", slots=64, zone=ZONES[number % len(ZONES)])
             for number, runner in enumerate(self.runners)
@@ -238,10 +238,12 @@
         if await self._set_evacuation(http, "POST", zone):
             await asyncio.sleep(EVACUATION_TIMEOUT_S)
             evacuated = [runner for number, runner in enumerate(self.runners) if ZONES[number % len(ZONES)] == zone]
-            request_counts = [len(runner.got) for runner in evacuated]
+            request_counts = [len(runner.received) for runner in evacuated]
             await asyncio.sleep(min(self.rng.uniform(0.5, 2.0), max(0.0, self._time_left())))
             late = [
-                runner.id for runner, count in zip(evacuated, request_counts, strict=True) if len(runner.got) > count
+                runner.id
+                for runner, count in zip(evacuated, request_counts, strict=True)
+                if len(runner.received) > count
             ]
             self.fleet.faults += [f"EVAC a request reached {runner_id} in {zone}" for runner_id in late]
         await self._set_evacuation(http, "DELETE", zone)
@@ -277,7 +279,7 @@
         forwarded = any(
             request.head("X-Sparloom-Attempt-Id") == outcome.id
             for runner in self.runners
-            for request in runner.got[-4000:]
+            for request in runner.received[-4000:]
         )
         shutdown = PlannedShutdown(terminated_at if terminated_at is not None else 1e12, timedelta(seconds=GRACE_S))
         # A paused router may leave a request unread for longer than the slack; the connection is then reset.
@@ -295,7 +297,7 @@
     def _check_single_runs(self) -> None:
         runs: dict[str, int] = {}
         for runner in self.runners:
-            for request in runner.got:
+            for request in runner.received:
                 if request.ran and "/once/" in request.line:
                     request_id = request.head("X-Sparloom-Attempt-Id") or ""
                     runs[request_id] = runs.get(request_id, 0) + 1
--- a/simulator/soak/rollouts.py
+++ b/simulator/soak/rollouts.py
@@ -238,8 +238,8 @@
     # -- checks after the run -----------------------------------------------------
     def _check_results(self) -> None:
         """Check the verdict and the exposure against the requests that the runners received."""
-        faults, exposed = self.fleet.faults, sum(len(runner.got) for runner in self.new)
-        total = exposed + sum(len(runner.got) for runner in self.old)
+        faults, exposed = self.fleet.faults, sum(len(runner.received) for runner in self.new)
+        total = exposed + sum(len(runner.received) for runner in self.old)
         decided = [state for state in self.observed_states if state != "serving"]
         if len(set(decided)) > 1 or (decided and self.observed_states[-1] == "serving"):
             faults.append(f"LOST the verdict changed: {', '.join(self.observed_states)}")
--- a/sparloom/configuration/check.py
+++ b/sparloom/configuration/check.py
@@ -232,11 +232,11 @@
 
 def first_duplicate(values: Iterable[Hashable]) -> Any:
     """Return the first value that repeats an earlier one, or None."""
-    seen = set()
+    previous_values = set()
     for value in values:
-        if value in seen:
+        if value in previous_values:
             return value
-        seen.add(value)
+        previous_values.add(value)
     return None
 
 
@@ -246,7 +246,7 @@
         return "the policy must be an object"
     revision = document.get("revision")
     if type(revision) is not int or not 0 < revision <= MAXIMUM_REVISION:
-        return f"revision must be a whole number from 1 to {MAXIMUM_REVISION}"
+        return f"revision must be an integer from 1 to {MAXIMUM_REVISION}"
     for key in NAMED_LISTS:
         if not isinstance(document.get(key, []), list):
             return f"{key} must be a list"
--- a/sparloom/configuration/rate_holders.py
+++ b/sparloom/configuration/rate_holders.py
@@ -21,7 +21,7 @@
     from collections.abc import Collection
 
 # Fraction of the rate that is never granted.
-SPARE = 1 / 8
+UNGRANTED_FRACTION = 1 / 8
 # Lease on the table, in multiples of the contact bound. It starts when the table is known to be the newest.
 LEASE_CONTACT_BOUNDS = 5
 # Window over which sent requests are counted against a rate per second: one second plus the variation of their
@@ -36,10 +36,10 @@
     return blake2b(router.encode(), digest_size=8, salt=salt).digest(), router
 
 
-def _share_of_total(routers: Collection[str], router: str, total: int, salt: int) -> int:
+def _quota_of_total(routers: Collection[str], router: str, total: int, salt: int) -> int:
     if router not in routers:
         return 0
-    each, remainder = divmod(int(total * (1 - SPARE)), len(routers))
+    each, remainder = divmod(int(total * (1 - UNGRANTED_FRACTION)), len(routers))
     if not remainder:
         return each
     salt_bytes = (salt & _SALT_MASK).to_bytes(_SALT_BYTES)
@@ -56,14 +56,14 @@
     routers
         The internal HOST:PORT of each router that has a share. An address belongs to one machine at a time, so a
         router that restarts there may continue to use the share.
-    before
+    previous_routers
         The routers of the previous table, which other routers may still use.
     """
 
     routers: frozenset[str] = frozenset()
-    before: frozenset[str] = frozenset()
+    previous_routers: frozenset[str] = frozenset()
 
-    def share(self, router: str, total: int, salt: int) -> int:
+    def quota(self, router: str, total: int, salt: int) -> int:
         """Return a router's share of a total, which is split into integers; the shares add up to at most 7/8 of it.
 
         Other routers may still use the previous table, so the share is the smaller one of both tables.
@@ -80,15 +80,15 @@
         Examples
         --------
         >>> four = frozenset("abcd")
-        >>> sum(RateHolders(four, four).share(router, 8, salt=1) for router in "abcd")
+        >>> sum(RateHolders(four, four).quota(router, 8, salt=1) for router in "abcd")
         7
-        >>> RateHolders(four | {"e"}, four).share("e", 8, salt=1)
+        >>> RateHolders(four | {"e"}, four).quota("e", 8, salt=1)
         0
         """
-        share = _share_of_total(self.routers, router, total, salt)
-        if not share or self.before == self.routers:
-            return share
-        return min(share, _share_of_total(self.before, router, total, salt))
+        quota = _quota_of_total(self.routers, router, total, salt)
+        if not quota or self.previous_routers == self.routers:
+            return quota
+        return min(quota, _quota_of_total(self.previous_routers, router, total, salt))
 
     @staticmethod
     def is_usable(age: timedelta, uptime: timedelta, contact_bound: timedelta) -> bool:
@@ -120,7 +120,7 @@
         >>> RateHolders.from_json(table.to_json()) == table
         True
         """
-        joined, left = self.routers - self.before, self.before - self.routers
+        joined, left = self.routers - self.previous_routers, self.previous_routers - self.routers
         return {"routers": sorted(self.routers), "joined": sorted(joined), "left": sorted(left)}
 
     @classmethod
--- a/sparloom/consensus/leadership.py
+++ b/sparloom/consensus/leadership.py
@@ -88,9 +88,9 @@
     write: int | None = None
     write_started_at: timedelta = timedelta(0)
     # Number of the first heartbeat after each read began, by the read's id as given by the caller.
-    reads: dict[int, int] = field(factory=dict)
+    pending_reads: dict[int, int] = field(factory=dict)
     # The committed data, which every holder has on disk; None before the view is served.
-    decided: Data | None = None
+    committed_data: Data | None = None
     # Number of the first heartbeat after the last release request of each leaving member, by member id.
     release_requests: dict[int, int] = field(factory=dict)
     # Time since which a change of the roster or the backups is due, or None.
@@ -181,8 +181,8 @@
             return []
         self._shorten_copy_timeout(self.write_started_at)
         write, self.write = self.write, None
-        self.decided = self.consensus.data
-        return [Committed(write, self.decided)]
+        self.committed_data = self.consensus.data
+        return [Committed(write, self.committed_data)]
 
     def _shorten_copy_timeout(self, copied_since: timedelta) -> None:
         """Halves the copy timeout factor after a fast copy to all holders."""
@@ -203,8 +203,8 @@
     def _serve(self) -> list[Action]:
         consensus = self.consensus
         self.phase, self.started_at = Phase.SERVING, consensus.now
-        self.decided = consensus.data
-        actions = [Committed(0, self.decided), *self._heartbeat(at_once=True)]
+        self.committed_data = consensus.data
+        actions = [Committed(0, self.committed_data), *self._heartbeat(at_once=True)]
         if self.view.previous:
             # Earlier rosters are required up to this point: a candidate that did not know this view
             # could have won with a majority of one of them.
@@ -303,17 +303,17 @@
         heartbeat was sent, so no write of a later epoch can have been
         acknowledged before the read.
         """
-        if not self.serving or self.decided is None:
+        if not self.serving or self.committed_data is None:
             return []
         answered = sorted((self.acknowledged.get(member_id, 0) for member_id in self.view.ids), reverse=True)
         by_majority = answered[len(answered) // 2]
         if by_majority > self.confirmed_sequence:
             self.confirmed_sequence = by_majority
             self.confirmed_at = self.heartbeat_times.get(by_majority, self.confirmed_at)
-        confirmed = [read for read, sequence in self.reads.items() if sequence <= self.confirmed_sequence]
+        confirmed = [read for read, sequence in self.pending_reads.items() if sequence <= self.confirmed_sequence]
         for read in confirmed:
-            del self.reads[read]
-        return [ReadConfirmed(read, self.decided) for read in confirmed]
+            del self.pending_reads[read]
+        return [ReadConfirmed(read, self.committed_data) for read in confirmed]
 
     # -- calls ------------------------------------------------------------------
     def begin_write(self, write: int, revision: int, blob: bytes) -> list[Action] | None:
@@ -329,10 +329,10 @@
         """Starts a confirmed read; returns None before the view is active."""
         if not self.serving:
             return None
-        self.reads[read] = self.heartbeat_sequence + 1
+        self.pending_reads[read] = self.heartbeat_sequence + 1
         return self._heartbeat(at_once=True)
 
     def abort_calls(self) -> list[Action]:
         """Returns the aborts of all pending calls, for when this member stops being primary."""
         writes = [] if self.write is None else [Aborted(self.write)]
-        return [*writes, *(Aborted(read) for read in self.reads)]
+        return [*writes, *(Aborted(read) for read in self.pending_reads)]
--- a/sparloom/router/admission_queues.py
+++ b/sparloom/router/admission_queues.py
@@ -127,8 +127,8 @@
             return cached
         default_slots = service.slots if service else 0
         total_slots = sum(maximum_in_flight(backend.slots or default_slots) for backend in backends)
-        tokens = fleet_size.share(service.cache_tokens * len(backends)) if service else 0
-        capacity = Capacity(fleet_size.share(total_slots), tokens)
+        tokens = fleet_size.quota(service.cache_tokens * len(backends)) if service else 0
+        capacity = Capacity(fleet_size.quota(total_slots), tokens)
         cache = _CapacityCache(backends, service, fleet_size.divisor, fleet_size.admitting, total_slots, capacity)
         self._capacities[service_name] = cache
         return cache
@@ -151,7 +151,7 @@
         ):
             return cached.limits
         limit = service.connection_limit if service else DEFAULT_CONNECTION_LIMIT
-        limits = {backend.id: fleet_size.indivisible_share(limit, backend.number) for backend in backends}
+        limits = {backend.id: fleet_size.indivisible_quota(limit, backend.number) for backend in backends}
         if not any(limits.values()):
             limits = dict.fromkeys(limits, 1)
         self._connections[service_name] = _ConnectionsCache(
@@ -172,7 +172,7 @@
         owners = self._current_members().owners
         return owners.get(route.name, "" if self.state.settings.members else route.host)
 
-    async def enter(self, service_name: str, request: Request) -> Admitted | Rejected:
+    async def acquire(self, service_name: str, request: Request) -> Admitted | Rejected:
         """Wait until a request is admitted or rejected."""
         request_id = next(self._ids)
         controller, demand = self.controller(service_name), Demand(sum(tokens for _, tokens in request.parts))
@@ -189,12 +189,12 @@
             return await future
         except asyncio.CancelledError:
             # The client has disconnected; the request may have been admitted just before.
-            self.leave(service_name, request_id)
+            self.release(service_name, request_id)
             raise
         finally:
             self.waiting.pop(request_id, None)
 
-    def leave(self, service_name: str, request_id: int) -> None:
+    def release(self, service_name: str, request_id: int) -> None:
         """Release the capacity of a request that has ended, and admit waiting requests."""
         self._notify(self.controllers[service_name].release(monotonic(), request_id))
 
--- a/sparloom/router/backend_choice.py
+++ b/sparloom/router/backend_choice.py
@@ -43,7 +43,7 @@
 
 def choose_service(request: Request, random: Random) -> str:
     """Draw one of the route's services by weight; a route with a single service needs no random draw."""
-    split = request.route.split
+    split = request.route.weighted_services
     if len(split) == 1:
         return split[0][0]
     remaining = random.random() * sum(weight for _, weight in split)
@@ -139,7 +139,7 @@
             if choice is not None:
                 self.tried.add(backend.id)
                 if candidate.cold:
-                    backend.cold_sends.note(now)
+                    backend.cold_sends.record(now)
                 self._announce_prompt(backend)
                 return choice
         return None
@@ -173,7 +173,7 @@
         limit = fleet_limit(service, state.settings.cold)
         if limit is None:
             return True
-        return backend.cold_sends.allows(now, state.cold_rate_share(limit, backend.number, now))
+        return backend.cold_sends.is_allowed(now, state.cold_rate_quota(limit, backend.number, now))
 
     def _candidate(self, backend: Backend, now: timedelta) -> Candidate:
         in_flight = self._services.in_flight
--- a/tests/simulator/test_history.py
+++ b/tests/simulator/test_history.py
@@ -10,7 +10,7 @@
 from simulator.history import Call, ChangeOrder, Outcome, broken_rule, fault_in, linearize
 from simulator.operators import Plan, play_history
 from sparloom.controller import configuration_writer
-from sparloom.controller.change_requests import Judgement, Verdict, judge
+from sparloom.controller.change_requests import ChangeEvaluation, ChangeVerdict, evaluate
 from sparloom.controller.configuration_writer import ConfigurationWriter, Snapshot
 from sparloom.controller.control_state import History, State
 from tests.support.paths import ROOT
@@ -105,8 +105,8 @@
 def _compare_revision_only(state, change, router_count=0):
     """Treat a change as committed if any change with its revision was."""
     if state.history.fingerprint_of(change.revision):
-        return Judgement(Verdict.ALREADY_COMMITTED)
-    return judge(state, change, router_count)
+        return ChangeEvaluation(ChangeVerdict.ALREADY_COMMITTED)
+    return evaluate(state, change, router_count)
 
 
 class PlayedHistories(unittest.TestCase):
@@ -132,23 +132,23 @@
         )
 
     def test_reads_and_rejections_without_confirmation_are_found(self):
-        self.assertIsNotNone(self.first_failing_seed("confirmed", _read_without_confirmation))
+        self.assertIsNotNone(self.first_failing_seed("read_confirmed", _read_without_confirmation))
 
     def test_reads_and_rejections_on_uncommitted_state_are_found(self):
-        self.assertIsNotNone(self.first_failing_seed("confirmed", _read_uncommitted))
+        self.assertIsNotNone(self.first_failing_seed("read_confirmed", _read_uncommitted))
 
     def test_handler_without_change_history_is_found(self):
         self.assertIsNotNone(self.first_failing_seed("add", lambda self, revision, fingerprint: self, History))
 
     def test_configuration_change_that_drops_evacuations_is_found(self):
-        def then(state, configuration, change_fingerprint, router_count=0):
+        def with_change(state, configuration, change_fingerprint, router_count=0):
             history = state.history.add(configuration["revision"], change_fingerprint)
             return State(configuration, history, router_count)
 
-        self.assertIsNotNone(self.first_failing_seed("then", then, State))
+        self.assertIsNotNone(self.first_failing_seed("with_change", with_change, State))
 
     def test_acknowledged_evacuation_that_is_not_written_is_found(self):
-        already_committed = Judgement(Verdict.ALREADY_COMMITTED)
+        already_committed = ChangeEvaluation(ChangeVerdict.ALREADY_COMMITTED)
         self.assertIsNotNone(
             self.first_failing_seed(
                 "evaluate_evacuation", lambda _state, _order: already_committed, configuration_writer
@@ -156,6 +156,6 @@
         )
 
     def test_handler_that_compares_only_revisions_is_found(self):
-        with mock.patch("sparloom.controller.configuration_writer.judge", _compare_revision_only):
+        with mock.patch("sparloom.controller.configuration_writer.evaluate", _compare_revision_only):
             seeds = range(1, self.MAXIMUM_SEEDS + 1)
             self.assertTrue(any(play_history(seed, Plan(seconds=15.0)).fault for seed in seeds))
--- a/tests/simulator/test_model_checker.py
+++ b/tests/simulator/test_model_checker.py
@@ -29,7 +29,7 @@
 
 
 def _read_without_heartbeat(self, read_id):
-    return [ReadConfirmed(read_id, self.decided)] if self.serving else None
+    return [ReadConfirmed(read_id, self.committed_data)] if self.serving else None
 
 
 def _commit_with_one_copy(self, record):
